--- a/crates/hollyspoke-daemon/src/upstream.rs
+++ b/crates/hollyspoke-daemon/src/upstream.rs
@@ -7,7 +7,7 @@
 use hollyspoke::effect::Order;
 use hollyspoke::event::{Call, Event, Generate, Reply, Report};
 use hollyspoke::key::{Key, Ticket};
-use hollyspoke::orders::LONGEST_ORDER;
+use hollyspoke::orders::MAX_ORDER_TIME;
 use hollyspoke::outcome::Answer;
 use hollyspoke::outcome::Trace;
 use hollyspoke_wire::caller;
@@ -136,7 +136,7 @@
     let url = format!("http://{address}/v1/orders");
     let body = FencedOrder { token, role: order.role, load: order.load };
     let call = client.post::<Empty>(&url, &body);
-    match tokio::time::timeout(LONGEST_ORDER, call).await {
+    match tokio::time::timeout(MAX_ORDER_TIME, call).await {
         Ok(Ok(Empty {})) => {}
         Ok(Err(error)) => warn!(log, "an order failed"; "engine" => address, "error" => %error),
         Err(_) => warn!(log, "an order took too long"; "engine" => address),
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollyspoke::outcome::Trace;
-use hollyspoke::quota::{MOST_BOXES, Picture};
+use hollyspoke::quota::{MAX_BOXES, Visibility};
 
 use super::{Gateway, Sharing};
 use crate::customer::{Caller, Customer};
@@ -163,10 +163,10 @@
         self.sees_boxes_at = self.now + SEE_EVERY;
         let boxes = self.sharing_boxes();
         let picture = match self.settings.sharing {
-            Sharing::Parts => Picture::alone(boxes),
-            Sharing::Totals => Picture::heard(boxes, self.members.punctual(self.now)),
+            Sharing::Parts => Visibility::isolated(boxes),
+            Sharing::Totals => Visibility::connected(boxes, self.members.punctual(self.now)),
         };
-        self.quota.see(self.now, picture);
+        self.quota.set_visibility(self.now, picture);
     }
 
     /// Gives how many boxes share what is bounded for all together: as many as the operator says or more that live,
@@ -174,7 +174,7 @@
     pub(super) fn sharing_boxes(&self) -> usize {
         match self.settings.boxes {
             Some(boxes) => boxes.max(self.members.count(self.now)),
-            None => self.known_boxes().unwrap_or(MOST_BOXES),
+            None => self.known_boxes().unwrap_or(MAX_BOXES),
         }
     }
 
@@ -186,14 +186,20 @@
             self.see_boxes();
             let usage = &message.usage;
             let (sender, life) = (message.sender, message.incarnation);
-            self.quota.hear(self.now, sender, life, &usage.accounts, usage.is_complete);
+            self.quota.apply_announcement(
+                self.now,
+                sender,
+                life,
+                &usage.accounts,
+                usage.is_complete,
+            );
         }
     }
 
     /// Gives what this box is to tell of customers with a heartbeat.
     pub(super) fn heartbeat_usage(&mut self) -> Usage {
         if self.heartbeats.is_multiple_of(COMPLETE_EVERY) {
-            self.quota.take_untold(self.now);
+            self.quota.take_unannounced(self.now);
             return self.complete_usage();
         }
         self.changed_usage()
@@ -203,7 +209,7 @@
     pub(super) fn changed_usage(&mut self) -> Usage {
         let accounts = match self.settings.sharing {
             Sharing::Parts => Vec::new(),
-            Sharing::Totals => self.quota.take_untold(self.now),
+            Sharing::Totals => self.quota.take_unannounced(self.now),
         };
         Usage { accounts, ..self.bare_usage() }
     }
--- a/crates/hollyspoke-gateway/src/member/duty.rs
+++ b/crates/hollyspoke-gateway/src/member/duty.rs
@@ -36,7 +36,7 @@
 
     /// Goes over the living boxes that come before this one in the order that is the same on all.
     fn before(&self, own: SocketAddr) -> impl Iterator<Item = &Peer> {
-        let place = |number: u64| rank::place(0, number);
+        let place = |number: u64| rank::sort_key(0, number);
         let own = place(number(&own));
         self.peers.values().filter(move |it| !it.is_silent && place(it.number) < own)
     }
@@ -79,7 +79,7 @@
         let own_entry = (own, number(&own), self.own);
         let all = others.chain(serves.then_some(own_entry));
         let place = |it: &(SocketAddr, u64, DataCentreKey)| {
-            (it.2 != data_centre, rank::place(engine.0, it.1))
+            (it.2 != data_centre, rank::sort_key(engine.0, it.1))
         };
         all.min_by_key(place).map_or(own, |it| it.0)
     }
--- a/crates/hollyspoke/src/address.rs
+++ b/crates/hollyspoke/src/address.rs
@@ -9,10 +9,10 @@
 use crate::site::DataCentreId;
 
 /// How long a caller may keep an answer.
-pub const KEEP: Duration = Duration::from_secs(10);
+pub const ANSWER_TTL: Duration = Duration::from_secs(10);
 
 /// How many boxes an answer names at most.
-pub const MOST_BOXES: usize = 4;
+pub const MAX_CHOICES: usize = 4;
 
 /// The answer to a caller that asks for addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,18 +39,21 @@
 /// A box of another data centre always stands among the choices when there is one, so that the
 /// loss of a data centre leaves the caller an address.
 pub fn answer(members: &Table, caller: &str, data_centre: Option<DataCentreId>) -> Answer {
-    let near = data_centre.unwrap_or_else(|| members.my_data_centre());
+    let local = data_centre.unwrap_or_else(|| members.my_data_centre());
     let subject = DataCentreId::of(caller).0;
     let mut boxes: Vec<&Entry> = members.live().collect();
     rank::order(subject, &mut boxes, |it| it.incarnation.0);
-    let (mut chosen, far): (Vec<&Entry>, Vec<&Entry>) =
-        boxes.into_iter().partition(|it| it.data_centre == near);
-    if !far.is_empty() {
-        chosen.truncate(MOST_BOXES - 1);
+    let (mut chosen, remote): (Vec<&Entry>, Vec<&Entry>) =
+        boxes.into_iter().partition(|it| it.data_centre == local);
+    if !remote.is_empty() {
+        chosen.truncate(MAX_CHOICES - 1);
+    }
+    chosen.extend(remote);
+    chosen.truncate(MAX_CHOICES);
+    Answer {
+        keep_ms: ANSWER_TTL.as_millis() as u64,
+        boxes: chosen.into_iter().map(choice).collect(),
     }
-    chosen.extend(far);
-    chosen.truncate(MOST_BOXES);
-    Answer { keep_ms: KEEP.as_millis() as u64, boxes: chosen.into_iter().map(choice).collect() }
 }
 
 /// Gives a box as an answer names it.
--- a/crates/hollyspoke/src/call.rs
+++ b/crates/hollyspoke/src/call.rs
@@ -15,17 +15,17 @@
 use crate::site::Kind;
 
 /// What is added to a call's timeout before the front stops waiting for the driver's word.
-const GRACE: Duration = Duration::from_secs(1);
+const TIMEOUT_GRACE: Duration = Duration::from_secs(1);
 
 impl Front {
     /// Calls an upstream, or refuses when none has room.
     pub(crate) fn call(&mut self, cx: &mut Context<'_>, id: Id) {
         let ticket = self.new_ticket(cx, id);
         let Some(request) = self.requests.get_mut(id) else { return };
-        let near = cx.members.my_data_centre();
+        let local = cx.members.my_data_centre();
         let service = request.service;
         let avoid = request.avoid;
-        let chosen = self.plain.begin(cx.now, cx.site, service, near, ticket, avoid);
+        let chosen = self.plain.begin(cx.now, cx.site, service, local, ticket, avoid);
         let found = chosen.and_then(|it| cx.site.upstream(it));
         let (Some(upstream), Work::Call(call)) = (found, &request.arrival.work) else {
             self.tickets.remove(&ticket);
@@ -36,7 +36,7 @@
         };
         let timeout = match cx.site.service(service).map(|it| &it.kind) {
             Some(Kind::Plain { timeout, .. }) => *timeout,
-            Some(Kind::Engines { .. }) | None => GRACE,
+            Some(Kind::Engines { .. }) | None => TIMEOUT_GRACE,
         };
         let effect = Effect::Call {
             ticket,
@@ -82,7 +82,7 @@
         request.avoid = Some(upstream);
         let sent = request.trace.is_sent();
         let may_repeat = (request.arrival.repeatable || !sent) && request.caller.is_some();
-        let attempts_left = request.attempts < retry::MOST_ATTEMPTS;
+        let attempts_left = request.attempts < retry::MAX_ATTEMPTS;
         if may_repeat && attempts_left && self.budget.spend() {
             self.call(cx, id);
             return;
@@ -102,9 +102,9 @@
         let Some(request) = self.requests.get(id) else { return };
         let timeout = match cx.site.service(request.service).map(|it| &it.kind) {
             Some(Kind::Plain { timeout, .. }) => *timeout,
-            Some(Kind::Engines { .. }) | None => GRACE,
+            Some(Kind::Engines { .. }) | None => TIMEOUT_GRACE,
         };
-        if cx.now.since(request.since) > timeout + GRACE {
+        if cx.now.since(request.since) > timeout + TIMEOUT_GRACE {
             let mut trace = Trace::clean();
             trace.mark_sent();
             self.call_failed(cx, id, "the upstream did not answer in time", trace);
--- a/crates/hollyspoke/src/claim.rs
+++ b/crates/hollyspoke/src/claim.rs
@@ -1,6 +1,6 @@
 //! Callers' own idempotency keys: each is bound to one key of ours by a conditional write.
 //!
-//! Claims are grouped into [`SHARDS`] objects. One operation a shard is under way at a time, and
+//! Claims are grouped into [`OBJECT_COUNT`] objects. One operation a shard is under way at a time, and
 //! all claims that wait for it go into the same write. A lost answer is settled by reading back:
 //! a claim found with this box's key is this box's; a claim not found is written again on the
 //! version just read, after which the lost write can no longer take effect.
@@ -17,20 +17,20 @@
 use crate::time::Time;
 
 /// The objects over which claims are spread.
-pub const SHARDS: u64 = 8;
+pub const OBJECT_COUNT: u64 = 8;
 
 /// The claims kept in one object; the oldest beyond it are dropped.
-pub const KEPT: usize = 12_000;
+pub const MAX_CLAIMS_PER_OBJECT: usize = 12_000;
 
 /// The writes of claims that all boxes of a site together make in a second, at most. Each box
 /// spaces its own by its part of that; what waits meanwhile goes into one write.
-pub const WRITES_PER_SECOND: u32 = 60;
+pub const MAX_WRITES_PER_S: u32 = 60;
 
 /// How long a request waits for its claim before it is refused as not run.
-pub const PATIENCE: Duration = Duration::from_secs(3);
+pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long to wait before an operation is tried again after no answer.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The kind of the objects.
 const KIND: &str = "claims";
@@ -51,7 +51,7 @@
 
     /// Gives the object that holds the claim.
     fn shard(self) -> u64 {
-        self.0 % SHARDS
+        self.0 % OBJECT_COUNT
     }
 }
 
@@ -61,7 +61,7 @@
     /// The claim is bound to this key.
     Bound(Key),
     /// The store is away, and nothing was sent for the request.
-    Away,
+    StoreUnreachable,
 }
 
 /// A request that waits for its claim.
@@ -97,7 +97,7 @@
     }
 
     /// Writes an object's value.
-    fn print(&self) -> String {
+    fn to_text(&self) -> String {
         self.claims.iter().map(|(claim, key)| format!("{:x} {key}\n", claim.0)).collect()
     }
 
@@ -110,20 +110,20 @@
     fn bind(&mut self, claim: Claim, key: Key) {
         self.claims.retain(|it| it.0 != claim);
         self.claims.push((claim, key));
-        let surplus = self.claims.len().saturating_sub(KEPT);
+        let surplus = self.claims.len().saturating_sub(MAX_CLAIMS_PER_OBJECT);
         self.claims.drain(..surplus);
     }
 }
 
 /// What is under way for one object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flight {
+enum Pending {
     /// A read.
     Get(u64),
     /// A write.
     Put(u64),
     /// Nothing until a time.
-    Pause(Time),
+    Idle(Time),
 }
 
 /// One object's claims in waiting.
@@ -132,7 +132,7 @@
     /// The requests that wait.
     waiting: Vec<Waiting>,
     /// What is under way.
-    flight: Option<Flight>,
+    pending: Option<Pending>,
     /// Whether it has waited for its turn to write.
     has_turn: bool,
 }
@@ -148,7 +148,7 @@
 
 impl Claims {
     /// Has a claim bound to a key, or finds the key to which it is bound already.
-    pub fn want(
+    pub fn submit(
         &mut self,
         cx: &mut Context<'_>,
         request: request::Id,
@@ -158,7 +158,7 @@
     ) {
         let shard = self.shards.entry(claim.shard()).or_default();
         shard.waiting.push(Waiting { request, claim, key, since: cx.now, may_replace });
-        if shard.flight.is_none() {
+        if shard.pending.is_none() {
             self.get(cx, claim.shard());
         }
     }
@@ -177,12 +177,12 @@
         number: u64,
         answer: &Answer,
     ) -> Vec<(request::Id, Settled)> {
-        let found = self.shards.iter().find(|(_, shard)| match shard.flight {
-            Some(Flight::Get(it) | Flight::Put(it)) => it == number,
-            Some(Flight::Pause(_)) | None => false,
+        let found = self.shards.iter().find(|(_, shard)| match shard.pending {
+            Some(Pending::Get(it) | Pending::Put(it)) => it == number,
+            Some(Pending::Idle(_)) | None => false,
         });
         let Some((&name, shard)) = found else { return Vec::new() };
-        let was_read = matches!(shard.flight, Some(Flight::Get(_)));
+        let was_read = matches!(shard.pending, Some(Pending::Get(_)));
         match answer {
             Answer::Found { version, value } if was_read => {
                 self.merge(cx, name, *version, Bound::parse(value))
@@ -208,13 +208,13 @@
         let mut due = Vec::new();
         for (&name, shard) in &mut self.shards {
             shard.waiting.retain(|it| {
-                let waits = now.since(it.since) < PATIENCE;
+                let waits = now.since(it.since) < CLAIM_TIMEOUT;
                 if !waits {
-                    settled.push((it.request, Settled::Away));
+                    settled.push((it.request, Settled::StoreUnreachable));
                 }
                 waits
             });
-            if matches!(shard.flight, Some(Flight::Pause(until)) if until <= now) {
+            if matches!(shard.pending, Some(Pending::Idle(until)) if until <= now) {
                 due.push(name);
             }
         }
@@ -251,17 +251,17 @@
             true
         });
         if added.is_empty() {
-            shard.flight = None;
+            shard.pending = None;
             return settled;
         }
         if !shard.has_turn {
             let turn = self.next_turn.max(cx.now);
             let boxes = cx.members.live().count().max(1) as u32;
-            self.next_turn = turn + Duration::from_secs(1) * boxes / WRITES_PER_SECOND;
+            self.next_turn = turn + Duration::from_secs(1) * boxes / MAX_WRITES_PER_S;
             if turn > cx.now {
                 // What comes until then goes into the same write.
                 shard.has_turn = true;
-                shard.flight = Some(Flight::Pause(turn));
+                shard.pending = Some(Pending::Idle(turn));
                 return settled;
             }
         }
@@ -270,9 +270,9 @@
             kind: KIND.to_owned(),
             name: format!("{name:02x}"),
             expected: version,
-            value: bound.print(),
+            value: bound.to_text(),
         };
-        shard.flight = Some(Flight::Put(cx.store(operation)));
+        shard.pending = Some(Pending::Put(cx.store(operation)));
         settled
     }
 
@@ -280,17 +280,17 @@
     fn get(&mut self, cx: &mut Context<'_>, name: u64) {
         let Some(shard) = self.shards.get_mut(&name) else { return };
         if shard.waiting.is_empty() {
-            shard.flight = None;
+            shard.pending = None;
             return;
         }
         let operation = Operation::Get { kind: KIND.to_owned(), name: format!("{name:02x}") };
-        shard.flight = Some(Flight::Get(cx.store(operation)));
+        shard.pending = Some(Pending::Get(cx.store(operation)));
     }
 
     /// Waits a little before the next try.
     fn pause(&mut self, now: Time, name: u64) {
         if let Some(shard) = self.shards.get_mut(&name) {
-            shard.flight = Some(Flight::Pause(now + PAUSE));
+            shard.pending = Some(Pending::Idle(now + RETRY_DELAY));
         }
     }
 }
--- a/crates/hollyspoke/src/front.rs
+++ b/crates/hollyspoke/src/front.rs
@@ -16,23 +16,23 @@
 use crate::layout::ShardId;
 use crate::outcome::{Problem, ProblemKind, Refusal, Trace};
 use crate::plain::Plain;
-use crate::quota::{Limit, Picture, Quota, Tolerance};
+use crate::quota::{Limit, Quota, Tolerance, Visibility};
 use crate::request::{Id, Phase, Request, Timing};
 use crate::retry::Budget;
 use crate::site::{Kind, ServiceId, Site, TenantId};
 use crate::time::Time;
 
 /// The span of its rate that a tenant may use at once.
-const BURST: Duration = Duration::from_secs(1);
+const BURST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a caller should stay away from a box that takes nothing new.
-const CLOSED_RETRY: Duration = Duration::from_secs(1);
+const CLOSED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How long a caller should stay away while the store does not answer.
-const STORE_RETRY: Duration = Duration::from_secs(2);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What is said to a tenant that is over its limit.
-const OVER_LIMIT: &str = "the tenant is over its limit of requests a second";
+const OVER_LIMIT_DETAIL: &str = "the tenant is over its limit of requests a second";
 
 /// A request that has just come, with its caller's connection.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     /// Plain upstreams.
     pub(crate) plain: Plain,
     /// The owners last told of this front, and when.
-    pub(crate) renewed: BTreeMap<ShardId, (crate::key::Incarnation, Time)>,
+    pub(crate) renewals: BTreeMap<ShardId, (crate::key::Incarnation, Time)>,
 }
 
 impl Front {
@@ -83,7 +83,7 @@
             quota: Quota::new(Tolerance::NONE),
             budget: Budget::default(),
             plain: Plain::default(),
-            renewed: BTreeMap::new(),
+            renewals: BTreeMap::new(),
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Takes a request. `closed` is why nothing new is run here, where that is so.
-    pub fn arrive(
+    pub fn handle_arrival(
         &mut self,
         cx: &mut Context<'_>,
         call: CallId,
@@ -105,13 +105,13 @@
         if let Some(key) = incoming.arrival.key {
             let relayed = incoming.arrival.relayed;
             let verdict = self.home.verdict(key, incoming.digest, relayed, cx.members);
-            self.follow(cx, incoming, key, verdict, closed);
+            self.apply_verdict(cx, incoming, key, verdict, closed);
             return;
         }
         let key = self.home.mint();
         match incoming.arrival.claim.clone() {
             Some(own_key) => self.claim(cx, incoming, key, &own_key, closed),
-            None => self.follow(cx, incoming, key, Verdict::Run, closed),
+            None => self.apply_verdict(cx, incoming, key, Verdict::Run, closed),
         }
     }
 
@@ -124,19 +124,19 @@
         own_key: &str,
         closed: Option<&str>,
     ) {
-        if let Some(why) = closed {
-            refuse(cx, incoming.call, Refusal::Leaving, why, Some(CLOSED_RETRY));
+        if let Some(reason) = closed {
+            refuse(cx, incoming.call, Refusal::Leaving, reason, Some(CLOSED_RETRY_AFTER));
             return;
         }
         let Some(service) = self.service(cx, &incoming) else { return };
         let claim = Claim::of(&incoming.arrival.tenant, own_key);
         let may_replace = incoming.arrival.repeatable;
         let id = self.insert(cx.now, incoming, key, service);
-        self.claims.want(cx, id, claim, key, may_replace);
+        self.claims.submit(cx, id, claim, key, may_replace);
     }
 
     /// Does what a verdict says.
-    fn follow(
+    fn apply_verdict(
         &mut self,
         cx: &mut Context<'_>,
         incoming: Incoming,
@@ -164,20 +164,20 @@
                               won't be run again under this key";
                 problem(cx, call, ProblemKind::Unknown, detail, None);
             }
-            Verdict::Invalid(why) => refuse(cx, call, Refusal::Invalid, why, None),
+            Verdict::Invalid(reason) => refuse(cx, call, Refusal::Invalid, reason, None),
         }
     }
 
     /// Runs a request of which this box is the home.
     fn run(&mut self, cx: &mut Context<'_>, incoming: Incoming, key: Key, closed: Option<&str>) {
         let (call, digest) = (incoming.call, incoming.digest);
-        if let Some(why) = closed {
-            refuse(cx, call, Refusal::Leaving, why, Some(CLOSED_RETRY));
+        if let Some(reason) = closed {
+            refuse(cx, call, Refusal::Leaving, reason, Some(CLOSED_RETRY_AFTER));
             return;
         }
         let Some(service) = self.service(cx, &incoming) else { return };
-        if let Err(after) = self.take_limit(cx, &incoming.arrival.tenant) {
-            refuse(cx, call, Refusal::Limited, OVER_LIMIT, Some(after));
+        if let Err(after) = self.take_quota(cx, &incoming.arrival.tenant) {
+            refuse(cx, call, Refusal::Limited, OVER_LIMIT_DETAIL, Some(after));
             return;
         }
         let id = self.insert(cx.now, incoming, key, service);
@@ -190,7 +190,7 @@
     pub fn set_limits(&mut self, now: Time, site: &Site) {
         let limited = site.tenants.iter().filter_map(|it| {
             let rate = it.requests_per_second?;
-            let limit = Limit { rate, burst: rate * BURST.as_secs_f64() };
+            let limit = Limit { rate, burst: rate * BURST_INTERVAL.as_secs_f64() };
             Some((TenantId::of(&it.name), limit))
         });
         self.quota.set_limits(now, limited.collect());
@@ -200,9 +200,9 @@
     ///
     /// Each box has an equal part: callers spread over the boxes by hash, so that the parts come
     /// near to the whole.
-    fn take_limit(&mut self, cx: &Context<'_>, tenant: &str) -> Result<(), Duration> {
+    fn take_quota(&mut self, cx: &Context<'_>, tenant: &str) -> Result<(), Duration> {
         let boxes = cx.members.live().count();
-        self.quota.see(cx.now, Picture::alone(boxes));
+        self.quota.set_visibility(cx.now, Visibility::isolated(boxes));
         self.quota.take(cx.now, TenantId::of(tenant), 1)
     }
 
@@ -211,10 +211,10 @@
         for (id, settled) in settled {
             let Some(request) = self.requests.get(id) else { continue };
             match settled {
-                Settled::Away => {
+                Settled::StoreUnreachable => {
                     let detail =
                         "the platform's store does not answer, so the key can't be claimed";
-                    self.give_up(cx, id, Refusal::StoreAway, detail, Some(STORE_RETRY));
+                    self.give_up(cx, id, Refusal::StoreAway, detail, Some(STORE_RETRY_AFTER));
                 }
                 Settled::Bound(key) if key == request.key => self.begin_claimed(cx, id),
                 Settled::Bound(key) => self.follow_claim(cx, id, key),
@@ -233,8 +233,8 @@
             return;
         }
         let tenant = request.arrival.tenant.clone();
-        if let Err(after) = self.take_limit(cx, &tenant) {
-            self.give_up(cx, id, Refusal::Limited, OVER_LIMIT, Some(after));
+        if let Err(after) = self.take_quota(cx, &tenant) {
+            self.give_up(cx, id, Refusal::Limited, OVER_LIMIT_DETAIL, Some(after));
             return;
         }
         self.home.run(key, digest, id);
@@ -250,11 +250,11 @@
         let incoming = Incoming { call, arrival: request.arrival, digest: request.digest };
         let relayed = incoming.arrival.relayed;
         let verdict = self.home.verdict(key, incoming.digest, relayed, cx.members);
-        self.follow(cx, incoming, key, verdict, None);
+        self.apply_verdict(cx, incoming, key, verdict, None);
     }
 
     /// Takes a caller's going away.
-    pub fn gone(&mut self, cx: &mut Context<'_>, call: CallId) {
+    pub fn handle_disconnect(&mut self, cx: &mut Context<'_>, call: CallId) {
         let Some(id) = self.calls.remove(&call) else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
         request.caller = None;
@@ -279,21 +279,26 @@
     }
 
     /// Takes an engine's or upstream's answer; late ones of older attempts are dropped.
-    pub fn upstream(&mut self, cx: &mut Context<'_>, ticket: Ticket, reply: Reply) {
+    pub fn handle_reply(&mut self, cx: &mut Context<'_>, ticket: Ticket, reply: Reply) {
         let Some(&id) = self.tickets.get(&ticket) else { return };
         match reply {
             Reply::Prefilled => self.prefilled(cx, id),
             Reply::Imported => self.imported(cx, id),
             Reply::Token { seq, text } => self.token(cx, id, seq, text),
             Reply::Finished { reason } => self.finished(cx, id, reason),
-            Reply::Full => self.full(cx, id),
+            Reply::Full => self.retry_import(cx, id),
             Reply::Answered(answer) => self.answered(cx, id, answer),
             Reply::Failed { detail, trace } => self.failed(cx, id, &detail, trace),
         }
     }
 
     /// Takes the store's answer to a claim's operation.
-    pub fn store(&mut self, cx: &mut Context<'_>, number: u64, answer: &crate::store::Answer) {
+    pub fn handle_store_answer(
+        &mut self,
+        cx: &mut Context<'_>,
+        number: u64,
+        answer: &crate::store::Answer,
+    ) {
         let settled = self.claims.answer(cx, number, answer);
         self.settle_claims(cx, settled);
     }
@@ -448,9 +453,13 @@
             .map(|first| total.saturating_sub(first) / (tokens - 1));
         let service = cx.site.service(request.service);
         let in_time = match service.map(|it| &it.kind) {
-            Some(Kind::Engines { first_token: target, between_tokens: most, .. }) => {
-                first_token.is_some_and(|it| it <= *target)
-                    && between_tokens.is_none_or(|it| it <= *most)
+            Some(Kind::Engines {
+                first_token: first_target,
+                between_tokens: between_target,
+                ..
+            }) => {
+                first_token.is_some_and(|it| it <= *first_target)
+                    && between_tokens.is_none_or(|it| it <= *between_target)
             }
             Some(Kind::Plain { timeout, .. }) => total <= *timeout,
             None => false,
--- a/crates/hollyspoke/src/generate.rs
+++ b/crates/hollyspoke/src/generate.rs
@@ -21,25 +21,25 @@
 use crate::time::Time;
 
 /// How long an owner's silence lasts before the question is sent again.
-pub const ASK_AGAIN: Duration = Duration::from_millis(300);
+pub const ASK_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long a prefill may take before its engine is taken to have failed.
-pub const PREFILL_LIMIT: Duration = Duration::from_secs(10);
+pub const PREFILL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a transfer may take before the decode engine is taken to have failed.
-pub const TRANSFER_LIMIT: Duration = Duration::from_secs(2);
+pub const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a stream may be silent before the decode engine is taken to have failed.
-pub const TOKEN_LIMIT: Duration = Duration::from_secs(3);
+pub const TOKEN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long an answer that has begun may wait for other engines when its own have failed.
-pub const RESUME_LIMIT: Duration = Duration::from_secs(20);
+pub const RESUME_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long to wait before a decode engine that had no room is asked again.
-pub const ROOM_PAUSE: Duration = Duration::from_millis(50);
+pub const FULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How often a front renews the grants that it holds.
-pub const RENEW: Duration = Duration::from_secs(1);
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Front {
     /// Asks a shard's owner for engines, with a new ticket.
@@ -49,7 +49,7 @@
         let shard = choose_shard(cx, request.service, ticket);
         let Some(owner) = cx.owner(shard) else { return };
         request.enter(cx.now, Phase::Ask { shard, owner, sent: cx.now });
-        let ask = question(cx, request, shard, ticket);
+        let ask = build_ask(cx, request, shard, ticket);
         cx.send(owner, Message::Ask(ask));
     }
 
@@ -126,7 +126,7 @@
         let Phase::Prefill(grant) = &request.phase else { return };
         let grant = Grant { stage: Stage::Transfer, ..grant.clone() };
         request.timing.prefill = Some(cx.now.since(request.since));
-        progress(cx, &grant);
+        report_progress(cx, &grant);
         request.enter(cx.now, Phase::Transfer { grant, retry_at: None });
         self.import(cx, id);
     }
@@ -146,13 +146,13 @@
     }
 
     /// Waits a little for room on the decode engine.
-    pub(crate) fn full(&mut self, cx: &mut Context<'_>, id: Id) {
+    pub(crate) fn retry_import(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Transfer { retry_at, .. } = &mut request.phase else {
             self.failed(cx, id, "the engine has no room", Trace::clean());
             return;
         };
-        *retry_at = Some(cx.now + ROOM_PAUSE);
+        *retry_at = Some(cx.now + FULL_RETRY_DELAY);
     }
 
     /// Goes on to decode.
@@ -161,7 +161,7 @@
         let Phase::Transfer { grant, .. } = &request.phase else { return };
         let grant = Grant { stage: Stage::Decode, ..grant.clone() };
         request.timing.transfer = Some(cx.now.since(request.since));
-        progress(cx, &grant);
+        report_progress(cx, &grant);
         let Work::Generate(work) = &request.arrival.work else { return };
         let work = Box::new(Generate { prompt: Arc::from(""), ..work.clone() });
         let (ticket, decode) = (grant.ticket, grant.decode);
@@ -216,7 +216,7 @@
     /// Takes the failure of an attempt: tries again where that is allowed, else ends.
     pub(crate) fn failed(&mut self, cx: &mut Context<'_>, id: Id, detail: &str, trace: Trace) {
         let Some(request) = self.requests.get(id) else { return };
-        let culprit = match &request.phase {
+        let failed_engine = match &request.phase {
             Phase::Claim | Phase::Ask { .. } => return,
             Phase::Call { .. } => {
                 self.call_failed(cx, id, detail, trace);
@@ -225,7 +225,7 @@
             Phase::Prefill(grant) => grant.prefill,
             Phase::Transfer { grant, .. } | Phase::Decode { grant, .. } => grant.decode,
         };
-        self.fail_attempt(cx, id, End::Failed(culprit), Some(culprit), detail);
+        self.fail_attempt(cx, id, End::Failed(failed_engine), Some(failed_engine), detail);
     }
 
     /// Ends an attempt that failed, and tries again where that is allowed.
@@ -240,7 +240,7 @@
         self.stop_attempt(cx, id, end);
         let Some(request) = self.requests.get_mut(id) else { return };
         request.avoid = avoid;
-        let may_repeat = request.arrival.repeatable && request.attempts < retry::MOST_ATTEMPTS;
+        let may_repeat = request.arrival.repeatable && request.attempts < retry::MAX_ATTEMPTS;
         // An answer that has begun is finished whatever the budget: its caller has a part of it.
         let has_begun = !request.tokens.is_empty();
         if may_repeat && (has_begun || self.budget.spend()) {
@@ -341,18 +341,18 @@
                 let (shard, owner, sent) = (*shard, *owner, *sent);
                 self.check_ask(cx, id, shard, owner, sent);
             }
-            Phase::Prefill(_) if spent > PREFILL_LIMIT => {
+            Phase::Prefill(_) if spent > PREFILL_TIMEOUT => {
                 self.failed(cx, id, "the prefill took too long", Trace::clean());
             }
-            Phase::Transfer { grant, .. } if spent > TRANSFER_LIMIT => {
+            Phase::Transfer { grant, .. } if spent > TRANSFER_TIMEOUT => {
                 let decode = grant.decode;
-                let waits_for_room =
+                let waits_for_capacity =
                     matches!(&request.phase, Phase::Transfer { retry_at: Some(_), .. });
-                let end = if waits_for_room { End::Full(decode) } else { End::Failed(decode) };
+                let end = if waits_for_capacity { End::Full(decode) } else { End::Failed(decode) };
                 self.fail_attempt(cx, id, end, Some(decode), "the transfer took too long");
             }
             Phase::Transfer { retry_at: Some(at), .. } if *at <= now => self.import(cx, id),
-            Phase::Decode { last, .. } if now.since(*last) > TOKEN_LIMIT => {
+            Phase::Decode { last, .. } if now.since(*last) > TOKEN_TIMEOUT => {
                 self.failed(cx, id, "the stream fell silent", Trace::clean());
             }
             Phase::Prefill(_) | Phase::Transfer { .. } | Phase::Decode { .. } => {}
@@ -379,7 +379,7 @@
             return;
         }
         let Some(owner) = cx.owner(shard) else { return };
-        if owner == asked && cx.now.since(sent) < ASK_AGAIN {
+        if owner == asked && cx.now.since(sent) < ASK_RETRY_INTERVAL {
             return;
         }
         let Some(ticket) = request.ticket else { return };
@@ -388,7 +388,7 @@
             cx.send(asked, Message::Release { shard, ticket, end });
         }
         request.phase = Phase::Ask { shard, owner, sent: cx.now };
-        let ask = question(cx, request, shard, ticket);
+        let ask = build_ask(cx, request, shard, ticket);
         cx.send(owner, Message::Ask(ask));
     }
 
@@ -401,14 +401,14 @@
         for shard in cx.shards() {
             let Some(owner) = cx.owner(shard) else { continue };
             let count = held.get(&shard).copied().unwrap_or(0);
-            let told = self.renewed.get(&shard).copied();
-            let due = match told {
+            let last_renewal = self.renewals.get(&shard).copied();
+            let due = match last_renewal {
                 Some((last, _)) if last != owner => true,
-                Some((_, at)) => cx.now.since(at) >= RENEW,
+                Some((_, at)) => cx.now.since(at) >= RENEW_INTERVAL,
                 None => true,
             };
             if due {
-                self.renewed.insert(shard, (owner, cx.now));
+                self.renewals.insert(shard, (owner, cx.now));
                 cx.send(owner, Message::Renew { shard, held: count });
             }
         }
@@ -423,7 +423,7 @@
 }
 
 /// Tells the owner how far an attempt has come.
-fn progress(cx: &mut Context<'_>, grant: &Grant) {
+fn report_progress(cx: &mut Context<'_>, grant: &Grant) {
     let Some(owner) = cx.owner(grant.shard) else { return };
     let message =
         Message::Progress { shard: grant.shard, ticket: grant.ticket, stage: grant.stage };
@@ -431,16 +431,16 @@
 }
 
 /// Makes the question for a request.
-fn question(cx: &Context<'_>, request: &Request, shard: ShardId, ticket: Ticket) -> Ask {
+fn build_ask(cx: &Context<'_>, request: &Request, shard: ShardId, ticket: Ticket) -> Ask {
     let (prompt_tokens, max_tokens, prefix) = match &request.arrival.work {
-        Work::Generate(work) => (work.prompt_tokens, work.max_tokens, sample(&work.prefix)),
+        Work::Generate(work) => (work.prompt_tokens, work.max_tokens, sample_digests(&work.prefix)),
         Work::Call(_) => (0, 0, Vec::new()),
     };
     let target = first_token_target(cx, request.service);
     let spent = cx.now.since(request.arrived);
     // An answer that has begun goes before all others, and is not refused for coming late.
     let has_begun = !request.tokens.is_empty();
-    let due_in = if has_begun { RESUME_LIMIT } else { target.saturating_sub(spent) };
+    let due_in = if has_begun { RESUME_TIMEOUT } else { target.saturating_sub(spent) };
     let class = if has_begun { 0 } else { request.arrival.class.saturating_add(1) };
     Ask {
         shard,
@@ -449,7 +449,7 @@
         max_tokens,
         prefix,
         class,
-        tenant: account(cx, &request.arrival.tenant),
+        tenant: fair_share_tenant(cx, &request.arrival.tenant),
         due_in,
         avoid: request.avoid,
     }
@@ -457,14 +457,14 @@
 
 /// Gives the account on which a tenant's requests wait for engines. Tenants that the site's file
 /// does not name have one together, so that a caller gains nothing by making names up.
-fn account(cx: &Context<'_>, tenant: &str) -> TenantId {
+fn fair_share_tenant(cx: &Context<'_>, tenant: &str) -> TenantId {
     let is_named = cx.site.tenants.iter().any(|it| it.name == tenant);
     TenantId::of(if is_named { tenant } else { "" })
 }
 
 /// Gives the digests of the first 1, 2, 4, 8, … blocks: a few bytes tell the owner about how much
 /// of a prompt an engine may know.
-fn sample(prefix: &[u64]) -> Vec<u32> {
+fn sample_digests(prefix: &[u64]) -> Vec<u32> {
     let sampled = prefix.iter().enumerate().filter(|(place, _)| (place + 1).is_power_of_two());
     sampled.map(|(_, digest)| *digest as u32).collect()
 }
--- a/crates/hollyspoke/src/health.rs
+++ b/crates/hollyspoke/src/health.rs
@@ -5,19 +5,19 @@
 use crate::time::Time;
 
 /// Failures in a row that put an upstream out of service.
-pub const FAILURES: u32 = 3;
+pub const EJECTION_FAILURES: u32 = 3;
 
 /// How long an upstream stays out the first time; it doubles each time after.
-pub const FIRST_EJECTION: Duration = Duration::from_secs(2);
+pub const INITIAL_EJECTION: Duration = Duration::from_secs(2);
 
 /// The longest time an upstream stays out before it is tried again.
-pub const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+pub const MAX_EJECTION: Duration = Duration::from_secs(60);
 
 /// How long an upstream that comes back is given less than its share.
 pub const SLOW_START: Duration = Duration::from_secs(5);
 
 /// The share of a group that may be out by ejection at once.
-pub const MOST_EJECTED: f64 = 0.5;
+pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// What is known of one upstream's health.
 #[derive(Debug, Clone, Default)]
@@ -44,11 +44,11 @@
     /// `may_eject` is false while too large a share of the group is out already.
     pub fn fail(&mut self, now: Time, may_eject: bool) -> bool {
         self.failures += 1;
-        if self.failures < FAILURES || !may_eject || self.is_out(now) {
+        if self.failures < EJECTION_FAILURES || !may_eject || self.is_out(now) {
             return false;
         }
-        let doubled = FIRST_EJECTION * 2u32.saturating_pow(self.ejections.min(5));
-        self.out_until = Some(now + doubled.min(LONGEST_EJECTION));
+        let doubled = INITIAL_EJECTION * 2u32.saturating_pow(self.ejections.min(5));
+        self.out_until = Some(now + doubled.min(MAX_EJECTION));
         self.ejections += 1;
         self.failures = 0;
         true
@@ -77,5 +77,5 @@
 
 /// Tells whether one more member of a group may be ejected.
 pub fn may_eject(out: usize, group: usize) -> bool {
-    (out + 1) as f64 <= group as f64 * MOST_EJECTED
+    (out + 1) as f64 <= group as f64 * MAX_EJECTED_SHARE
 }
--- a/crates/hollyspoke/src/home.rs
+++ b/crates/hollyspoke/src/home.rs
@@ -14,23 +14,23 @@
 use crate::time::Time;
 
 /// How long an epoch lasts.
-pub const EPOCH: Duration = Duration::from_secs(30);
+pub const EPOCH_DURATION: Duration = Duration::from_secs(30);
 
 /// How many epochs are kept besides the one that runs.
 pub const KEPT_EPOCHS: u32 = 10;
 
 /// The most that kept answers may hold, in bytes; beyond it the oldest contents are dropped.
-pub const MOST_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_KEPT_BYTES: usize = 16 * 1024 * 1024;
 
 /// The largest answer that is handed to a successor, in bytes.
-pub const HANDED_BYTES: usize = 4 * 1024;
+pub const MAX_HANDOVER_ANSWER_BYTES: usize = 4 * 1024;
 
 /// The most that all handed answers may hold, in bytes.
-pub const HANDOVER_BYTES: usize = 1024 * 1024;
+pub const MAX_HANDOVER_BYTES: usize = 1024 * 1024;
 
 /// What is kept of one key.
 #[derive(Debug, Clone)]
-enum Kept {
+enum KeyState {
     /// It runs.
     Running(request::Id),
     /// It has ended.
@@ -43,7 +43,7 @@
     /// A digest of the request, so that a key can't stand for two.
     digest: u64,
     /// What is kept.
-    kept: Kept,
+    state: KeyState,
 }
 
 /// What is to be done with a request that names a key.
@@ -73,7 +73,7 @@
     /// When it began.
     epoch_since: Time,
     /// The oldest epoch kept.
-    floor: u32,
+    oldest_epoch: u32,
     /// The keys, of this home and of those taken over.
     rows: BTreeMap<Key, Row>,
     /// The homes whose keys were taken over, and when.
@@ -91,7 +91,7 @@
             me,
             epoch: 1,
             epoch_since: now,
-            floor: 1,
+            oldest_epoch: 1,
             rows: BTreeMap::new(),
             inherited: BTreeMap::new(),
             next_nonce: 1 << 63,
@@ -126,10 +126,10 @@
             if row.digest != digest {
                 return Verdict::Invalid("the key was used for another request");
             }
-            return match &row.kept {
-                Kept::Running(id) => Verdict::Join(*id),
-                Kept::Ended(Ended::Dropped) => Verdict::Unknown,
-                Kept::Ended(ended) => Verdict::Replay(ended.clone()),
+            return match &row.state {
+                KeyState::Running(id) => Verdict::Join(*id),
+                KeyState::Ended(Ended::Dropped) => Verdict::Unknown,
+                KeyState::Ended(ended) => Verdict::Replay(ended.clone()),
             };
         }
         if key.home == self.me {
@@ -149,7 +149,7 @@
         if key.epoch > self.epoch {
             return Verdict::Invalid("the key names an epoch that has not begun");
         }
-        if key.epoch < self.floor {
+        if key.epoch < self.oldest_epoch {
             return Verdict::Unknown;
         }
         Verdict::Run
@@ -157,18 +157,18 @@
 
     /// Notes that a key runs now.
     pub fn run(&mut self, key: Key, digest: u64, id: request::Id) {
-        self.rows.insert(key, Row { digest, kept: Kept::Running(id) });
+        self.rows.insert(key, Row { digest, state: KeyState::Running(id) });
     }
 
     /// Notes how a key ended, if it is this request that ran it.
     pub fn end(&mut self, key: Key, id: request::Id, ended: Ended) {
         let Some(row) = self.rows.get_mut(&key) else { return };
-        if !matches!(row.kept, Kept::Running(runs) if runs == id) {
+        if !matches!(row.state, KeyState::Running(runs) if runs == id) {
             return;
         }
         self.bytes += ended.bytes();
-        row.kept = Kept::Ended(ended);
-        self.shrink();
+        row.state = KeyState::Ended(ended);
+        self.evict_answers();
     }
 
     /// Forgets a key that was not run, so that it may be run when the caller comes back.
@@ -176,7 +176,7 @@
     /// A request that only waits for its claim has a key that another one, passed on by a box
     /// which read the claim first, may be running: that one's row stays.
     pub fn forget(&mut self, key: Key, id: request::Id) {
-        let is_running = matches!(self.rows.get(&key), Some(Row { kept: Kept::Running(runs), .. }) if *runs == id);
+        let is_running = matches!(self.rows.get(&key), Some(Row { state: KeyState::Running(runs), .. }) if *runs == id);
         if is_running {
             self.rows.remove(&key);
         }
@@ -184,18 +184,18 @@
 
     /// Advances the epoch and drops those that are too old.
     pub fn tick(&mut self, now: Time) {
-        if now.since(self.epoch_since) < EPOCH {
+        if now.since(self.epoch_since) < EPOCH_DURATION {
             return;
         }
         self.epoch_since = now;
         self.epoch += 1;
-        self.floor = self.epoch.saturating_sub(KEPT_EPOCHS).max(1);
-        let floor = self.floor;
+        self.oldest_epoch = self.epoch.saturating_sub(KEPT_EPOCHS).max(1);
+        let oldest_epoch = self.oldest_epoch;
         let me = self.me;
         let bytes = &mut self.bytes;
         self.rows.retain(|key, row| {
-            let Kept::Ended(ended) = &row.kept else { return true };
-            let keep = key.home != me || key.epoch >= floor;
+            let KeyState::Ended(ended) = &row.state else { return true };
+            let keep = key.home != me || key.epoch >= oldest_epoch;
             if !keep {
                 *bytes = bytes.saturating_sub(ended.bytes());
             }
@@ -208,15 +208,15 @@
     pub fn handover(&self) -> Handover {
         let mut homes: Vec<Incarnation> = self.inherited.keys().copied().collect();
         homes.push(self.me);
-        let mut budget = HANDOVER_BYTES;
+        let mut budget = MAX_HANDOVER_BYTES;
         let mut rows = Vec::new();
         for (&key, row) in self.rows.iter().rev() {
-            let ended = match &row.kept {
-                Kept::Running(_) => Ended::Dropped,
-                Kept::Ended(ended) => ended.clone(),
+            let ended = match &row.state {
+                KeyState::Running(_) => Ended::Dropped,
+                KeyState::Ended(ended) => ended.clone(),
             };
             let bytes = ended.bytes();
-            if bytes > HANDED_BYTES || bytes > budget {
+            if bytes > MAX_HANDOVER_ANSWER_BYTES || bytes > budget {
                 rows.push((key, row.digest, Ended::Dropped));
                 continue;
             }
@@ -227,20 +227,20 @@
     }
 
     /// Takes the keys of a box that is leaving.
-    pub fn take(&mut self, now: Time, handover: Handover) {
+    pub fn accept_handover(&mut self, now: Time, handover: Handover) {
         for home in handover.homes.into_iter().filter(|it| *it != self.me) {
             self.inherited.insert(home, now);
         }
         for (key, digest, ended) in handover.rows.into_iter().filter(|it| it.0.home != self.me) {
             self.bytes += ended.bytes();
-            self.rows.insert(key, Row { digest, kept: Kept::Ended(ended) });
+            self.rows.insert(key, Row { digest, state: KeyState::Ended(ended) });
         }
-        self.shrink();
+        self.evict_answers();
     }
 
     /// Drops the keys that were taken over long enough ago.
     fn drop_inherited(&mut self, now: Time) {
-        let kept_for = EPOCH * KEPT_EPOCHS;
+        let kept_for = EPOCH_DURATION * KEPT_EPOCHS;
         let old: Vec<Incarnation> = self
             .inherited
             .iter()
@@ -254,7 +254,7 @@
                 if key.home != home {
                     return true;
                 }
-                if let Kept::Ended(ended) = &row.kept {
+                if let KeyState::Ended(ended) = &row.state {
                     *bytes = bytes.saturating_sub(ended.bytes());
                 }
                 false
@@ -263,15 +263,15 @@
     }
 
     /// Drops the contents of the oldest answers while they hold too much.
-    fn shrink(&mut self) {
-        if self.bytes <= MOST_BYTES {
+    fn evict_answers(&mut self) {
+        if self.bytes <= MAX_KEPT_BYTES {
             return;
         }
         for row in self.rows.values_mut() {
-            let Kept::Ended(ended) = &mut row.kept else { continue };
+            let KeyState::Ended(ended) = &mut row.state else { continue };
             self.bytes = self.bytes.saturating_sub(ended.bytes());
             *ended = Ended::Dropped;
-            if self.bytes <= MOST_BYTES / 2 {
+            if self.bytes <= MAX_KEPT_BYTES / 2 {
                 return;
             }
         }
@@ -279,12 +279,12 @@
 }
 
 /// The most successors that are followed from one home.
-const MOST_SUCCESSORS: usize = 8;
+const MAX_SUCCESSOR_HOPS: usize = 8;
 
 /// Finds the box that holds a home's keys now, if it is alive in this box's view.
 fn home_of(home: Incarnation, members: &Table) -> Option<Incarnation> {
     let mut holder = home;
-    for _ in 0..MOST_SUCCESSORS {
+    for _ in 0..MAX_SUCCESSOR_HOPS {
         if members.is_alive(holder) {
             return Some(holder);
         }
--- a/crates/hollyspoke/src/layout.rs
+++ b/crates/hollyspoke/src/layout.rs
@@ -8,7 +8,7 @@
 use crate::site::{Engine, Kind, ServiceId, Site, UpstreamId};
 
 /// The most engines in one shard.
-pub const SHARD_ENGINES: usize = 32;
+pub const MAX_SHARD_ENGINES: usize = 32;
 
 /// A part of a service's engines that one box owns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -46,15 +46,15 @@
     pub fn new(site: &Site) -> Layout {
         let mut layout = Layout::default();
         let mut of_service: BTreeMap<ServiceId, Vec<usize>> = BTreeMap::new();
-        for (place, engine) in site.engines.iter().enumerate() {
-            of_service.entry(ServiceId::of(&engine.service)).or_default().push(place);
+        for (index, engine) in site.engines.iter().enumerate() {
+            of_service.entry(ServiceId::of(&engine.service)).or_default().push(index);
             layout.addresses.insert(engine.id(), engine.address.clone());
             layout.present.insert(engine.id());
         }
         for service in &site.services {
             let Kind::Engines { .. } = service.kind else { continue };
             let engines = of_service.remove(&service.id()).unwrap_or_default();
-            layout.deal(site, service.id(), engines);
+            layout.assign_shards(site, service.id(), engines);
         }
         layout
     }
@@ -76,18 +76,18 @@
         site: &'a Site,
         shard: ShardId,
     ) -> impl Iterator<Item = &'a Engine> {
-        let places = self.engines.get(&shard).map(Vec::as_slice).unwrap_or_default();
-        places.iter().filter_map(|&place| site.engines.get(place))
+        let indices = self.engines.get(&shard).map(Vec::as_slice).unwrap_or_default();
+        indices.iter().filter_map(|&index| site.engines.get(index))
     }
 
     /// Deals a service's engines out to as few shards as may be.
-    fn deal(&mut self, site: &Site, service: ServiceId, mut engines: Vec<usize>) {
+    fn assign_shards(&mut self, site: &Site, service: ServiceId, mut engines: Vec<usize>) {
         engines.sort_by(|&a, &b| {
             let order =
-                |place: usize| (&site.engines[place].data_centre, &site.engines[place].name);
+                |index: usize| (&site.engines[index].data_centre, &site.engines[index].name);
             order(a).cmp(&order(b))
         });
-        let parts = engines.len().div_ceil(SHARD_ENGINES).max(1) as u16;
+        let parts = engines.len().div_ceil(MAX_SHARD_ENGINES).max(1) as u16;
         self.parts.insert(service, parts);
         for part in 0..parts {
             let shard = ShardId { service, part };
--- a/crates/hollyspoke/src/lease.rs
+++ b/crates/hollyspoke/src/lease.rs
@@ -24,10 +24,10 @@
 const MARGIN: Duration = Duration::from_secs(1);
 
 /// How often a holder renews, where nothing else is said.
-pub const RENEW: Duration = Duration::from_secs(3);
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How long to wait after no answer or a conflict.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The kind of the objects.
 const KIND: &str = "leases";
@@ -45,7 +45,7 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { ttl: TTL, margin: MARGIN, renew: RENEW }
+        Terms { ttl: TTL, margin: MARGIN, renew: RENEW_INTERVAL }
     }
 }
 
@@ -63,9 +63,9 @@
 
 /// What is under way with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flight {
+enum Pending {
     /// Nothing until a time.
-    Rest(Time),
+    Idle(Time),
     /// A read.
     Get(u64),
     /// A write, when it was sent, and the version that it replaces.
@@ -104,7 +104,7 @@
     /// What was last seen.
     seen: Option<Seen>,
     /// What is under way.
-    flight: Flight,
+    pending: Pending,
     /// The last write whose answer never came.
     unanswered: Option<Unanswered>,
     /// Whether the last write was to take the lease from another box.
@@ -118,14 +118,14 @@
 impl Lease {
     /// Makes a lease that this box does not hold.
     pub fn new(now: Time, name: String, me: String, terms: Terms) -> Lease {
-        let flight = Flight::Rest(now);
+        let pending = Pending::Idle(now);
         Lease {
             name,
             me,
             terms,
             held: None,
             seen: None,
-            flight,
+            pending,
             unanswered: None,
             takes_over: false,
             taken_over: None,
@@ -142,7 +142,7 @@
         self.seen = None;
         self.unanswered = None;
         self.takes_over = false;
-        self.flight = Flight::Rest(now);
+        self.pending = Pending::Idle(now);
     }
 
     /// Gives the lease if this box holds it now, by its own clock.
@@ -158,8 +158,8 @@
         if !wanted {
             return;
         }
-        if matches!(self.flight, Flight::Rest(until) if until <= now) {
-            self.flight = Flight::Get(begin(self.get()));
+        if matches!(self.pending, Pending::Idle(until) if until <= now) {
+            self.pending = Pending::Get(begin(self.get()));
         }
     }
 
@@ -171,10 +171,10 @@
         answer: &Answer,
         begin: impl FnOnce(Operation) -> u64,
     ) {
-        match self.flight {
-            Flight::Get(it) if it == number => self.read(now, answer, begin),
-            Flight::Put(it, write) if it == number => self.written(now, write, answer),
-            Flight::Rest(_) | Flight::Get(_) | Flight::Put(..) => {}
+        match self.pending {
+            Pending::Get(it) if it == number => self.read(now, answer, begin),
+            Pending::Put(it, write) if it == number => self.written(now, write, answer),
+            Pending::Idle(_) | Pending::Get(_) | Pending::Put(..) => {}
         }
     }
 
@@ -184,26 +184,26 @@
             Answer::Found { version, value } => (*version, value.as_str()),
             Answer::Absent => (0, ""),
             Answer::Written { .. } | Answer::Conflict | Answer::Away => {
-                self.flight = Flight::Rest(now + PAUSE);
+                self.pending = Pending::Idle(now + RETRY_DELAY);
                 return;
             }
         };
-        let mine = holder == self.name_in_era();
+        let mine = holder == self.holder_name();
         // As long as the version stands, the write whose answer was lost has not taken effect.
         let done = self.unanswered.take_if(|it| mine && it.expected != version);
         if let Some(write) = done {
             self.hold(now, version, write.sent);
         }
-        let stood = match self.seen {
+        let unchanged_for = match self.seen {
             Some(seen) if seen.version == version => now.since(seen.since),
             Some(_) | None => {
                 self.seen = Some(Seen { version, since: now });
                 Duration::ZERO
             }
         };
-        let free = version == 0 || mine || stood >= self.terms.ttl + self.terms.margin;
+        let free = version == 0 || mine || unchanged_for >= self.terms.ttl + self.terms.margin;
         if !free {
-            self.flight = Flight::Rest(now + PAUSE);
+            self.pending = Pending::Idle(now + RETRY_DELAY);
             return;
         }
         self.takes_over = version != 0 && !mine;
@@ -211,10 +211,10 @@
             kind: KIND.to_owned(),
             name: self.name.clone(),
             expected: version,
-            value: self.name_in_era(),
+            value: self.holder_name(),
         };
         let write = Unanswered { sent: now, expected: version };
-        self.flight = Flight::Put(begin(operation), write);
+        self.pending = Pending::Put(begin(operation), write);
     }
 
     /// Takes the answer to a write.
@@ -223,15 +223,15 @@
             Answer::Written { version } => {
                 self.unanswered = None;
                 self.hold(now, *version, write.sent);
-                self.flight = Flight::Rest(now + self.terms.renew);
+                self.pending = Pending::Idle(now + self.terms.renew);
             }
             Answer::Away => {
                 self.unanswered = Some(write);
-                self.flight = Flight::Rest(now + PAUSE);
+                self.pending = Pending::Idle(now + RETRY_DELAY);
             }
             Answer::Conflict | Answer::Found { .. } | Answer::Absent => {
                 self.held = None;
-                self.flight = Flight::Rest(now + PAUSE);
+                self.pending = Pending::Idle(now + RETRY_DELAY);
             }
         }
     }
@@ -249,7 +249,7 @@
 
     /// Gives the holder's name that this box writes in the store's era. A write that was under way
     /// when the store came back is known by it.
-    fn name_in_era(&self) -> String {
+    fn holder_name(&self) -> String {
         if self.era == 0 { self.me.clone() } else { format!("{}@{}", self.me, self.era) }
     }
 
--- a/crates/hollyspoke/src/member.rs
+++ b/crates/hollyspoke/src/member.rs
@@ -14,16 +14,16 @@
 use crate::time::Time;
 
 /// How often a box gossips in a small site.
-pub const BEAT: Duration = Duration::from_millis(500);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How often a box gossips in a large site.
-pub const LARGE_BEAT: Duration = Duration::from_secs(1);
+pub const LARGE_SITE_GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a counter may stand still before its box is taken for dead.
 pub const DEAD_AFTER: Duration = Duration::from_secs(3);
 
 /// How long the counter of a dead box is kept, so that old gossip does not bring it back.
-pub const FORGET_AFTER: Duration = Duration::from_secs(600);
+pub const DEAD_ENTRY_TTL: Duration = Duration::from_secs(600);
 
 /// What a box says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,12 +39,12 @@
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Its epoch and state at this moment.
-    pub beat: Beat,
+    pub beat: Heartbeat,
 }
 
 /// A box's heartbeat as it spreads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The box.
     pub incarnation: Incarnation,
     /// The box's counter.
@@ -78,7 +78,7 @@
     /// What it says of itself.
     entry: Entry,
     /// When its counter last advanced here.
-    advanced: Time,
+    last_advance: Time,
     /// Whether its counter has stood still for too long.
     dead: bool,
 }
@@ -100,7 +100,7 @@
     /// Makes a table that knows this box alone.
     pub fn new(now: Time, me: Entry) -> Table {
         let incarnation = me.incarnation;
-        let member = Member { entry: me, advanced: now, dead: false };
+        let member = Member { entry: me, last_advance: now, dead: false };
         Table {
             me: incarnation,
             members: BTreeMap::from([(incarnation, member)]),
@@ -134,17 +134,17 @@
     }
 
     /// Advances this box's own counter and sets its epoch and state.
-    pub fn beat(&mut self, now: Time, epoch: u32, state: State) {
+    pub fn advance_heartbeat(&mut self, now: Time, epoch: u32, state: State) {
         let Some(member) = self.members.get_mut(&self.me) else { return };
         self.revision += u64::from(member.entry.beat.state != state);
-        member.advanced = now;
+        member.last_advance = now;
         member.entry.beat.counter += 1;
         member.entry.beat.epoch = epoch;
         member.entry.beat.state = state;
     }
 
     /// Takes a heartbeat; tells whether the box's entry is needed first.
-    pub fn hear(&mut self, now: Time, beat: Beat) -> bool {
+    pub fn apply_heartbeat(&mut self, now: Time, beat: Heartbeat) -> bool {
         if beat.incarnation == self.me {
             return false;
         }
@@ -154,20 +154,20 @@
             let changed = member.dead != left || member.entry.beat.state != beat.state;
             self.revision += u64::from(changed);
             member.entry.beat = beat;
-            member.advanced = now;
+            member.last_advance = now;
             member.dead = left;
         }
         false
     }
 
     /// Takes an entry; tells whether the box is new here.
-    pub fn learn(&mut self, now: Time, entry: Entry) -> bool {
-        if !self.hear(now, entry.beat) {
+    pub fn add_entry(&mut self, now: Time, entry: Entry) -> bool {
+        if !self.apply_heartbeat(now, entry.beat) {
             return false;
         }
         self.had_peers = true;
         self.revision += 1;
-        self.members.insert(entry.incarnation, Member { entry, advanced: now, dead: false });
+        self.members.insert(entry.incarnation, Member { entry, last_advance: now, dead: false });
         true
     }
 
@@ -176,20 +176,21 @@
         let me = self.me;
         let mut died = Vec::new();
         for (&incarnation, member) in &mut self.members {
-            let still = now.since(member.advanced);
+            let still = now.since(member.last_advance);
             if incarnation != me && !member.dead && still > DEAD_AFTER {
                 member.dead = true;
                 self.revision += 1;
                 died.push(incarnation);
             }
         }
-        self.members.retain(|&it, member| it == me || now.since(member.advanced) < FORGET_AFTER);
+        self.members
+            .retain(|&it, member| it == me || now.since(member.last_advance) < DEAD_ENTRY_TTL);
         died
     }
 
     /// Takes a box for dead which this one can't reach; it comes back with its next heartbeat, by
     /// whichever way. Tells whether it was taken for alive.
-    pub fn suspect(&mut self, incarnation: Incarnation) -> bool {
+    pub fn mark_unreachable(&mut self, incarnation: Incarnation) -> bool {
         let me = self.me;
         let Some(member) = self.members.get_mut(&incarnation) else { return false };
         if incarnation == me || member.dead {
@@ -201,9 +202,9 @@
     }
 
     /// Restarts every counter's clock, after this box itself was paused.
-    pub fn forgive(&mut self, now: Time) {
+    pub fn restart_timeouts(&mut self, now: Time) {
         for member in self.members.values_mut().filter(|it| !it.dead) {
-            member.advanced = now;
+            member.last_advance = now;
         }
     }
 
@@ -238,7 +239,7 @@
     }
 
     /// Gives the heartbeats of all boxes alive or lately gone by a planned stop.
-    pub fn beats(&self) -> Vec<Beat> {
+    pub fn heartbeats(&self) -> Vec<Heartbeat> {
         let news = |it: &&Member| !it.dead || matches!(it.entry.beat.state, State::Left { .. });
         self.members.values().filter(news).map(|it| it.entry.beat).collect()
     }
--- a/crates/hollyspoke/src/message.rs
+++ b/crates/hollyspoke/src/message.rs
@@ -9,7 +9,7 @@
 use crate::handover::Handover;
 use crate::key::{Incarnation, Ticket};
 use crate::layout::ShardId;
-use crate::member::{Beat, Entry};
+use crate::member::{Entry, Heartbeat};
 use crate::outcome::Refusal;
 use crate::site::{TenantId, UpstreamId};
 
@@ -19,7 +19,7 @@
     /// The sender's view of who is alive, and the configuration version it holds.
     Gossip {
         /// A heartbeat for some members.
-        beats: Vec<Beat>,
+        beats: Vec<Heartbeat>,
         /// The version of the configuration in force at the sender.
         site_version: u64,
     },
--- a/crates/hollyspoke/src/node.rs
+++ b/crates/hollyspoke/src/node.rs
@@ -1,8 +1,8 @@
 //! One box's reducer: all its state, and the step that takes one event.
 
 mod gossip;
-mod leave;
 mod report;
+mod shutdown;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use gossip::PASS_ON_TO;
-use leave::Leaving;
+use gossip::CONFIG_FANOUT;
+use shutdown::Shutdown;
 
 use crate::address;
 use crate::config::{Config, Versioned};
@@ -23,7 +23,7 @@
 use crate::home::Home;
 use crate::key::Incarnation;
 use crate::layout::{Layout, ShardId};
-use crate::member::{Beat, Entry, State, Table};
+use crate::member::{Entry, Heartbeat, State, Table};
 use crate::message::Message;
 use crate::orders::Orders;
 use crate::pool::Pool;
@@ -33,7 +33,7 @@
 use crate::time::Time;
 
 /// A gap between two events after which the box takes itself to have been paused.
-pub const PAUSE: Duration = Duration::from_secs(2);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// What a box is told at its start.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
     /// The owner of each shard, in this box's view.
     owners: BTreeMap<ShardId, Incarnation>,
     /// The members' revision and the site's version from which the owners follow.
-    owners_of: Option<(u64, u64)>,
+    owners_version: Option<(u64, u64)>,
     /// The front.
     front: Front,
     /// The shards that this box owns.
@@ -84,11 +84,11 @@
     /// Addresses in the platform's list.
     listed: Vec<Listed>,
     /// When boxes were last greeted.
-    greeted: Option<Time>,
+    last_greeting: Option<Time>,
     /// When this box last gossiped.
-    gossiped: Option<Time>,
+    last_gossip: Option<Time>,
     /// The planned stop, once it has begun.
-    leaving: Option<Leaving>,
+    shutdown: Option<Shutdown>,
     /// Random choices.
     random: Pcg64Mcg,
     /// Effects and messages put out.
@@ -99,7 +99,7 @@
     /// Makes a box that knows nobody and has no configuration.
     pub fn new(now: Time, settings: Settings) -> Node {
         let me = settings.incarnation;
-        let beat = Beat { incarnation: me, counter: 0, epoch: 1, state: State::Live };
+        let beat = Heartbeat { incarnation: me, counter: 0, epoch: 1, state: State::Live };
         let entry = Entry {
             incarnation: me,
             name: settings.name,
@@ -116,15 +116,15 @@
             config: Config::new(now),
             layout: Layout::default(),
             owners: BTreeMap::new(),
-            owners_of: None,
+            owners_version: None,
             front: Front::new(Home::new(now, me)),
             pools: BTreeMap::new(),
             orders: Orders::new(now, DataCentreId::of(&settings.data_centre), me),
             seeds: settings.seeds,
             listed: Vec::new(),
-            greeted: None,
-            gossiped: None,
-            leaving: None,
+            last_greeting: None,
+            last_gossip: None,
+            shutdown: None,
             random: Pcg64Mcg::seed_from_u64(settings.random_seed),
             out: Out::default(),
         }
@@ -136,13 +136,13 @@
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
-        if self.started && gap > PAUSE {
-            self.wake(gap);
+        if self.started && gap > PAUSE_THRESHOLD {
+            self.recover_from_pause(gap);
         }
         self.started = true;
-        self.take(event);
+        self.handle_event(event);
         while let Some(message) = self.out.local.pop_front() {
-            self.message(self.me, message);
+            self.handle_message(self.me, message);
         }
         std::mem::take(&mut self.out.effects)
     }
@@ -164,7 +164,7 @@
 
     /// Tells whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.closed().is_none() && self.config.current().version > 0
+        self.closed_reason().is_none() && self.config.current().version > 0
     }
 
     /// Gives the number of requests in progress here.
@@ -178,38 +178,38 @@
     }
 
     /// Takes an event.
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
             Event::Arrive { call, arrival } => {
-                let closed = self.closed();
-                self.front(|front, cx| front.arrive(cx, call, *arrival, closed));
+                let closed = self.closed_reason();
+                self.with_front(|front, cx| front.handle_arrival(cx, call, *arrival, closed));
             }
-            Event::Gone(call) => self.front(|front, cx| front.gone(cx, call)),
+            Event::Gone(call) => self.with_front(|front, cx| front.handle_disconnect(cx, call)),
             Event::Upstream { ticket, reply } => {
-                self.front(|front, cx| front.upstream(cx, ticket, reply));
+                self.with_front(|front, cx| front.handle_reply(cx, ticket, reply));
             }
             Event::Polled { engine, report } => {
                 if let Some(report) = &report {
-                    self.orders(|orders, cx| orders.report(cx, engine, report));
+                    self.with_orders(|orders, cx| orders.report(cx, engine, report));
                 }
-                self.each_pool(|pool, cx| pool.report(cx, engine, report.clone()));
+                self.for_each_pool(|pool, cx| pool.report(cx, engine, report.clone()));
             }
             Event::Peer { from, message } => {
-                self.config.hear_peer(self.now);
-                self.message(from, *message);
+                self.config.record_peer_contact(self.now);
+                self.handle_message(from, *message);
             }
             Event::Unreachable(incarnation) => {
-                if self.members.suspect(incarnation) {
+                if self.members.mark_unreachable(incarnation) {
                     let note = format!("box {incarnation} can't be reached");
                     self.out.effects.push(Effect::Note(note));
                     self.update_owners();
                 }
             }
             Event::Seen(entry) => {
-                self.config.hear_peer(self.now);
+                self.config.record_peer_contact(self.now);
                 let (new, is_new) = (entry.incarnation, self.members.is_dead(entry.incarnation));
-                self.learn(vec![entry]);
+                self.add_entries(vec![entry]);
                 if is_new {
                     // A box that has just started learns of all others at once.
                     let known = self.members.alive().cloned().collect();
@@ -218,31 +218,33 @@
             }
             Event::Listed(listed) => self.listed = listed,
             Event::Site(offered) => {
-                self.config.hear_store(self.now, true);
-                self.offer(&offered);
+                self.config.record_store_state(self.now, true);
+                self.apply_config(&offered);
             }
             Event::Store { number, answer } => {
                 let reachable = answer != store::Answer::Away;
-                self.config.hear_store(self.now, reachable);
-                self.front(|front, cx| front.store(cx, number, &answer));
-                self.orders(|orders, cx| orders.answer(cx, number, &answer));
+                self.config.record_store_state(self.now, reachable);
+                self.with_front(|front, cx| front.handle_store_answer(cx, number, &answer));
+                self.with_orders(|orders, cx| orders.answer(cx, number, &answer));
             }
-            Event::StoreReachable(reachable) => self.config.hear_store(self.now, reachable),
-            Event::Leave => self.leave(),
+            Event::StoreReachable(reachable) => self.config.record_store_state(self.now, reachable),
+            Event::Leave => self.begin_shutdown(),
         }
     }
 
     /// Takes a message.
-    fn message(&mut self, from: Incarnation, message: Message) {
+    fn handle_message(&mut self, from: Incarnation, message: Message) {
         match message {
-            Message::Gossip { beats, site_version } => self.gossip(from, &beats, site_version),
+            Message::Gossip { beats, site_version } => {
+                self.handle_gossip(from, &beats, site_version)
+            }
             Message::EntriesWanted(wanted) => {
                 let known = wanted.iter().filter_map(|&it| self.members.entry(it)).cloned();
                 let entries = known.collect();
                 self.send(from, Message::Entries(entries));
             }
-            Message::Entries(entries) => self.learn(entries),
-            Message::Site(offered) => self.offer(&offered),
+            Message::Entries(entries) => self.add_entries(entries),
+            Message::Site(offered) => self.apply_config(&offered),
             Message::SiteWanted => {
                 let current = self.config.current().clone();
                 if current.version > 0 {
@@ -252,39 +254,39 @@
             Message::Ask(ask) => {
                 let (shard, ticket) = (ask.shard, ask.ticket);
                 if self.pools.contains_key(&shard) {
-                    self.pool(shard, |pool, cx| pool.ask(cx, ask));
+                    self.with_pool(shard, |pool, cx| pool.handle_ask(cx, ask));
                     return;
                 }
                 let refusal = crate::outcome::Refusal::Leaving;
                 let retry_after = Duration::ZERO;
                 // This box does not own the shard in its own view. The front asks again when
                 // its view has changed too; an answer at once would only make it ask at once.
-                if self.leaving.is_some() {
+                if self.shutdown.is_some() {
                     self.send(from, Message::Refused { ticket, refusal, retry_after });
                 }
             }
-            Message::Granted(grant) => self.front(|front, cx| front.granted(cx, from, grant)),
+            Message::Granted(grant) => self.with_front(|front, cx| front.granted(cx, from, grant)),
             Message::Refused { ticket, refusal, retry_after } => {
-                self.front(|front, cx| front.refused(cx, ticket, refusal, retry_after));
+                self.with_front(|front, cx| front.refused(cx, ticket, refusal, retry_after));
             }
             Message::Renew { shard, held } => {
-                self.pool(shard, |pool, cx| pool.renew(cx, from, held));
+                self.with_pool(shard, |pool, cx| pool.renew(cx, from, held));
             }
             Message::DeclareWanted(shard) => {
-                self.front(|front, cx| front.declare(cx, from, shard));
+                self.with_front(|front, cx| front.declare(cx, from, shard));
             }
             Message::Declare { shard, held } => {
-                self.pool(shard, |pool, cx| pool.declare(cx, from, held));
+                self.with_pool(shard, |pool, cx| pool.declare(cx, from, held));
             }
             Message::Progress { shard, ticket, stage } => {
-                self.pool(shard, |pool, cx| pool.progress(cx, ticket, stage));
+                self.with_pool(shard, |pool, cx| pool.progress(cx, ticket, stage));
             }
             Message::Release { shard, ticket, end } => {
-                self.pool(shard, |pool, cx| pool.release(cx, ticket, end));
+                self.with_pool(shard, |pool, cx| pool.release(cx, ticket, end));
             }
-            Message::Fenced(ticket) => self.front(|front, cx| front.fenced(cx, ticket)),
+            Message::Fenced(ticket) => self.with_front(|front, cx| front.fenced(cx, ticket)),
             Message::Handover(handover) => {
-                self.front.home.take(self.now, *handover);
+                self.front.home.accept_handover(self.now, *handover);
                 self.send(from, Message::HandoverTaken);
             }
             Message::HandoverTaken => self.handover_taken(from),
@@ -294,21 +296,21 @@
     /// Does what is due.
     fn tick(&mut self) {
         let now = self.now;
-        if self.gossiped.is_none_or(|at| now.since(at) >= self.beat_period()) {
-            self.gossiped = Some(now);
-            self.beat();
+        if self.last_gossip.is_none_or(|at| now.since(at) >= self.gossip_interval()) {
+            self.last_gossip = Some(now);
+            self.run_heartbeat();
         }
         self.update_owners();
-        self.each_pool(Pool::tick);
-        self.front(Front::tick);
-        let first = self.config.is_first(self.me, &self.members) && self.leaving.is_none();
-        self.orders(|orders, cx| orders.tick(cx, first));
-        self.leave_further();
+        self.for_each_pool(Pool::tick);
+        self.with_front(Front::tick);
+        let first = self.config.is_first(self.me, &self.members) && self.shutdown.is_none();
+        self.with_orders(|orders, cx| orders.tick(cx, first));
+        self.continue_shutdown();
     }
 
     /// Takes a configuration, and passes a new one on to the boxes of this data centre.
-    fn offer(&mut self, offered: &Arc<Versioned>) {
-        if !self.config.offer(self.now, offered) {
+    fn apply_config(&mut self, offered: &Arc<Versioned>) {
+        if !self.config.accept_newer(self.now, offered) {
             return;
         }
         let mut layout = Layout::new(&offered.site);
@@ -321,14 +323,14 @@
         self.update_owners();
         let note = format!("version {} of site {} is in force", offered.version, offered.site.name);
         self.out.effects.push(Effect::Note(note));
-        let near: Vec<Incarnation> = self
+        let peers: Vec<Incarnation> = self
             .members
             .alive()
             .filter(|it| it.incarnation != self.me)
             .map(|it| it.incarnation)
-            .take(PASS_ON_TO)
+            .take(CONFIG_FANOUT)
             .collect();
-        for to in near {
+        for to in peers {
             self.send(to, Message::Site(offered.clone()));
         }
     }
@@ -336,10 +338,10 @@
     /// Works out the shards' owners anew when members or site have changed.
     fn update_owners(&mut self) {
         let of = (self.members.revision(), self.config.current().version);
-        if self.owners_of == Some(of) {
+        if self.owners_version == Some(of) {
             return;
         }
-        self.owners_of = Some(of);
+        self.owners_version = Some(of);
         let mut candidates: Vec<u64> = self.members.live().map(|it| it.incarnation.0).collect();
         if candidates.is_empty() {
             // All are leaving: one of them must own the shard until the end.
@@ -358,7 +360,7 @@
         let lost: Vec<ShardId> =
             self.pools.keys().filter(|it| self.owners.get(it) != Some(&self.me)).copied().collect();
         for shard in lost {
-            self.pool(shard, Pool::hand_over);
+            self.with_pool(shard, Pool::return_queue);
             self.pools.remove(&shard);
         }
         for (&shard, &owner) in &self.owners {
@@ -369,19 +371,19 @@
     }
 
     /// Goes on after a pause of this box: what it held may have been taken from it.
-    fn wake(&mut self, gap: Duration) {
+    fn recover_from_pause(&mut self, gap: Duration) {
         let millis = gap.as_millis();
         self.out.effects.push(Effect::Note(format!("this box was paused for {millis} ms")));
-        self.members.forgive(self.now);
+        self.members.restart_timeouts(self.now);
         // Another box may have owned the shards meanwhile: the ledgers begin anew.
         self.pools.clear();
-        self.owners_of = None;
-        self.front(Front::fence_all);
+        self.owners_version = None;
+        self.with_front(Front::fence_all);
     }
 
     /// Gives why this box takes nothing new, where that is so.
-    fn closed(&self) -> Option<&'static str> {
-        if self.leaving.is_some() {
+    fn closed_reason(&self) -> Option<&'static str> {
+        if self.shutdown.is_some() {
             return Some("the box is leaving");
         }
         let isolated = self.config.isolated(self.now, self.members.had_peers());
@@ -390,11 +392,11 @@
 
     /// Sends a message.
     fn send(&mut self, to: Incarnation, message: Message) {
-        self.front(|_, cx| cx.send(to, message));
+        self.with_front(|_, cx| cx.send(to, message));
     }
 
     /// Runs a step of the front.
-    fn front(&mut self, step: impl FnOnce(&mut Front, &mut Context<'_>)) {
+    fn with_front(&mut self, step: impl FnOnce(&mut Front, &mut Context<'_>)) {
         let current = self.config.current().clone();
         let mut cx = Context {
             now: self.now,
@@ -409,27 +411,27 @@
     }
 
     /// Runs a step of the orders to engines.
-    fn orders(&mut self, step: impl FnOnce(&mut Orders, &mut Context<'_>)) {
+    fn with_orders(&mut self, step: impl FnOnce(&mut Orders, &mut Context<'_>)) {
         let now = self.now;
         let data_centre = self.members.my_data_centre();
         let mut orders =
             std::mem::replace(&mut self.orders, Orders::new(now, data_centre, self.me));
-        self.front(|_, cx| step(&mut orders, cx));
+        self.with_front(|_, cx| step(&mut orders, cx));
         self.orders = orders;
     }
 
     /// Runs a step of one shard's ledger, if this box owns the shard.
-    fn pool(&mut self, shard: ShardId, step: impl FnOnce(&mut Pool, &mut Context<'_>)) {
+    fn with_pool(&mut self, shard: ShardId, step: impl FnOnce(&mut Pool, &mut Context<'_>)) {
         let Some(mut pool) = self.pools.remove(&shard) else { return };
-        self.front(|_, cx| step(&mut pool, cx));
+        self.with_front(|_, cx| step(&mut pool, cx));
         self.pools.insert(shard, pool);
     }
 
     /// Runs a step of every ledger that this box owns.
-    fn each_pool(&mut self, mut step: impl FnMut(&mut Pool, &mut Context<'_>)) {
+    fn for_each_pool(&mut self, mut step: impl FnMut(&mut Pool, &mut Context<'_>)) {
         let shards: Vec<ShardId> = self.pools.keys().copied().collect();
         for shard in shards {
-            self.pool(shard, &mut step);
+            self.with_pool(shard, &mut step);
         }
     }
 }
--- a/crates/hollyspoke/src/node/gossip.rs
+++ b/crates/hollyspoke/src/node/gossip.rs
@@ -6,27 +6,27 @@
 
 use crate::effect::Effect;
 use crate::key::Incarnation;
-use crate::member::{self, Beat, Entry};
+use crate::member::{self, Entry, Heartbeat};
 use crate::message::Message;
 use crate::node::Node;
 
 /// How often unknown boxes among the seeds and in the platform's list are greeted.
-pub(super) const GREET: Duration = Duration::from_secs(2);
+pub(super) const GREETING_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The boxes up to which every gossip tells all boxes of all others.
-pub(super) const SMALL_SITE: usize = 8;
+pub(super) const SMALL_SITE_BOXES: usize = 8;
 
 /// The boxes to which a new configuration is passed on at once; gossip brings it to the rest.
-pub(super) const PASS_ON_TO: usize = 8;
+pub(super) const CONFIG_FANOUT: usize = 8;
 
 /// The most heartbeats in one gossip.
-pub(super) const MOST_BEATS: usize = 64;
+pub(super) const MAX_HEARTBEATS: usize = 64;
 
 impl Node {
     /// Gossips, and does what is due as often.
-    pub(super) fn beat(&mut self) {
+    pub(super) fn run_heartbeat(&mut self) {
         let now = self.now;
-        self.members.beat(now, self.front.home.epoch(), self.my_state());
+        self.members.advance_heartbeat(now, self.front.home.epoch(), self.my_state());
         for died in self.members.expire(now) {
             self.out.effects.push(Effect::Note(format!("box {died} is silent")));
         }
@@ -37,7 +37,7 @@
             self.out.effects.push(Effect::Fetch);
         }
         self.greet();
-        self.gossip_out();
+        self.send_gossip();
     }
 
     /// Sends this box's heartbeat to every other box, and what it knows of others to some.
@@ -46,7 +46,7 @@
     /// boxes find each other, and it is each box's own heartbeat that keeps it alive. Passing
     /// heartbeats on to a few instead of sending one's own to all was tried with 75 boxes: live
     /// ones were taken for dead.
-    pub(super) fn gossip_out(&mut self) {
+    pub(super) fn send_gossip(&mut self) {
         let others = self.others();
         let Some(last) = others.len().checked_sub(1) else { return };
         let message = self.my_gossip();
@@ -58,7 +58,7 @@
             },
             _ => return,
         };
-        let small = others.len() < SMALL_SITE;
+        let small = others.len() < SMALL_SITE_BOXES;
         for (place, to) in others.into_iter().enumerate() {
             let whole = small || place == chosen;
             self.send(to, if whole { message.clone() } else { own.clone() });
@@ -66,9 +66,9 @@
     }
 
     /// Gives how often this box gossips.
-    pub(super) fn beat_period(&self) -> Duration {
-        let small = self.members.alive().count() <= SMALL_SITE;
-        if small { member::BEAT } else { member::LARGE_BEAT }
+    pub(super) fn gossip_interval(&self) -> Duration {
+        let small = self.members.alive().count() <= SMALL_SITE_BOXES;
+        if small { member::GOSSIP_INTERVAL } else { member::LARGE_SITE_GOSSIP_INTERVAL }
     }
 
     /// Gives all other boxes alive.
@@ -78,10 +78,10 @@
 
     /// Makes a gossip: this box's heartbeat and those of some others.
     pub(super) fn my_gossip(&mut self) -> Message {
-        let mut beats = self.members.beats();
+        let mut beats = self.members.heartbeats();
         let mine = beats.iter().position(|it| it.incarnation == self.me).unwrap_or(0);
         beats.swap(0, mine);
-        while beats.len() > MOST_BEATS {
+        while beats.len() > MAX_HEARTBEATS {
             let drop = self.random.random_range(1..beats.len());
             beats.swap_remove(drop);
         }
@@ -89,18 +89,23 @@
     }
 
     /// Takes a gossip.
-    pub(super) fn gossip(&mut self, from: Incarnation, beats: &[Beat], site_version: u64) {
+    pub(super) fn handle_gossip(
+        &mut self,
+        from: Incarnation,
+        beats: &[Heartbeat],
+        site_version: u64,
+    ) {
         let now = self.now;
         let mut unknown = Vec::new();
         for &beat in beats {
-            if self.members.hear(now, beat) {
+            if self.members.apply_heartbeat(now, beat) {
                 unknown.push(beat.incarnation);
             }
         }
         if !unknown.is_empty() {
             self.send(from, Message::EntriesWanted(unknown));
         }
-        self.config.hear_version(now, site_version);
+        self.config.record_peer_version(now, site_version);
         let mine = self.config.current().version;
         if site_version > mine {
             self.send(from, Message::SiteWanted);
@@ -112,11 +117,11 @@
     }
 
     /// Takes entries of boxes.
-    pub(super) fn learn(&mut self, entries: Vec<Entry>) {
+    pub(super) fn add_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let (name, address) = (entry.name.clone(), entry.peer_address.clone());
             let new = entry.incarnation;
-            if self.members.learn(self.now, entry) {
+            if self.members.add_entry(self.now, entry) {
                 // The new box can't answer one that it does not know.
                 let mine = vec![self.members.my_entry().clone()];
                 self.send(new, Message::Entries(mine));
@@ -128,10 +133,10 @@
 
     /// Greets the boxes among seeds and in the platform's list that are not known to be alive.
     pub(super) fn greet(&mut self) {
-        if self.greeted.is_some_and(|at| self.now.since(at) < GREET) {
+        if self.last_greeting.is_some_and(|at| self.now.since(at) < GREETING_INTERVAL) {
             return;
         }
-        self.greeted = Some(self.now);
+        self.last_greeting = Some(self.now);
         let listed = self.listed.iter().filter(|it| !it.leaving).map(|it| &it.peer_address);
         let mut wanted: Vec<&String> = self.seeds.iter().chain(listed).collect();
         wanted.sort();
--- a/crates/hollyspoke/src/node/leave.rs
+++ b/crates/hollyspoke/src/node/shutdown.rs
@@ -11,17 +11,17 @@
 use crate::time::Time;
 
 /// How long a leaving box stays at least, so that the others hear of it.
-pub(super) const LINGER: Duration = Duration::from_secs(1);
+pub(super) const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(1);
 
 /// How often a leaving box offers its keys again.
-pub(super) const OFFER_AGAIN: Duration = Duration::from_millis(300);
+pub(super) const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long a leaving box waits for its successor at most.
-pub(super) const OFFER_LIMIT: Duration = Duration::from_secs(3);
+pub(super) const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Leaving {
+pub(super) struct Shutdown {
     /// When it began.
     since: Time,
     /// The box that takes the keys.
@@ -34,43 +34,44 @@
 
 impl Node {
     /// Begins the planned stop.
-    pub(super) fn leave(&mut self) {
-        if self.leaving.is_some() {
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.shutdown.is_some() {
             return;
         }
         let successor = self.choose_successor();
-        let leaving = Leaving { since: self.now, successor, offered: None, exited: false };
-        self.leaving = Some(leaving);
-        self.tell_all();
+        let shutdown = Shutdown { since: self.now, successor, offered: None, exited: false };
+        self.shutdown = Some(shutdown);
+        self.announce_state();
         self.update_owners();
     }
 
     /// Goes on with the planned stop: drain, hand over, exit.
-    pub(super) fn leave_further(&mut self) {
-        let Some(mut leaving) = self.leaving else { return };
+    pub(super) fn continue_shutdown(&mut self) {
+        let Some(mut shutdown) = self.shutdown else { return };
         let now = self.now;
-        let drained = self.front.in_progress() == 0 && now.since(leaving.since) >= LINGER;
-        if leaving.exited || !drained {
+        let drained =
+            self.front.in_progress() == 0 && now.since(shutdown.since) >= MIN_SHUTDOWN_TIME;
+        if shutdown.exited || !drained {
             return;
         }
-        let gone = leaving.successor.is_some_and(|it| self.members.is_dead(it));
+        let gone = shutdown.successor.is_some_and(|it| self.members.is_dead(it));
         if gone {
-            leaving.successor = self.choose_successor();
-            leaving.offered = None;
-            self.leaving = Some(leaving);
-            self.tell_all();
+            shutdown.successor = self.choose_successor();
+            shutdown.offered = None;
+            self.shutdown = Some(shutdown);
+            self.announce_state();
         }
-        let Some(successor) = leaving.successor else {
+        let Some(successor) = shutdown.successor else {
             self.exit(None);
             return;
         };
-        let first = leaving.offered.map_or(now, |(_, first)| first);
-        if now.since(first) > OFFER_LIMIT {
+        let first = shutdown.offered.map_or(now, |(_, first)| first);
+        if now.since(first) > HANDOVER_TIMEOUT {
             self.exit(None);
             return;
         }
-        if leaving.offered.is_none_or(|(last, _)| now.since(last) >= OFFER_AGAIN) {
-            self.leaving = Some(Leaving { offered: Some((now, first)), ..leaving });
+        if shutdown.offered.is_none_or(|(last, _)| now.since(last) >= HANDOVER_RETRY_INTERVAL) {
+            self.shutdown = Some(Shutdown { offered: Some((now, first)), ..shutdown });
             let handover = Box::new(self.front.home.handover());
             self.send(successor, Message::Handover(handover));
         }
@@ -78,27 +79,27 @@
 
     /// Takes the successor's word that it has the keys.
     pub(super) fn handover_taken(&mut self, from: Incarnation) {
-        let Some(leaving) = self.leaving else { return };
-        if leaving.successor == Some(from) && leaving.offered.is_some() {
+        let Some(shutdown) = self.shutdown else { return };
+        if shutdown.successor == Some(from) && shutdown.offered.is_some() {
             self.exit(Some(from));
         }
     }
 
     /// Ends the planned stop.
     pub(super) fn exit(&mut self, successor: Option<Incarnation>) {
-        let Some(leaving) = &mut self.leaving else { return };
-        if leaving.exited {
+        let Some(shutdown) = &mut self.shutdown else { return };
+        if shutdown.exited {
             return;
         }
-        leaving.exited = true;
-        leaving.successor = successor;
-        self.tell_all();
+        shutdown.exited = true;
+        shutdown.successor = successor;
+        self.announce_state();
         self.out.effects.push(Effect::Exit);
     }
 
     /// Tells every box this one's state at once.
-    pub(super) fn tell_all(&mut self) {
-        self.members.beat(self.now, self.front.home.epoch(), self.my_state());
+    pub(super) fn announce_state(&mut self) {
+        self.members.advance_heartbeat(self.now, self.front.home.epoch(), self.my_state());
         let message = self.my_gossip();
         for to in self.others() {
             self.send(to, message.clone());
@@ -113,10 +114,10 @@
 
     /// Gives this box's own state.
     pub(super) fn my_state(&self) -> State {
-        match self.leaving {
+        match self.shutdown {
             None => State::Live,
-            Some(Leaving { exited: true, successor, .. }) => State::Left { successor },
-            Some(Leaving { successor, .. }) => State::Leaving { successor },
+            Some(Shutdown { exited: true, successor, .. }) => State::Left { successor },
+            Some(Shutdown { successor, .. }) => State::Leaving { successor },
         }
     }
 }
--- a/crates/hollyspoke/src/orders.rs
+++ b/crates/hollyspoke/src/orders.rs
@@ -18,13 +18,13 @@
 use crate::time::Time;
 
 /// The longest that an order may take on its way and at the engine.
-pub const LONGEST_ORDER: Duration = Duration::from_secs(3);
+pub const MAX_ORDER_TIME: Duration = Duration::from_secs(3);
 
 /// How often the holder asks the engines of its data centre for their reports.
-pub const LOOK: Duration = Duration::from_secs(3);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How many orders are under way at once, since the weights come at a limited rate.
-pub const MOST_ORDERS: usize = 2;
+pub const MAX_CONCURRENT_ORDERS: usize = 2;
 
 /// The orders of one box.
 #[derive(Debug, Clone)]
@@ -32,9 +32,9 @@
     /// The data centre's lease.
     lease: Lease,
     /// When engines were last asked for their reports.
-    looked: Option<Time>,
+    last_poll: Option<Time>,
     /// When each order under way was given.
-    given: BTreeMap<UpstreamId, Time>,
+    sent: BTreeMap<UpstreamId, Time>,
 }
 
 impl Orders {
@@ -42,24 +42,24 @@
     pub fn new(now: Time, data_centre: DataCentreId, me: Incarnation) -> Orders {
         let name = format!("orders-{:016x}", data_centre.0);
         let lease = Lease::new(now, name, me.to_string(), Terms::default());
-        Orders { lease, looked: None, given: BTreeMap::new() }
+        Orders { lease, last_poll: None, sent: BTreeMap::new() }
     }
 
     /// Does what is due: the lease, and a look at the engines. `first` says whether this box is the
     /// one of its data centre that should hold the lease.
     pub fn tick(&mut self, cx: &mut Context<'_>, first: bool) {
         let now = cx.now;
-        let near = cx.members.my_data_centre();
-        let here = |it: &&Engine| DataCentreId::of(&it.data_centre) == near;
+        let local = cx.members.my_data_centre();
+        let here = |it: &&Engine| DataCentreId::of(&it.data_centre) == local;
         let engines: Vec<&Engine> = cx.site.engines.iter().filter(here).collect();
         let wanted = first && !engines.is_empty();
         self.lease.tick(now, wanted, |it| cx.store(it));
-        self.given.retain(|_, at| now.since(*at) < LONGEST_ORDER);
-        let due = self.looked.is_none_or(|at| now.since(at) >= LOOK);
+        self.sent.retain(|_, at| now.since(*at) < MAX_ORDER_TIME);
+        let due = self.last_poll.is_none_or(|at| now.since(at) >= POLL_INTERVAL);
         if !due || self.lease.held(now).is_none() {
             return;
         }
-        self.looked = Some(now);
+        self.last_poll = Some(now);
         for engine in engines {
             cx.effect(Effect::Poll { engine: engine.id(), address: engine.address.clone() });
         }
@@ -75,20 +75,20 @@
         let now = cx.now;
         let Some(held) = self.lease.held(now) else { return };
         let Some(engine) = cx.site.engine(id) else { return };
-        let near = cx.members.my_data_centre();
-        if DataCentreId::of(&engine.data_centre) != near || engine.leaving {
+        let local = cx.members.my_data_centre();
+        if DataCentreId::of(&engine.data_centre) != local || engine.leaving {
             return;
         }
         let Some(order) = difference(cx.site, engine, report) else { return };
-        let under_way = self.given.contains_key(&id) || self.given.len() >= MOST_ORDERS;
+        let under_way = self.sent.contains_key(&id) || self.sent.len() >= MAX_CONCURRENT_ORDERS;
         // The order must end while the lease still holds, whether or not the engine checks.
-        let too_late = now + LONGEST_ORDER > held.until;
-        let is_fresh = |it: Time| now.since(it) < LONGEST_ORDER;
+        let too_late = now + MAX_ORDER_TIME > held.until;
+        let is_fresh = |it: Time| now.since(it) < MAX_ORDER_TIME;
         let must_wait = !engine.checks_orders && held.taken_over.is_some_and(is_fresh);
         if under_way || too_late || must_wait {
             return;
         }
-        self.given.insert(id, now);
+        self.sent.insert(id, now);
         cx.note(format!("engine {} is ordered, token {}: {order:?}", engine.name, held.token));
         let address = engine.address.clone();
         cx.effect(Effect::Order { address, token: held.token, order });
--- a/crates/hollyspoke/src/plain.rs
+++ b/crates/hollyspoke/src/plain.rs
@@ -13,19 +13,19 @@
 use crate::time::Time;
 
 /// The limit of calls at once with which an upstream starts.
-const FIRST_LIMIT: f64 = 32.0;
+const INITIAL_LIMIT: f64 = 32.0;
 
 /// The lowest limit.
-const LEAST_LIMIT: f64 = 2.0;
+const MIN_LIMIT: f64 = 2.0;
 
 /// The highest limit.
-const MOST_LIMIT: f64 = 512.0;
+const MAX_LIMIT: f64 = 512.0;
 
 /// How much slower than the quickest an answer may be before the limit shrinks.
 const SLOW_FACTOR: f64 = 4.0;
 
 /// The least time taken for the quickest, so that noise at very short times doesn't count.
-const LEAST_QUICKEST: Duration = Duration::from_millis(5);
+const MIN_FASTEST: Duration = Duration::from_millis(5);
 
 /// What this box knows of one upstream.
 #[derive(Debug, Clone)]
@@ -35,7 +35,7 @@
     /// How many calls this box may have outstanding.
     limit: f64,
     /// The quickest answer seen lately.
-    quickest: Duration,
+    fastest: Duration,
     /// Its health.
     health: Health,
 }
@@ -44,8 +44,8 @@
     fn default() -> Upstream {
         Upstream {
             calls: BTreeMap::new(),
-            limit: FIRST_LIMIT,
-            quickest: Duration::from_secs(3600),
+            limit: INITIAL_LIMIT,
+            fastest: Duration::from_secs(3600),
             health: Health::default(),
         }
     }
@@ -76,7 +76,7 @@
         now: Time,
         site: &Site,
         service: ServiceId,
-        near: DataCentreId,
+        local: DataCentreId,
         ticket: Ticket,
         avoid: Option<UpstreamId>,
     ) -> Option<UpstreamId> {
@@ -89,15 +89,15 @@
         for candidate in candidates {
             let id = candidate.id();
             let state = self.upstreams.entry(id).or_default();
-            let room = state.limit * state.health.weight(now);
+            let capacity = state.limit * state.health.weight(now);
             let outstanding = state.calls.len() as f64;
-            if outstanding >= room {
+            if outstanding >= capacity {
                 continue;
             }
-            let load = (outstanding / room * 1000.0) as u64;
-            let far = DataCentreId::of(&candidate.data_centre) != near;
+            let load = (outstanding / capacity * 1000.0) as u64;
+            let is_remote = DataCentreId::of(&candidate.data_centre) != local;
             // A near upstream is taken unless it is over half full.
-            let rank = (far || load >= 500, load, crate::rank::weight(ticket.number, id.0));
+            let rank = (is_remote || load >= 500, load, crate::rank::weight(ticket.number, id.0));
             if best.is_none_or(|(other, _)| rank < other) {
                 best = Some((rank, id));
             }
@@ -115,19 +115,19 @@
         match end {
             CallEnd::Dropped => {}
             CallEnd::Failed => {
-                state.limit = (state.limit * 0.7).max(LEAST_LIMIT);
+                state.limit = (state.limit * 0.7).max(MIN_LIMIT);
                 state.health.fail(now, health::may_eject(out, all));
             }
             CallEnd::Answered => {
                 state.health.succeed(now);
-                let took = now.since(began).max(LEAST_QUICKEST);
+                let took = now.since(began).max(MIN_FASTEST);
                 // The quickest drifts upwards, so that a service which has become slower for good
                 // is not throttled for ever.
-                state.quickest = state.quickest.mul_f64(1.0 + 1.0 / 256.0).min(took);
-                if took.as_secs_f64() > state.quickest.as_secs_f64() * SLOW_FACTOR {
-                    state.limit = (state.limit * 0.95).max(LEAST_LIMIT);
+                state.fastest = state.fastest.mul_f64(1.0 + 1.0 / 256.0).min(took);
+                if took.as_secs_f64() > state.fastest.as_secs_f64() * SLOW_FACTOR {
+                    state.limit = (state.limit * 0.95).max(MIN_LIMIT);
                 } else {
-                    state.limit = (state.limit + 1.0 / state.limit).min(MOST_LIMIT);
+                    state.limit = (state.limit + 1.0 / state.limit).min(MAX_LIMIT);
                 }
             }
         }
--- a/crates/hollyspoke/src/pool.rs
+++ b/crates/hollyspoke/src/pool.rs
@@ -2,12 +2,12 @@
 //!
 //! The ledger is soft state. A new owner learns of running grants from the fronts that hold them
 //! and from the engines' own lists, and waits with new grants until it has heard from every live
-//! front or [`SETTLE`] is over. If two boxes own a shard for a moment they may grant too much;
+//! front or [`SETTLE_TIMEOUT`] is over. If two boxes own a shard for a moment they may grant too much;
 //! the engine then refuses, and the owner learns.
 
 pub mod admission;
 mod engine;
-mod learn;
+mod feedback;
 mod link;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,32 +28,32 @@
 use crate::time::Time;
 
 /// How long a new owner waits for the fronts before it grants.
-pub const SETTLE: Duration = Duration::from_millis(600);
+pub const SETTLE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long the grants of a front that has gone silent are kept.
 pub const GRANT_TTL: Duration = Duration::from_secs(4);
 
 /// How often each engine is asked for its report.
-pub const POLL: Duration = Duration::from_secs(1);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a stream that the ledger doesn't know may stay on an engine.
-pub const STRAY_AFTER: Duration = Duration::from_secs(2);
+pub const STRAY_GRACE: Duration = Duration::from_secs(2);
 
 /// How long a fenced attempt is remembered.
-pub const FENCED_FOR: Duration = Duration::from_secs(60);
+pub const FENCED_TTL: Duration = Duration::from_secs(60);
 
 /// How long a decode engine that refused for lack of room is given nothing more.
-pub const FULL_FOR: Duration = Duration::from_millis(200);
+pub const FULL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The share of the tokens asked for that answers are taken to have before any is known.
-const FIRST_ANSWER_SHARE: f64 = 0.5;
+const INITIAL_ANSWER_SHARE: f64 = 0.5;
 
 /// The weight of a new answer in the mean of their lengths.
 const LENGTH_WEIGHT: f64 = 0.02;
 
 /// A grant in the ledger.
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldGrant {
     /// What was granted.
     grant: Grant,
     /// When the attempt entered its stage.
@@ -61,7 +61,7 @@
     /// How long the prefill was expected to take at the described rate.
     prefill_expected: Duration,
     /// The link, and how long the transfer takes there at the described rate.
-    crossing: Option<(LinkId, Duration)>,
+    transfer: Option<(LinkId, Duration)>,
 }
 
 /// A link by its ends, the smaller first.
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Front {
     /// When it was last heard.
-    heard: Time,
+    last_contact: Time,
     /// Renewals in a row whose count was not the ledger's.
     mismatches: u8,
 }
@@ -90,7 +90,7 @@
     /// The links between the engines' data centres.
     links: BTreeMap<LinkId, Link>,
     /// The grants.
-    grants: BTreeMap<Ticket, Held>,
+    grants: BTreeMap<Ticket, HeldGrant>,
     /// The requests waiting.
     queue: Queue,
     /// The fronts heard.
@@ -120,7 +120,7 @@
             fenced: BTreeMap::new(),
             strays: BTreeMap::new(),
             polled: None,
-            answer_share: FIRST_ANSWER_SHARE,
+            answer_share: INITIAL_ANSWER_SHARE,
         };
         pool.configure(site, layout);
         pool
@@ -134,13 +134,13 @@
             if let Some(known) = self.engines.remove(&engine.id()) {
                 fresh = Engine {
                     reserved: known.reserved,
-                    prefill_free: known.prefill_free,
+                    prefill_free_at: known.prefill_free_at,
                     slowness: known.slowness,
                     reported: known.reported,
                     health: known.health,
                     prefixes: known.prefixes,
-                    silent_polls: known.silent_polls,
-                    silent: known.silent,
+                    failed_polls: known.failed_polls,
+                    is_unresponsive: known.is_unresponsive,
                     ..fresh
                 };
             }
@@ -165,8 +165,8 @@
     }
 
     /// Takes a front's question; a repeated one gets the answer it had.
-    pub fn ask(&mut self, cx: &mut Context<'_>, ask: Ask) {
-        self.hear(cx.now, ask.ticket.front);
+    pub fn handle_ask(&mut self, cx: &mut Context<'_>, ask: Ask) {
+        self.record_contact(cx.now, ask.ticket.front);
         if let Some(held) = self.grants.get(&ask.ticket) {
             cx.send(ask.ticket.front, Message::Granted(held.grant.clone()));
             return;
@@ -181,17 +181,17 @@
             return;
         }
         self.queue.push(waiting);
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Takes a front's renewal.
     pub fn renew(&mut self, cx: &mut Context<'_>, from: Incarnation, held: u32) {
         let known = self.grants.keys().filter(|it| it.front == from).count();
         let settled = self.settled;
-        let front = self.hear(cx.now, from);
+        let front = self.record_contact(cx.now, from);
         if known == held as usize {
             front.mismatches = 0;
-            self.pump(cx);
+            self.process_queue(cx);
             return;
         }
         // One difference may be a message on its way; a second one is not. A new owner asks at
@@ -206,7 +206,7 @@
 
     /// Takes the full list of a front's grants.
     pub fn declare(&mut self, cx: &mut Context<'_>, from: Incarnation, held: Vec<Grant>) {
-        self.hear(cx.now, from);
+        self.record_contact(cx.now, from);
         let named: BTreeSet<Ticket> = held.iter().map(|it| it.ticket).collect();
         let gone: Vec<Ticket> = self
             .grants
@@ -217,7 +217,7 @@
         for ticket in gone {
             // A grant on its way to the front is not named yet, so only older ones are dropped.
             let age = cx.now.since(self.grants[&ticket].since);
-            if age > STRAY_AFTER {
+            if age > STRAY_GRACE {
                 self.drop_grant(cx, ticket);
             }
         }
@@ -228,12 +228,12 @@
             }
             self.adopt(cx.now, grant);
         }
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Notes how far an attempt has come.
     pub fn progress(&mut self, cx: &mut Context<'_>, ticket: Ticket, stage: Stage) {
-        self.hear(cx.now, ticket.front);
+        self.record_contact(cx.now, ticket.front);
         let now = cx.now;
         let Some(held) = self.grants.get_mut(&ticket) else {
             if self.fenced.contains_key(&ticket) {
@@ -250,11 +250,11 @@
         held.grant.stage = stage;
         held.since = now;
         if was == Stage::Transfer
-            && let Some((link, crossing)) = held.crossing.take()
+            && let Some((link, transfer_time)) = held.transfer.take()
         {
             let link = self.links.entry(link).or_default();
-            link.unbook(crossing);
-            link.learn(now, began, crossing);
+            link.unbook(transfer_time);
+            link.record_transfer(now, began, transfer_time);
         }
         if was != Stage::Prefill {
             return;
@@ -263,44 +263,44 @@
         let prefill = held.grant.prefill;
         if let Some(engine) = self.engines.get_mut(&prefill) {
             engine.succeed(now);
-            admission::learn_rate(engine, expected, took);
+            admission::update_slowness(engine, expected, took);
         }
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Takes an attempt back.
     pub fn release(&mut self, cx: &mut Context<'_>, ticket: Ticket, end: End) {
-        self.hear(cx.now, ticket.front);
+        self.record_contact(cx.now, ticket.front);
         self.queue.remove(ticket);
-        let blames_link = self.learn_stalled(cx.now, ticket, end);
+        let blames_link = self.record_stalled_transfer(cx.now, ticket, end);
         if !blames_link {
-            self.learn_from(cx, end);
+            self.record_outcome(cx, end);
         }
         if let Some(held) = self.grants.remove(&ticket) {
-            self.learn_length(&held, end);
-            self.free(cx.now, &held);
+            self.update_answer_share(&held, end);
+            self.release_resources(cx.now, &held);
         }
         // A late copy of the question must not be granted.
         self.fenced.insert(ticket, cx.now);
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Does what is due: expires silent fronts, polls engines, decides on those who wait.
     pub fn tick(&mut self, cx: &mut Context<'_>) {
         let now = cx.now;
         self.expire_fronts(cx);
-        self.fenced.retain(|_, since| now.since(*since) < FENCED_FOR);
-        if self.polled.is_none_or(|at| now.since(at) >= POLL) {
+        self.fenced.retain(|_, since| now.since(*since) < FENCED_TTL);
+        if self.polled.is_none_or(|at| now.since(at) >= POLL_INTERVAL) {
             self.polled = Some(now);
             for (&engine, row) in &self.engines {
                 cx.effect(Effect::Poll { engine, address: row.address.clone() });
             }
         }
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Gives all that waits back to the fronts, when the shard passes to another owner.
-    pub fn hand_over(&mut self, cx: &mut Context<'_>) {
+    pub fn return_queue(&mut self, cx: &mut Context<'_>) {
         for waiting in self.queue.drain() {
             let ticket = waiting.ask.ticket;
             let message =
@@ -310,20 +310,20 @@
     }
 
     /// Decides on those who wait, in their order, as far as engines are free.
-    fn pump(&mut self, cx: &mut Context<'_>) {
+    fn process_queue(&mut self, cx: &mut Context<'_>) {
         if !self.is_settled(cx) {
             return;
         }
-        for (ticket, refusal) in admission::refuse_late(cx.now, self) {
+        for (ticket, refusal) in admission::find_late(cx.now, self) {
             self.queue.remove(ticket);
             cx.send(ticket.front, refusal.message(ticket));
         }
-        while let Some((ticket, decision)) = admission::next(cx.now, cx.site, self) {
+        while let Some((ticket, decision)) = admission::next_decision(cx.now, cx.site, self) {
             let Some(waiting) = self.queue.remove(ticket) else { return };
             let placement = match decision {
                 Decision::Grant(placement) => placement,
-                Decision::Refuse(turned) => {
-                    cx.send(ticket.front, turned.message(ticket));
+                Decision::Refuse(rejection) => {
+                    cx.send(ticket.front, rejection.message(ticket));
                     continue;
                 }
             };
@@ -339,7 +339,7 @@
         let ask = &waiting.ask;
         let tokens = ask.prompt_tokens + ask.max_tokens;
         if let Some(engine) = self.engines.get_mut(&placement.prefill) {
-            engine.prefill_free = placement.prefill_end;
+            engine.prefill_free_at = placement.prefill_end;
             for &digest in &ask.prefix {
                 engine.prefixes.insert(digest, now);
             }
@@ -349,7 +349,7 @@
             engine.reserved += u64::from(tokens);
         }
         let link = self.links.entry(placement.link).or_default();
-        link.book(placement.crossing);
+        link.book(placement.transfer_time);
         let grant = Grant {
             shard: self.shard,
             ticket: ask.ticket,
@@ -359,11 +359,11 @@
             max_tokens: ask.max_tokens,
             stage: Stage::Prefill,
         };
-        let held = Held {
+        let held = HeldGrant {
             grant: grant.clone(),
             since: now,
             prefill_expected: placement.prefill_time,
-            crossing: Some((placement.link, placement.crossing)),
+            transfer: Some((placement.link, placement.transfer_time)),
         };
         self.grants.insert(ask.ticket, held);
         grant
@@ -379,19 +379,20 @@
             engine.reserved += u64::from(grant.tokens);
         }
         self.queue.remove(grant.ticket);
-        let held = Held { grant, since: now, prefill_expected: Duration::ZERO, crossing: None };
+        let held =
+            HeldGrant { grant, since: now, prefill_expected: Duration::ZERO, transfer: None };
         self.grants.insert(held.grant.ticket, held);
     }
 
     /// Gives a grant's memory back to the ledger.
-    fn free(&mut self, now: Time, held: &Held) {
+    fn release_resources(&mut self, now: Time, held: &HeldGrant) {
         let tokens = u64::from(held.grant.tokens);
         if let Some(engine) = self.engines.get_mut(&held.grant.decode) {
             engine.reserved = engine.reserved.saturating_sub(tokens);
             engine.reported = engine.reported.map(|it| it.saturating_sub(tokens));
         }
-        if let Some((link, crossing)) = held.crossing {
-            self.links.entry(link).or_default().unbook(crossing);
+        if let Some((link, transfer_time)) = held.transfer {
+            self.links.entry(link).or_default().unbook(transfer_time);
         }
         if held.grant.stage > Stage::Prefill {
             return;
@@ -399,14 +400,14 @@
         // The rest of a prefill that was stopped is not computed any more.
         if let Some(engine) = self.engines.get_mut(&held.grant.prefill) {
             let left = held.prefill_expected.saturating_sub(now.since(held.since));
-            engine.prefill_free = engine.prefill_free - left;
+            engine.prefill_free_at = engine.prefill_free_at - left;
         }
     }
 
     /// Takes a grant from its front and stops the streams on the engines.
     fn drop_grant(&mut self, cx: &mut Context<'_>, ticket: Ticket) {
         let Some(held) = self.grants.remove(&ticket) else { return };
-        self.free(cx.now, &held);
+        self.release_resources(cx.now, &held);
         self.fenced.insert(ticket, cx.now);
         for engine in [held.grant.prefill, held.grant.decode] {
             if let Some(row) = self.engines.get(&engine) {
@@ -421,7 +422,7 @@
         let silent: Vec<Incarnation> = self
             .fronts
             .iter()
-            .filter(|(it, front)| **it != cx.me && now.since(front.heard) > GRANT_TTL)
+            .filter(|(it, front)| **it != cx.me && now.since(front.last_contact) > GRANT_TTL)
             .map(|(&it, _)| it)
             .collect();
         for front in silent {
@@ -439,9 +440,9 @@
     }
 
     /// Notes that a front lives.
-    fn hear(&mut self, now: Time, front: Incarnation) -> &mut Front {
-        let front = self.fronts.entry(front).or_insert(Front { heard: now, mismatches: 0 });
-        front.heard = now;
+    fn record_contact(&mut self, now: Time, front: Incarnation) -> &mut Front {
+        let front = self.fronts.entry(front).or_insert(Front { last_contact: now, mismatches: 0 });
+        front.last_contact = now;
         front
     }
 
@@ -449,7 +450,7 @@
     fn is_settled(&mut self, cx: &Context<'_>) -> bool {
         if !self.settled {
             let all_heard = cx.members.alive().all(|it| self.fronts.contains_key(&it.incarnation));
-            self.settled = all_heard || cx.now.since(self.since) >= SETTLE;
+            self.settled = all_heard || cx.now.since(self.since) >= SETTLE_TIMEOUT;
         }
         self.settled
     }
--- a/crates/hollyspoke/src/pool/admission.rs
+++ b/crates/hollyspoke/src/pool/admission.rs
@@ -17,31 +17,31 @@
 use super::{Engine, Pool};
 
 /// How far ahead of an engine's being free its next prefill is granted, to cover the way there.
-pub const PREFILL_AHEAD: Duration = Duration::from_millis(30);
+pub const PREFILL_LEAD_TIME: Duration = Duration::from_millis(30);
 
 /// How long a prefix is believed to stay in an engine's cache.
-pub const PREFIX_LIFE: Duration = Duration::from_secs(60);
+pub const PREFIX_TTL: Duration = Duration::from_secs(60);
 
 /// How many prefixes are remembered for one engine.
-pub const MOST_PREFIXES: usize = 512;
+pub const MAX_PREFIXES: usize = 512;
 
 /// The tokens of one block of a prompt, by which prefixes are compared.
 pub const BLOCK_TOKENS: u32 = 64;
 
 /// The time added to a prefill and transfer for the calls between them.
-pub const CALL_TIME: Duration = Duration::from_millis(10);
+pub const CALL_OVERHEAD: Duration = Duration::from_millis(10);
 
 /// Placements that are ready within the same step, in microseconds, count as equally early.
-const READY_STEP: u64 = 2000;
+const READY_STEP_US: u64 = 2000;
 
 /// The weight of a new measurement of an engine's rate.
 const RATE_WEIGHT: f64 = 0.2;
 
 /// The shortest time named to a refused caller.
-const SHORTEST_RETRY: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// The rate assumed for a link that the site's file does not name, in bytes a second.
-const DEFAULT_LINK: u64 = 10_000_000_000;
+const DEFAULT_LINK_BYTES_PER_S: u64 = 10_000_000_000;
 
 /// A request that waits for engines.
 #[derive(Debug, Clone)]
@@ -80,7 +80,7 @@
     /// What each tenant has used, divided by its share.
     used: BTreeMap<TenantId, f64>,
     /// The use of the tenant served last; a tenant that comes back starts here.
-    level: f64,
+    virtual_time: f64,
 }
 
 impl Queue {
@@ -101,10 +101,10 @@
 
     /// Adds a request.
     pub fn push(&mut self, waiting: Waiting) {
-        let level = self.level;
-        let used = self.used.entry(waiting.ask.tenant).or_insert(level);
+        let virtual_time = self.virtual_time;
+        let used = self.used.entry(waiting.ask.tenant).or_insert(virtual_time);
         // A tenant that was away gets no credit for the time it did not use.
-        *used = used.max(level);
+        *used = used.max(virtual_time);
         self.waiting.push(waiting);
     }
 
@@ -126,8 +126,8 @@
 
     /// Charges a tenant for what it was granted.
     pub fn charge(&mut self, tenant: TenantId, cost: f64) {
-        let used = self.used.entry(tenant).or_insert(self.level);
-        self.level = self.level.max(*used);
+        let used = self.used.entry(tenant).or_insert(self.virtual_time);
+        self.virtual_time = self.virtual_time.max(*used);
         *used += cost;
     }
 
@@ -161,7 +161,7 @@
     /// How long the prefill takes at the described rate.
     pub prefill_time: Duration,
     /// How long the transfer takes at the link's described rate.
-    pub crossing: Duration,
+    pub transfer_time: Duration,
     /// When the prefill ends.
     pub prefill_end: Time,
     /// When the prefill result has crossed the link.
@@ -170,14 +170,14 @@
 
 /// A refusal with the time at which to come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turned {
+pub struct Rejection {
     /// Why.
     pub refusal: Refusal,
     /// When to come back.
     pub retry_after: Duration,
 }
 
-impl Turned {
+impl Rejection {
     /// Makes the message that tells the front.
     pub fn message(self, ticket: Ticket) -> Message {
         Message::Refused { ticket, refusal: self.refusal, retry_after: self.retry_after }
@@ -190,14 +190,14 @@
     /// It gets engines.
     Grant(Placement),
     /// Its first token would come too late even with the best engines there are.
-    Refuse(Turned),
+    Refuse(Rejection),
 }
 
 /// Finds the request to decide on next: one for which engines are free now, or which no engines
 /// could serve in time any more.
-pub fn next(now: Time, site: &Site, pool: &Pool) -> Option<(Ticket, Decision)> {
+pub fn next_decision(now: Time, site: &Site, pool: &Pool) -> Option<(Ticket, Decision)> {
     let order = pool.queue().in_order();
-    let ahead = now + PREFILL_AHEAD;
+    let ahead = now + PREFILL_LEAD_TIME;
     for waiting in order {
         // A request that finds no room lets smaller ones pass: it is refused soon if it never
         // finds any, so that it is not passed for ever.
@@ -209,8 +209,8 @@
         // The link may be what makes it late: waiting does not help, since the link's own backlog
         // does not shrink faster than time passes.
         let ticket = waiting.ask.ticket;
-        if let Some(turned) = too_late(placement.ready + CALL_TIME, waiting.due) {
-            return Some((ticket, Decision::Refuse(turned)));
+        if let Some(rejection) = too_late(placement.ready + CALL_OVERHEAD, waiting.due) {
+            return Some((ticket, Decision::Refuse(rejection)));
         }
         return Some((ticket, Decision::Grant(placement)));
     }
@@ -218,7 +218,7 @@
 }
 
 /// Refuses a request that comes when those before it leave it no chance.
-pub fn refuse_on_arrival(now: Time, pool: &Pool, waiting: &Waiting) -> Option<Turned> {
+pub fn refuse_on_arrival(now: Time, pool: &Pool, waiting: &Waiting) -> Option<Rejection> {
     let usable = |decodes: bool| {
         pool.engines().values().any(|it| {
             it.is_usable(now) && if decodes { it.role.decodes() } else { it.role.prefills() }
@@ -226,31 +226,31 @@
     };
     if !usable(true) || !usable(false) {
         let retry_after = Duration::from_secs(2);
-        return Some(Turned { refusal: Refusal::Unavailable, retry_after });
+        return Some(Rejection { refusal: Refusal::Unavailable, retry_after });
     }
-    if !could_ever_hold(pool, waiting) {
-        return Some(Turned { refusal: Refusal::Invalid, retry_after: Duration::ZERO });
+    if !fits_any_engine(pool, waiting) {
+        return Some(Rejection { refusal: Refusal::Invalid, retry_after: Duration::ZERO });
     }
     let first_token = expected_first_token(now, pool, waiting);
     too_late(first_token, waiting.due)
 }
 
 /// Lists those waiting who can't meet their target any more even if they were next.
-pub fn refuse_late(now: Time, pool: &Pool) -> Vec<(Ticket, Turned)> {
+pub fn find_late(now: Time, pool: &Pool) -> Vec<(Ticket, Rejection)> {
     let best_rate = best_rate(pool, now);
     let mut late = Vec::new();
     for waiting in pool.queue().in_order() {
         let prefill = seconds(f64::from(waiting.ask.prompt_tokens) / best_rate.max(1.0));
-        let first_token = now + prefill + CALL_TIME;
-        if let Some(turned) = too_late(first_token, waiting.due) {
-            late.push((waiting.ask.ticket, turned));
+        let first_token = now + prefill + CALL_OVERHEAD;
+        if let Some(rejection) = too_late(first_token, waiting.due) {
+            late.push((waiting.ask.ticket, rejection));
         }
     }
     late
 }
 
 /// Learns how much slower than described an engine computes prompts.
-pub fn learn_rate(engine: &mut Engine, expected: Duration, took: Duration) {
+pub fn update_slowness(engine: &mut Engine, expected: Duration, took: Duration) {
     if expected < Duration::from_millis(5) {
         return;
     }
@@ -261,8 +261,8 @@
 
 /// Drops the hints that have aged, and the oldest where there are too many.
 pub fn forget_prefixes(now: Time, engine: &mut Engine) {
-    engine.prefixes.retain(|_, seen| now.since(*seen) < PREFIX_LIFE);
-    while engine.prefixes.len() > MOST_PREFIXES {
+    engine.prefixes.retain(|_, seen| now.since(*seen) < PREFIX_TTL);
+    while engine.prefixes.len() > MAX_PREFIXES {
         let oldest = engine.prefixes.iter().min_by_key(|(_, seen)| **seen).map(|(it, _)| *it);
         let Some(oldest) = oldest else { return };
         engine.prefixes.remove(&oldest);
@@ -279,18 +279,25 @@
             continue;
         }
         let prefill_time = prefill_time(engine, &waiting.ask);
-        let prefill_end = engine.prefill_free.max(now) + prefill_time;
+        let prefill_end = engine.prefill_free_at.max(now) + prefill_time;
         for (&data_centre, &(free, decode)) in &decodes {
-            let link = ordered(engine.data_centre, data_centre);
-            let crossing = seconds(kv_bytes as f64 / link_rate(site, link) as f64);
+            let link = link_id(engine.data_centre, data_centre);
+            let transfer_time = seconds(kv_bytes as f64 / link_rate(site, link) as f64);
             let row = pool.link(link);
-            let ready = prefill_end.max(row.free(now)) + row.crossing(crossing);
-            let rank = (ready.as_micros() / READY_STEP, std::cmp::Reverse(free));
+            let ready = prefill_end.max(row.free_at(now)) + row.transfer_time(transfer_time);
+            let rank = (ready.as_micros() / READY_STEP_US, std::cmp::Reverse(free));
             if best.as_ref().is_some_and(|(other, _)| *other <= rank) {
                 continue;
             }
-            let placement =
-                Placement { prefill: id, decode, link, prefill_time, crossing, prefill_end, ready };
+            let placement = Placement {
+                prefill: id,
+                decode,
+                link,
+                prefill_time,
+                transfer_time,
+                prefill_end,
+                ready,
+            };
             best = Some((rank, placement));
         }
     }
@@ -347,14 +354,14 @@
     let (mut rate, mut backlog, mut engines) = (0.0, 0.0, 0.0);
     for engine in pool.engines().values().filter(|it| it.role.prefills() && it.is_usable(now)) {
         rate += engine.prefill_rate / engine.slowness;
-        backlog += engine.prefill_free.since(now).as_secs_f64();
+        backlog += engine.prefill_free_at.since(now).as_secs_f64();
         engines += 1.0;
     }
     let own = f64::from(waiting.ask.prompt_tokens) / best_rate(pool, now).max(1.0);
     let prefill = backlog / f64::max(engines, 1.0) + tokens_ahead / f64::max(rate, 1.0);
     let memory_ahead: u64 = ahead.iter().map(|it| u64::from(it.tokens())).sum();
     let decode = decode_free_at(now, pool, memory_ahead + u64::from(waiting.tokens()));
-    (now + seconds(prefill)).max(decode) + seconds(own) + CALL_TIME
+    (now + seconds(prefill)).max(decode) + seconds(own) + CALL_OVERHEAD
 }
 
 /// Expects when the decode engines together have an amount of memory free, in tokens.
@@ -382,16 +389,16 @@
 }
 
 /// Refuses when a first token would come after it is due.
-fn too_late(first_token: Time, due: Time) -> Option<Turned> {
+fn too_late(first_token: Time, due: Time) -> Option<Rejection> {
     if first_token <= due {
         return None;
     }
-    let retry_after = first_token.since(due).max(SHORTEST_RETRY);
-    Some(Turned { refusal: Refusal::TooLate, retry_after })
+    let retry_after = first_token.since(due).max(MIN_RETRY_AFTER);
+    Some(Rejection { refusal: Refusal::TooLate, retry_after })
 }
 
 /// Tells whether some engine that decodes is large enough at all.
-fn could_ever_hold(pool: &Pool, waiting: &Waiting) -> bool {
+fn fits_any_engine(pool: &Pool, waiting: &Waiting) -> bool {
     let need = u64::from(waiting.tokens());
     pool.engines().values().any(|it| it.role.decodes() && it.memory_tokens >= need)
 }
@@ -428,12 +435,12 @@
 /// Gives a link's rate, in bytes a second.
 fn link_rate(site: &Site, link: (DataCentreId, DataCentreId)) -> u64 {
     let ends =
-        |it: &crate::site::Link| ordered(DataCentreId::of(&it.from), DataCentreId::of(&it.to));
+        |it: &crate::site::Link| link_id(DataCentreId::of(&it.from), DataCentreId::of(&it.to));
     let named = site.links.iter().find(|it| ends(it) == link);
-    named.map_or(DEFAULT_LINK, |it| it.bytes_per_second.max(1))
+    named.map_or(DEFAULT_LINK_BYTES_PER_S, |it| it.bytes_per_second.max(1))
 }
 
 /// Names a link the same way from both ends.
-fn ordered(a: DataCentreId, b: DataCentreId) -> (DataCentreId, DataCentreId) {
+fn link_id(a: DataCentreId, b: DataCentreId) -> (DataCentreId, DataCentreId) {
     (a.min(b), a.max(b))
 }
--- a/crates/hollyspoke/src/pool/engine.rs
+++ b/crates/hollyspoke/src/pool/engine.rs
@@ -27,7 +27,7 @@
     /// The decode memory granted, in tokens.
     pub reserved: u64,
     /// When it is expected to have computed all prompts granted.
-    pub prefill_free: Time,
+    pub prefill_free_at: Time,
     /// How much slower than the site's file says it computes prompts; 1 is as described.
     pub slowness: f64,
     /// The memory that its last report showed in use, in tokens.
@@ -39,9 +39,9 @@
     /// When each prefix was last computed here; a hint that ages.
     pub prefixes: BTreeMap<u32, Time>,
     /// Failed polls in a row, without a success of a request between.
-    pub silent_polls: u32,
+    pub failed_polls: u32,
     /// Whether it is taken to be dead for its silence.
-    pub silent: bool,
+    pub is_unresponsive: bool,
 }
 
 impl Engine {
@@ -56,27 +56,27 @@
             token_time: engine.token_time,
             leaving: engine.leaving,
             reserved: 0,
-            prefill_free: Time::ZERO,
+            prefill_free_at: Time::ZERO,
             slowness: 1.0,
             reported: None,
             full_until: Time::ZERO,
             health: Health::default(),
             prefixes: BTreeMap::new(),
-            silent_polls: 0,
-            silent: false,
+            failed_polls: 0,
+            is_unresponsive: false,
         }
     }
 
     /// Tells whether it may be given new work.
     pub fn is_usable(&self, now: Time) -> bool {
-        !self.leaving && !self.health.is_out(now) && !self.silent
+        !self.leaving && !self.health.is_out(now) && !self.is_unresponsive
     }
 
     /// Notes that a request succeeded here, which is as good as a report.
     pub fn succeed(&mut self, now: Time) {
         self.health.succeed(now);
-        self.silent_polls = 0;
-        self.silent = false;
+        self.failed_polls = 0;
+        self.is_unresponsive = false;
     }
 
     /// Gives the memory that may still be granted, in tokens.
--- a/crates/hollyspoke/src/pool/learn.rs
+++ b/crates/hollyspoke/src/pool/feedback.rs
@@ -6,7 +6,9 @@
 use crate::health;
 use crate::key::Ticket;
 use crate::message::{End, Stage};
-use crate::pool::{Engine, FULL_FOR, Held, LENGTH_WEIGHT, Pool, SETTLE, STRAY_AFTER};
+use crate::pool::{
+    Engine, FULL_BACKOFF, HeldGrant, LENGTH_WEIGHT, Pool, SETTLE_TIMEOUT, STRAY_GRACE,
+};
 use crate::site::UpstreamId;
 use crate::time::Time;
 
@@ -17,45 +19,50 @@
         let leaving = cx.site.engine(id).is_some_and(|it| it.leaving);
         let Some(engine) = self.engines.get_mut(&id) else { return };
         let Some(report) = report else {
-            engine.silent_polls += 1;
-            self.judge_silence();
+            engine.failed_polls += 1;
+            self.update_unresponsive();
             return;
         };
-        if engine.silent {
+        if engine.is_unresponsive {
             cx.note(format!("engine at {} answers again", engine.address));
         }
-        engine.silent_polls = 0;
-        engine.silent = false;
+        engine.failed_polls = 0;
+        engine.is_unresponsive = false;
         engine.leaving = leaving || report.leaving;
         engine.reported = Some(report.used_tokens);
-        self.sweep(cx, id, &report.streams);
+        self.cancel_strays(cx, id, &report.streams);
         self.strays.retain(|(on, ticket), _| *on != id || report.streams.contains(ticket));
-        if now.since(self.since) < SETTLE {
+        if now.since(self.since) < SETTLE_TIMEOUT {
             return;
         }
-        self.pump(cx);
+        self.process_queue(cx);
     }
 
     /// Decides which engines are taken to be dead for their silence. When most are silent it is
     /// the reports that have stopped, and not the engines.
-    pub(super) fn judge_silence(&mut self) {
-        let silent = |it: &Engine| it.silent_polls >= health::FAILURES;
-        let count = self.engines.values().filter(|it| silent(it)).count();
-        let most = count * 2 > self.engines.len();
+    pub(super) fn update_unresponsive(&mut self) {
+        let has_failed_polls = |it: &Engine| it.failed_polls >= health::EJECTION_FAILURES;
+        let count = self.engines.values().filter(|it| has_failed_polls(it)).count();
+        let is_majority = count * 2 > self.engines.len();
         for engine in self.engines.values_mut() {
-            engine.silent = silent(engine) && !most;
+            engine.is_unresponsive = has_failed_polls(engine) && !is_majority;
         }
     }
 
     /// Learns how long answers are against what was asked for.
-    pub(super) fn learn_length(&mut self, held: &Held, end: End) {
+    pub(super) fn update_answer_share(&mut self, held: &HeldGrant, end: End) {
         let End::Done { tokens } = end else { return };
         let share = f64::from(tokens) / f64::from(held.grant.max_tokens.max(1));
         self.answer_share += LENGTH_WEIGHT * (share.min(1.0) - self.answer_share);
     }
 
     /// Stops the streams on an engine which the ledger has not known for some time.
-    pub(super) fn sweep(&mut self, cx: &mut Context<'_>, engine: UpstreamId, streams: &[Ticket]) {
+    pub(super) fn cancel_strays(
+        &mut self,
+        cx: &mut Context<'_>,
+        engine: UpstreamId,
+        streams: &[Ticket],
+    ) {
         let now = cx.now;
         for &ticket in streams {
             if self.grants.contains_key(&ticket) {
@@ -63,8 +70,8 @@
                 continue;
             }
             let since = *self.strays.entry((engine, ticket)).or_insert(now);
-            let waited = now.since(since) >= STRAY_AFTER;
-            if !waited || now.since(self.since) < STRAY_AFTER {
+            let waited = now.since(since) >= STRAY_GRACE;
+            if !waited || now.since(self.since) < STRAY_GRACE {
                 continue;
             }
             let Some(row) = self.engines.get(&engine) else { return };
@@ -74,9 +81,10 @@
 
     /// Learns from a transfer that did not come to its end; tells whether its link is to blame
     /// and not the engine.
-    pub(super) fn learn_stalled(&mut self, now: Time, ticket: Ticket, end: End) -> bool {
+    pub(super) fn record_stalled_transfer(&mut self, now: Time, ticket: Ticket, end: End) -> bool {
         let Some(held) = self.grants.get(&ticket) else { return false };
-        let (Stage::Transfer, Some((link, crossing))) = (held.grant.stage, held.crossing) else {
+        let (Stage::Transfer, Some((link, transfer_time))) = (held.grant.stage, held.transfer)
+        else {
             return false;
         };
         if !matches!(end, End::Failed(_)) {
@@ -84,18 +92,18 @@
         }
         let waited = now.since(held.since);
         let link = self.links.entry(link).or_default();
-        link.learn_stalled(waited, crossing);
-        link.is_to_blame()
+        link.record_stall(waited, transfer_time);
+        link.explains_stall()
     }
 
     /// Learns from how an attempt ended.
-    pub(super) fn learn_from(&mut self, cx: &mut Context<'_>, end: End) {
+    pub(super) fn record_outcome(&mut self, cx: &mut Context<'_>, end: End) {
         let now = cx.now;
         match end {
             End::Done { .. } | End::Cancelled => {}
             End::Full(id) => {
                 if let Some(engine) = self.engines.get_mut(&id) {
-                    engine.full_until = now + FULL_FOR;
+                    engine.full_until = now + FULL_BACKOFF;
                 }
             }
             End::Failed(id) => {
--- a/crates/hollyspoke/src/pool/link.rs
+++ b/crates/hollyspoke/src/pool/link.rs
@@ -8,14 +8,14 @@
 const RATE_WEIGHT: f64 = 0.3;
 
 /// The shortest expected time of a transfer from which the rate is learnt.
-const SHORTEST: Duration = Duration::from_millis(5);
+const MIN_MEASURED_TRANSFER: Duration = Duration::from_millis(5);
 
 /// How much slower than described a link may be taken to be.
-const MOST_SLOWNESS: f64 = 100.0;
+const MAX_SLOWNESS: f64 = 100.0;
 
 /// How much slower than described a link must be for a stalled transfer to be blamed on it and
 /// not on the engine.
-const BLAME: f64 = 2.0;
+const STALL_SLOWNESS: f64 = 2.0;
 
 /// A link's row: what was granted that has yet to cross it.
 #[derive(Debug, Clone, Copy)]
@@ -36,12 +36,12 @@
 
 impl Link {
     /// Gives when all that was granted is expected to have crossed.
-    pub fn free(&self, now: Time) -> Time {
+    pub fn free_at(&self, now: Time) -> Time {
         now + self.outstanding.mul_f64(self.slowness)
     }
 
     /// Gives how long a transfer takes that takes some time at the described rate.
-    pub fn crossing(&self, described: Duration) -> Duration {
+    pub fn transfer_time(&self, described: Duration) -> Duration {
         described.mul_f64(self.slowness)
     }
 
@@ -59,29 +59,29 @@
     ///
     /// Transfers cross one after another, or share the link, which comes to the same: between two
     /// ends the link carried one transfer's bytes.
-    pub fn learn(&mut self, now: Time, began: Time, described: Duration) {
+    pub fn record_transfer(&mut self, now: Time, began: Time, described: Duration) {
         let took = now.since(began.max(self.last_end));
         self.last_end = now;
-        if described < SHORTEST {
+        if described < MIN_MEASURED_TRANSFER {
             return;
         }
-        let seen = (took.as_secs_f64() / described.as_secs_f64()).clamp(1.0, MOST_SLOWNESS);
+        let seen = (took.as_secs_f64() / described.as_secs_f64()).clamp(1.0, MAX_SLOWNESS);
         self.slowness += RATE_WEIGHT * (seen - self.slowness);
     }
 
     /// Learns from a transfer that has not ended after a time.
-    pub fn learn_stalled(&mut self, waited: Duration, described: Duration) {
-        if described < SHORTEST {
+    pub fn record_stall(&mut self, waited: Duration, described: Duration) {
+        if described < MIN_MEASURED_TRANSFER {
             return;
         }
-        let least = (waited.as_secs_f64() / described.as_secs_f64()).min(MOST_SLOWNESS);
-        if least > self.slowness {
-            self.slowness += RATE_WEIGHT * (least - self.slowness);
+        let min_slowness = (waited.as_secs_f64() / described.as_secs_f64()).min(MAX_SLOWNESS);
+        if min_slowness > self.slowness {
+            self.slowness += RATE_WEIGHT * (min_slowness - self.slowness);
         }
     }
 
     /// Tells whether the link is so slow that it explains a stalled transfer.
-    pub fn is_to_blame(&self) -> bool {
-        self.slowness >= BLAME
+    pub fn explains_stall(&self) -> bool {
+        self.slowness >= STALL_SLOWNESS
     }
 }
--- a/crates/hollyspoke/src/quota.rs
+++ b/crates/hollyspoke/src/quota.rs
@@ -8,13 +8,13 @@
 //! A box that does not hear some of the others can't know what those let through, nor can they know
 //! about it. Each then leaves the others an equal part of the rate; a box that hears nobody has its
 //! own part alone. A site whose boxes tell each other nothing is the same case
-//! ([`Picture::alone`]).
+//! ([`Visibility::isolated`]).
 //!
 //! What others have yet to tell counts as much as they told of late. A box that has just started has
 //! no history: until others tell it the level, it lets through what it has earned since.
 
 mod bucket;
-mod heard;
+mod peer;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,21 +24,21 @@
 
 use crate::time::Time;
 use bucket::{Bucket, View};
-use heard::{Heard, News};
+use peer::{MeanAge, PeerTotals};
 
 /// The share of the tolerance that may cover what unheard boxes let through, before the others
 /// leave a part of the rate to them. The rest is for starts, and for the moments until boxes that are
 /// cut off are missed (`docs/design/shifted.md`).
-const UNHEARD_SHARE: f64 = 0.2;
+const UNREACHABLE_SHARE: f64 = 0.2;
 
 /// How long the totals of a silent box are kept. Members are forgotten after the same time.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const SILENT_PEER_TTL: Duration = Duration::from_secs(60);
 
 /// The boxes that one takes to be there which has heard nobody and was not told how many there are:
 /// the largest deployment that is designed for (`docs/CAPACITY.md`). Too many only make its part of
 /// a limit small until it hears somebody; too few let boxes that start while they are cut off use
 /// what is not theirs.
-pub const MOST_BOXES: usize = 1500;
+pub const MAX_BOXES: usize = 1500;
 
 /// What a customer may ask for, in units of its own: requests, or tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -70,45 +70,45 @@
     }
 
     /// Gives the share of the rate that unheard boxes may use while the sum stays within bounds.
-    fn unheard_share(&self, limit: Limit) -> f64 {
+    fn unreachable_share(&self, limit: Limit) -> f64 {
         let whole = limit.rate * self.window.as_secs_f64();
-        if whole > 0.0 { self.units(limit) * UNHEARD_SHARE / whole } else { 0.0 }
+        if whole > 0.0 { self.units(limit) * UNREACHABLE_SHARE / whole } else { 0.0 }
     }
 }
 
 /// How many boxes there are, and how many of them this one does not hear.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Picture {
+pub struct Visibility {
     /// All boxes that may let requests through, this one included.
     pub boxes: usize,
     /// Those of them that are not heard.
-    pub unheard: usize,
+    pub unreachable: usize,
 }
 
-impl Picture {
+impl Visibility {
     /// Gives the picture of a box that hears others.
-    pub fn heard(boxes: usize, others: usize) -> Picture {
-        Picture { boxes, unheard: boxes.saturating_sub(1 + others) }
+    pub fn connected(boxes: usize, others: usize) -> Visibility {
+        Visibility { boxes, unreachable: boxes.saturating_sub(1 + others) }
     }
 
     /// Gives the picture of one of several boxes that tell each other nothing.
-    pub fn alone(boxes: usize) -> Picture {
+    pub fn isolated(boxes: usize) -> Visibility {
         let boxes = boxes.max(1);
-        Picture { boxes, unheard: boxes - 1 }
+        Visibility { boxes, unreachable: boxes - 1 }
     }
 
     /// Gives the part of the boxes that is heard, this one included.
-    fn heard_part(self) -> f64 {
-        1.0 - self.unheard as f64 / self.boxes.max(1) as f64
+    fn reachable_part(self) -> f64 {
+        1.0 - self.unreachable as f64 / self.boxes.max(1) as f64
     }
 
     /// Gives the share of a limit that the heard boxes have together. Only a side with most of the
     /// boxes may count on the tolerance: there is one such side at most.
-    fn heard_share(self, tolerance: &Tolerance, limit: Limit) -> f64 {
+    fn reachable_share(self, tolerance: &Tolerance, limit: Limit) -> f64 {
         let boxes = self.boxes.max(1) as f64;
-        let unheard = self.unheard as f64 / boxes;
-        let covered = if unheard < 0.5 { tolerance.unheard_share(limit) } else { 0.0 };
-        (1.0 - (unheard - covered).max(0.0)).max(1.0 / boxes)
+        let unreachable = self.unreachable as f64 / boxes;
+        let covered = if unreachable < 0.5 { tolerance.unreachable_share(limit) } else { 0.0 };
+        (1.0 - (unreachable - covered).max(0.0)).max(1.0 / boxes)
     }
 }
 
@@ -130,15 +130,15 @@
     /// How exactly limits are kept.
     tolerance: Tolerance,
     /// The boxes.
-    picture: Picture,
+    visibility: Visibility,
     /// The limits in force.
     limits: BTreeMap<K, Limit>,
     /// The buckets of customers that were seen.
     buckets: BTreeMap<K, Bucket>,
     /// What the others have told.
-    heard: BTreeMap<SocketAddr, Heard<K>>,
+    peers: BTreeMap<SocketAddr, PeerTotals<K>>,
     /// How old the others' last words are in the mean.
-    news: News,
+    mean_age: MeanAge,
 }
 
 impl<K: Copy + Ord> Quota<K> {
@@ -146,11 +146,11 @@
     pub fn new(tolerance: Tolerance) -> Quota<K> {
         Quota {
             tolerance,
-            picture: Picture { boxes: 1, unheard: 0 },
+            visibility: Visibility { boxes: 1, unreachable: 0 },
             limits: BTreeMap::new(),
             buckets: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            news: News { age: Duration::ZERO, at: Time::ZERO },
+            peers: BTreeMap::new(),
+            mean_age: MeanAge { age: Duration::ZERO, at: Time::ZERO },
         }
     }
 
@@ -173,17 +173,17 @@
     }
 
     /// Takes how many boxes there are and are heard now, and forgets those silent for long.
-    pub fn see(&mut self, now: Time, picture: Picture) {
-        self.heard.retain(|_, it| now.since(it.at) < FORGOTTEN_AFTER);
-        if picture == self.picture {
+    pub fn set_visibility(&mut self, now: Time, visibility: Visibility) {
+        self.peers.retain(|_, it| now.since(it.at) < SILENT_PEER_TTL);
+        if visibility == self.visibility {
             return;
         }
         let old = self.view(now);
-        let new = View { picture, ..old };
+        let new = View { visibility, ..old };
         for bucket in self.buckets.values_mut() {
-            bucket.see(&old, &new);
+            bucket.set_visibility(&old, &new);
         }
-        self.picture = picture;
+        self.visibility = visibility;
     }
 
     /// Lets a customer's request through if its limit allows that; a customer without a limit is
@@ -206,7 +206,7 @@
 
     /// Takes in what another box has let through. A complete list names all customers that the box
     /// has let through anything for.
-    pub fn hear(
+    pub fn apply_announcement(
         &mut self,
         now: Time,
         sender: SocketAddr,
@@ -214,19 +214,19 @@
         accounts: &[Account<K>],
         is_complete: bool,
     ) {
-        self.news.take(now, self.picture);
-        let heard = self.heard.entry(sender).or_insert_with(|| Heard::new(incarnation, now));
-        if heard.incarnation != incarnation {
+        self.mean_age.record_contact(now, self.visibility);
+        let peer = self.peers.entry(sender).or_insert_with(|| PeerTotals::new(incarnation, now));
+        if peer.incarnation != incarnation {
             // A new life of a known box began at zero.
-            *heard = Heard { is_complete: true, ..Heard::new(incarnation, now) };
+            *peer = PeerTotals { is_complete: true, ..PeerTotals::new(incarnation, now) };
         }
-        let silence = now.since(heard.at);
-        heard.at = now;
-        let knows_all = heard.is_complete;
-        heard.is_complete |= is_complete;
+        let silence = now.since(peer.at);
+        peer.at = now;
+        let knows_all = peer.is_complete;
+        peer.is_complete |= is_complete;
         let mut changes = Vec::new();
         for account in accounts {
-            let before = heard.totals.insert(account.customer, account.total);
+            let before = peer.totals.insert(account.customer, account.total);
             let before = before.or(knows_all.then_some(0)).unwrap_or(account.total);
             changes.push((*account, account.total.wrapping_sub(before) as i32));
         }
@@ -236,14 +236,14 @@
     }
 
     /// Gives the totals that others have yet to hear.
-    pub fn take_untold(&mut self, now: Time) -> Vec<Account<K>> {
-        let mut untold = Vec::new();
+    pub fn take_unannounced(&mut self, now: Time) -> Vec<Account<K>> {
+        let mut unannounced = Vec::new();
         for (&customer, bucket) in &mut self.buckets {
-            if bucket.take_telling() {
-                untold.push(bucket.account(customer, now));
+            if bucket.take_announcement() {
+                unannounced.push(bucket.account(customer, now));
             }
         }
-        untold
+        unannounced
     }
 
     /// Gives all totals.
@@ -269,7 +269,7 @@
         let is_known = self.buckets.contains_key(&account.customer);
         let units = if is_known { units } else { units.max(0.0) };
         if let Some(bucket) = self.bucket(now, account.customer) {
-            bucket.hear(units, account.level, silence, &view);
+            bucket.apply_announcement(units, account.level, silence, &view);
         }
     }
 
@@ -284,7 +284,7 @@
 
     /// Gives what all buckets go by at a time.
     fn view(&self, now: Time) -> View {
-        let (picture, tolerance) = (self.picture, self.tolerance);
-        View { now, picture, tolerance, age: self.news.age_at(now) }
+        let (visibility, tolerance) = (self.visibility, self.tolerance);
+        View { now, visibility, tolerance, age: self.mean_age.age_at(now) }
     }
 }
--- a/crates/hollyspoke/src/quota/bucket.rs
+++ b/crates/hollyspoke/src/quota/bucket.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::{Account, Limit, Picture, Tolerance};
+use super::{Account, Limit, Tolerance, Visibility};
 use crate::time::{Time, seconds};
 
 /// The level from which on a request passes at boxes that all hear each other, in units. One that
 /// is larger than what is left passes too and leaves a debt, so that small requests can't starve
 /// large ones.
-const LEAST_LEVEL: f64 = 1.0;
+const MIN_LEVEL: f64 = 1.0;
 
 /// The share of the tolerance that a bucket starts with at the start of its box, up to the burst.
 /// All boxes may start at once, and twice within a window; each time the customer gets this part
@@ -17,22 +17,22 @@
 
 /// How long a box that has just started takes its levels from the others: they have the history
 /// that it lacks.
-const YOUNG_FOR: Duration = Duration::from_secs(3);
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
 /// How often a total that has changed is told, so that it arrives although messages are lost. Where
 /// 3 in 100 are lost, two in a row are one in 1,100; all totals together mend that some seconds later.
-const TOLD_TIMES: u8 = 2;
+const ANNOUNCEMENT_COUNT: u8 = 2;
 
 /// The silence after which a box's next total holds what it let through unheard.
-const UNHEARD_AFTER: Duration = Duration::from_secs(1);
+const SILENCE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// The span over which it is measured how fast the others let through for a customer: long against
 /// the time between two heartbeats, short against the window of a bound.
-const PACE_SPAN: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// The share of a burst that is kept at most for what the others may have let through and not told
 /// yet, so that late news can't stop a customer that is far below its limit.
-const MOST_UNTOLD: f64 = 0.5;
+const MAX_UNANNOUNCED_SHARE: f64 = 0.5;
 
 /// What all buckets of a box go by at a time.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
     /// The time.
     pub(super) now: Time,
     /// The boxes.
-    pub(super) picture: Picture,
+    pub(super) visibility: Visibility,
     /// How exactly limits are kept.
     pub(super) tolerance: Tolerance,
     /// How old the others' last words are in the mean.
@@ -62,18 +62,18 @@
     /// once others have told the level. A box that starts does not know of debts that it made
     /// before: it must not make another at once.
     earned: Option<f64>,
-    /// What the others told of late, which fades over [`PACE_SPAN`].
-    told: f64,
+    /// What the others told of late, which fades over [`RATE_WINDOW`].
+    recent_units: f64,
     /// All units that this box has let through; it wraps.
     total: u32,
     /// How often the total is still to be told.
-    telling: u8,
+    announcements_left: u8,
 }
 
 impl View {
     /// Gives the share of a limit that the heard boxes have together.
     pub(super) fn share(&self, limit: Limit) -> f64 {
-        self.picture.heard_share(&self.tolerance, limit)
+        self.visibility.reachable_share(&self.tolerance, limit)
     }
 }
 
@@ -88,11 +88,11 @@
             limit,
             level,
             filled: view.now,
-            is_guessed: age < YOUNG_FOR,
+            is_guessed: age < STARTUP_PERIOD,
             earned: Some(level),
-            told: 0.0,
+            recent_units: 0.0,
             total: 0,
-            telling: 0,
+            announcements_left: 0,
         };
         bucket.fill(view);
         bucket
@@ -101,10 +101,10 @@
     /// Brings the level up to a time.
     pub(super) fn fill(&mut self, view: &View) {
         let share = view.share(self.limit);
-        let span = view.now.since(self.filled).as_secs_f64();
-        let earned = self.limit.rate * share * span;
-        self.told *= (-span / PACE_SPAN.as_secs_f64()).exp();
-        self.level = (self.level + earned).min(most_level(share, self.limit));
+        let elapsed_s = view.now.since(self.filled).as_secs_f64();
+        let earned = self.limit.rate * share * elapsed_s;
+        self.recent_units *= (-elapsed_s / RATE_WINDOW.as_secs_f64()).exp();
+        self.level = (self.level + earned).min(max_level(share, self.limit));
         self.earned = self.earned.map(|it| it + earned);
         self.filled = view.now;
     }
@@ -116,11 +116,11 @@
     }
 
     /// Takes that more boxes or fewer are heard.
-    pub(super) fn see(&mut self, old: &View, new: &View) {
+    pub(super) fn set_visibility(&mut self, old: &View, new: &View) {
         self.fill(old);
         self.share_start(old, new);
-        let part = new.picture.heard_part() / old.picture.heard_part();
-        self.told *= part.min(1.0);
+        let part = new.visibility.reachable_part() / old.visibility.reachable_part();
+        self.recent_units *= part.min(1.0);
     }
 
     /// Lets a request through.
@@ -135,7 +135,7 @@
         }
         self.change(units as f64);
         self.total = self.total.wrapping_add(units as u32);
-        self.telling = TOLD_TIMES;
+        self.announcements_left = ANNOUNCEMENT_COUNT;
         Ok(())
     }
 
@@ -143,12 +143,18 @@
     pub(super) fn give_back(&mut self, units: u64) {
         self.change(-(units as f64));
         self.total = self.total.wrapping_sub(units as u32);
-        self.telling = TOLD_TIMES;
+        self.announcements_left = ANNOUNCEMENT_COUNT;
     }
 
     /// Takes in what another box has let through since it told before, and after which silence. A
     /// bucket that is new was full until now, so that this is all that is missing.
-    pub(super) fn hear(&mut self, units: f64, level: Option<i32>, silence: Duration, view: &View) {
+    pub(super) fn apply_announcement(
+        &mut self,
+        units: f64,
+        level: Option<i32>,
+        silence: Duration,
+        view: &View,
+    ) {
         if self.is_guessed_at(view.now)
             && let Some(level) = level
         {
@@ -157,8 +163,8 @@
             self.level = f64::from(level) - f64::from(self.total);
             return;
         }
-        self.told += units;
-        self.level -= units - left_to_unheard(self.limit, view.picture, units, silence);
+        self.recent_units += units;
+        self.level -= units - unreachable_allowance(self.limit, view.visibility, units, silence);
     }
 
     /// Gives what a customer may still use.
@@ -168,40 +174,40 @@
 
     /// Tells whether the box has let anything through that others may have to hear.
     pub(super) fn is_used(&self) -> bool {
-        self.total != 0 || self.telling > 0
+        self.total != 0 || self.announcements_left > 0
     }
 
     /// Tells whether there is a change that others must hear soon, since less than half of the
     /// burst is left.
     pub(super) fn is_urgent(&self) -> bool {
-        self.telling == TOLD_TIMES && self.level < self.limit.burst * 0.5
+        self.announcements_left == ANNOUNCEMENT_COUNT && self.level < self.limit.burst * 0.5
     }
 
     /// Tells whether a change is to be told now, and counts that it is.
-    pub(super) fn take_telling(&mut self) -> bool {
-        let is_untold = self.telling > 0;
-        self.telling = self.telling.saturating_sub(1);
-        is_untold
+    pub(super) fn take_announcement(&mut self) -> bool {
+        let is_unannounced = self.announcements_left > 0;
+        self.announcements_left = self.announcements_left.saturating_sub(1);
+        is_unannounced
     }
 
     /// Gives the units that are missing for a request to pass.
     fn missing(&self, units: u64, view: &View) -> f64 {
         let share = view.share(self.limit);
         let owed = units as f64 * (1.0 - share);
-        let needed = needed(units, share, self.limit) + self.untold(share, view.age);
+        let needed = needed(units, share, self.limit) + self.unannounced(share, view.age);
         // A full bucket is enough where others go on telling; alone, what they told soon fades.
-        let is_alone = view.picture.unheard + 1 >= view.picture.boxes;
-        let most = if is_alone { f64::INFINITY } else { most_level(share, self.limit) };
-        let of_level = needed.min(most) - self.level;
+        let is_alone = view.visibility.unreachable + 1 >= view.visibility.boxes;
+        let max = if is_alone { f64::INFINITY } else { max_level(share, self.limit) };
+        let of_level = needed.min(max) - self.level;
         let of_earned = self.earned.map_or(0.0, |it| owed - it);
         of_level.max(of_earned).max(0.0)
     }
 
     /// Gives what the others have let through and not told yet if they go on as before.
-    fn untold(&self, share: f64, age: Duration) -> f64 {
-        let pace = self.told / PACE_SPAN.as_secs_f64();
-        let most = self.limit.burst * share * MOST_UNTOLD;
-        (pace * age.as_secs_f64()).clamp(0.0, most)
+    fn unannounced(&self, share: f64, age: Duration) -> f64 {
+        let rate = self.recent_units / RATE_WINDOW.as_secs_f64();
+        let max = self.limit.burst * share * MAX_UNANNOUNCED_SHARE;
+        (rate * age.as_secs_f64()).clamp(0.0, max)
     }
 
     /// Adds what a bucket of a box that has just started has from the boxes that it hears since.
@@ -216,7 +222,7 @@
 
     /// Tells whether the level is no more than a guess of a box that has just started.
     fn is_guessed_at(&self, now: Time) -> bool {
-        self.is_guessed && now.since(Time::ZERO) < YOUNG_FOR
+        self.is_guessed && now.since(Time::ZERO) < STARTUP_PERIOD
     }
 
     /// Takes units away.
@@ -238,21 +244,26 @@
 }
 
 /// Gives the level up to which a bucket fills.
-fn most_level(share: f64, limit: Limit) -> f64 {
-    (limit.burst * share).max(LEAST_LEVEL)
+fn max_level(share: f64, limit: Limit) -> f64 {
+    (limit.burst * share).max(MIN_LEVEL)
 }
 
 /// Gives the level that lets a request through. Boxes that don't hear each other would all make a
 /// debt at once: each may do so only by its share of the request.
 fn needed(units: u64, share: f64, limit: Limit) -> f64 {
-    (units as f64 * (1.0 - share)).clamp(LEAST_LEVEL, most_level(share, limit))
+    (units as f64 * (1.0 - share)).clamp(MIN_LEVEL, max_level(share, limit))
 }
 
 /// Gives what of a total was left to a box while it was not heard, and is not to be counted again.
-fn left_to_unheard(limit: Limit, picture: Picture, units: f64, silence: Duration) -> f64 {
-    if silence < UNHEARD_AFTER {
+fn unreachable_allowance(
+    limit: Limit,
+    visibility: Visibility,
+    units: f64,
+    silence: Duration,
+) -> f64 {
+    if silence < SILENCE_THRESHOLD {
         return 0.0;
     }
-    let part = limit.rate * silence.as_secs_f64() / picture.boxes.max(1) as f64;
+    let part = limit.rate * silence.as_secs_f64() / visibility.boxes.max(1) as f64;
     units.clamp(0.0, part)
 }
--- a/crates/hollyspoke/src/rank.rs
+++ b/crates/hollyspoke/src/rank.rs
@@ -10,13 +10,13 @@
 }
 
 /// Gives a candidate's place for a subject; the first choice has the lowest.
-pub fn place(subject: u64, candidate: u64) -> (Reverse<u64>, u64) {
+pub fn sort_key(subject: u64, candidate: u64) -> (Reverse<u64>, u64) {
     (Reverse(weight(subject, candidate)), candidate)
 }
 
 /// Sorts candidates for a subject, the first choice first.
 pub fn order<T>(subject: u64, candidates: &mut [T], number: impl Fn(&T) -> u64) {
-    candidates.sort_by_key(|it| place(subject, number(it)));
+    candidates.sort_by_key(|it| sort_key(subject, number(it)));
 }
 
 /// Finds the first choice for a subject.
--- a/crates/hollyspoke/src/retry.rs
+++ b/crates/hollyspoke/src/retry.rs
@@ -2,13 +2,13 @@
 //! overload.
 
 /// The share of a retry that each first try earns.
-pub const EARNED: f64 = 0.1;
+pub const EARNED_PER_REQUEST: f64 = 0.1;
 
 /// The most retries that may be saved up.
-pub const MOST_SAVED: f64 = 10.0;
+pub const MAX_SAVED: f64 = 10.0;
 
 /// The most attempts of one request.
-pub const MOST_ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// The retries that may be made now.
 #[derive(Debug, Clone)]
@@ -19,14 +19,14 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { saved: MOST_SAVED }
+        Budget { saved: MAX_SAVED }
     }
 }
 
 impl Budget {
     /// Earns for one first try.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST_SAVED);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
     /// Spends one retry, if there is one.
--- a/crates/hollyspoke/src/site.rs
+++ b/crates/hollyspoke/src/site.rs
@@ -96,7 +96,7 @@
     /// Finds the plain service with the longest prefix of a path.
     pub fn service_of_path(&self, path: &str) -> Option<&Service> {
         let prefix_length = |service: &Service| match &service.kind {
-            Kind::Plain { prefix, .. } if under(path, prefix) => Some(prefix.len()),
+            Kind::Plain { prefix, .. } if is_under_prefix(path, prefix) => Some(prefix.len()),
             Kind::Plain { .. } | Kind::Engines { .. } => None,
         };
         self.services
@@ -107,7 +107,7 @@
 }
 
 /// Tells whether a path is a prefix itself or lies below it.
-fn under(path: &str, prefix: &str) -> bool {
+fn is_under_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
 }
--- a/crates/hollyspoke/src/time.rs
+++ b/crates/hollyspoke/src/time.rs
@@ -39,8 +39,8 @@
 impl Add<Duration> for Time {
     type Output = Time;
 
-    fn add(self, span: Duration) -> Time {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Time {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_add(micros))
     }
 }
@@ -48,8 +48,8 @@
 impl Sub<Duration> for Time {
     type Output = Time;
 
-    fn sub(self, span: Duration) -> Time {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Time {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(micros))
     }
 }
--- a/tests/benches/capacity.rs
+++ b/tests/benches/capacity.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 use bincode::Options;
-use hollyspoke::claim::WRITES_PER_SECOND;
+use hollyspoke::claim::MAX_WRITES_PER_S;
 use hollyspoke::config::Versioned;
 use hollyspoke::effect::Effect;
 use hollyspoke::event::{CallId, Event, Reply};
 use hollyspoke::key::{Incarnation, Ticket};
 use hollyspoke::layout::ShardId;
-use hollyspoke::lease::RENEW;
-use hollyspoke::member::{Beat, Entry, LARGE_BEAT, State};
+use hollyspoke::lease::RENEW_INTERVAL;
+use hollyspoke::member::{Entry, Heartbeat, LARGE_SITE_GOSSIP_INTERVAL, State};
 use hollyspoke::message::{Ask, End, Grant, Message, Stage};
 use hollyspoke::node::Node;
 use hollyspoke::site::{DataCentreId, ServiceId, Site, TenantId, UpstreamId};
@@ -155,7 +155,7 @@
     /// Makes another box known.
     fn meet(&mut self, number: u64) {
         let incarnation = Incarnation(number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let beat = Beat { incarnation, counter: 1, epoch: 1, state: State::Live };
+        let beat = Heartbeat { incarnation, counter: 1, epoch: 1, state: State::Live };
         self.step(Event::Seen(Entry {
             incarnation,
             name: format!("box-{number}"),
@@ -204,8 +204,8 @@
 fn beat_cost(members: u64) -> (f64, f64) {
     let mut it = Box1::new(site(8));
     (1..members).for_each(|number| it.meet(number));
-    let beats: Vec<Beat> = (1..members.min(64))
-        .map(|number| Beat {
+    let beats: Vec<Heartbeat> = (1..members.min(64))
+        .map(|number| Heartbeat {
             incarnation: Incarnation(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             counter: 1 << 20,
             epoch: 100,
@@ -371,7 +371,7 @@
     // What a daemon spends on control, a second.
     let request_bytes: f64 = messages.iter().map(|it| it.1).sum();
     let owners_elsewhere = 1.0 - 1.0 / boxes;
-    let beats = 1.0 / LARGE_BEAT.as_secs_f64();
+    let beats = 1.0 / LARGE_SITE_GOSSIP_INTERVAL.as_secs_f64();
     let flying = per_box * size::REQUEST_SECONDS;
     let owned = engines / boxes;
     let processor = (request.at(32.0) * per_box
@@ -421,7 +421,7 @@
         2000.0,
         "a second",
     );
-    let renewals = size::DATA_CENTRES / RENEW.as_secs_f64();
+    let renewals = size::DATA_CENTRES / RENEW_INTERVAL.as_secs_f64();
     line(&mut page, "leases for orders: reads, and as many writes", renewals, 100.0, "a second");
     line(
         &mut page,
@@ -433,7 +433,7 @@
     line(
         &mut page,
         "writes: claims, 60 a second of each site with many own keys, 20 sites",
-        f64::from(WRITES_PER_SECOND) * size::DATA_CENTRES,
+        f64::from(MAX_WRITES_PER_S) * size::DATA_CENTRES,
         100.0,
         "a second",
     );
--- a/tests/src/quota.rs
+++ b/tests/src/quota.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hollyspoke::quota::{Account, Limit, MOST_BOXES, Picture, Quota, Tolerance};
+use hollyspoke::quota::{Account, Limit, MAX_BOXES, Quota, Tolerance, Visibility};
 use hollyspoke::time::Time;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -216,7 +216,7 @@
         let nobody = SocketAddr::from(([10, 0, 0, 2], 0));
         self.restart(0..self.members.len());
         for member in &mut self.members {
-            member.quota.hear(Time::ZERO, nobody, 0, &[full], true);
+            member.quota.apply_announcement(Time::ZERO, nobody, 0, &[full], true);
         }
     }
 
@@ -285,7 +285,7 @@
             let is_first = self.now.since(self.members[number].began) < TELL_EVERY;
             let member = &mut self.members[number];
             let since = Time::ZERO + self.now.since(member.began);
-            let accounts = member.quota.take_untold(since);
+            let accounts = member.quota.take_unannounced(since);
             let (life, side) = (member.life, member.side);
             for other in 0..self.members.len() {
                 if other == number || self.members[other].side != side {
@@ -323,7 +323,7 @@
         if matches!(sharing, Sharing::Totals | Sharing::TotalsUnminded) {
             let sender = SocketAddr::from(([10, 0, 0, 1], from as u16));
             let now = Time::ZERO + now.since(member.began);
-            member.quota.hear(now, sender, life, accounts, is_complete);
+            member.quota.apply_announcement(now, sender, life, accounts, is_complete);
         }
     }
 
@@ -335,13 +335,13 @@
         let heard = member.heard.values().filter(|&&it| now.since(it) <= PUNCTUAL).count();
         member.most = member.most.max(1 + heard);
         let picture = match self.sharing {
-            Sharing::Parts => Picture::alone(boxes),
+            Sharing::Parts => Visibility::isolated(boxes),
             // One that has heard nobody takes many others to be there.
-            Sharing::Totals if member.heard.is_empty() => Picture::alone(MOST_BOXES),
-            Sharing::Totals => Picture::heard(member.most.max(member.most_by_others), heard),
-            Sharing::TotalsUnminded | Sharing::Whole => Picture { boxes, unheard: 0 },
+            Sharing::Totals if member.heard.is_empty() => Visibility::isolated(MAX_BOXES),
+            Sharing::Totals => Visibility::connected(member.most.max(member.most_by_others), heard),
+            Sharing::TotalsUnminded | Sharing::Whole => Visibility { boxes, unreachable: 0 },
         };
         let now = Time::ZERO + now.since(member.began);
-        member.quota.see(now, picture);
+        member.quota.set_visibility(now, picture);
     }
 }
--- a/tests/tests/epochs.rs
+++ b/tests/tests/epochs.rs
@@ -6,7 +6,7 @@
 use hollyspoke::config::Versioned;
 use hollyspoke::effect::{CallerReply, Effect};
 use hollyspoke::event::{CallId, Event, Reply};
-use hollyspoke::home::{EPOCH, KEPT_EPOCHS};
+use hollyspoke::home::{EPOCH_DURATION, KEPT_EPOCHS};
 use hollyspoke::key::{Incarnation, Key, Ticket};
 use hollyspoke::node::Node;
 use hollyspoke::outcome::Answer;
@@ -86,10 +86,10 @@
 fn dropped_epoch() {
     let mut fixture = Fixture::new();
     fixture.run(key(1, 7));
-    fixture.pass(EPOCH * (KEPT_EPOCHS - 1));
+    fixture.pass(EPOCH_DURATION * (KEPT_EPOCHS - 1));
     let (ticket, reply) = fixture.send(key(1, 7));
     assert!(ticket.is_none() && matches!(reply, Some(CallerReply::Answer(_))), "{reply:?}");
-    fixture.pass(EPOCH * 3);
+    fixture.pass(EPOCH_DURATION * 3);
     for nonce in [7, 8] {
         let (ticket, reply) = fixture.send(key(1, nonce));
         let Some(CallerReply::Problem(problem)) = reply else { panic!("{reply:?}") };
--- a/tests/tests/paused_question.rs
+++ b/tests/tests/paused_question.rs
@@ -8,7 +8,7 @@
 use hollyspoke::event::{CallId, Event};
 use hollyspoke::key::Ticket;
 use hollyspoke::message::{Ask, Grant, Message, Stage};
-use hollyspoke::node::{Node, PAUSE};
+use hollyspoke::node::{Node, PAUSE_THRESHOLD};
 use hollyspoke::site::UpstreamId;
 use hollyspoke::time::Time;
 use hollyspoke_model::load::{Plan, settings};
@@ -62,7 +62,7 @@
 /// The question's ticket is given up with the pause; its grant is given back unused.
 #[test]
 fn late_grant() {
-    for pause in [Duration::from_millis(100), PAUSE + Duration::from_millis(100)] {
+    for pause in [Duration::from_millis(100), PAUSE_THRESHOLD + Duration::from_millis(100)] {
         let (mut node, other) = front();
         let arrival = Box::new(generate(1, 100, 10, 10));
         let effects = node.step(Time::ZERO, Event::Arrive { call: CallId(1), arrival });
@@ -70,7 +70,7 @@
         let now = Time::ZERO + pause;
         let message = Box::new(granted(&ask));
         let effects = node.step(now, Event::Peer { from: other.incarnation, message });
-        let was_paused = pause > PAUSE;
+        let was_paused = pause > PAUSE_THRESHOLD;
         assert_eq!(prefills(&effects, ask.ticket), !was_paused, "after {pause:?}: {effects:#?}");
         if was_paused {
             let again = question(&effects).expect("the owner is asked again");
--- a/tests/tests/quota.rs
+++ b/tests/tests/quota.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hollyspoke::quota::{Account, Limit, Picture, Quota, Tolerance};
+use hollyspoke::quota::{Account, Limit, Quota, Tolerance, Visibility};
 use hollyspoke::time::Time;
 use hollyspoke_tests::quota::{Fleet, STEP, Sharing};
 use proptest::prelude::*;
@@ -247,11 +247,11 @@
     let other = SocketAddr::from(([10, 0, 0, 2], 0));
     let served = (0..1000u64).find(|&step| {
         let now = Time::from_millis(5000 + step * 10);
-        quota.see(now, Picture { boxes: 4, unheard: 2 });
+        quota.set_visibility(now, Visibility { boxes: 4, unreachable: 2 });
         if step % 30 == 0 {
             let total = 90 * (step / 30) as u32;
             let told = Account { customer: 7, total, level: Some(0) };
-            quota.hear(now, other, 1, &[told], true);
+            quota.apply_announcement(now, other, 1, &[told], true);
         }
         step > 100 && quota.take(now, 7, 5000).is_ok()
     });
--- a/tests/tests/replay.rs
+++ b/tests/tests/replay.rs
@@ -11,7 +11,7 @@
 use hollyspoke::effect::{CallerReply, Effect};
 use hollyspoke::event::{CallId, Event};
 use hollyspoke::key::{Incarnation, Key};
-use hollyspoke::member::{Beat, State};
+use hollyspoke::member::{Heartbeat, State};
 use hollyspoke::message::Message;
 use hollyspoke::node::Node;
 use hollyspoke::store::{Answer, Operation};
@@ -132,7 +132,7 @@
         self.nodes[me] = None;
         let from = incarnation(1 - me);
         let state = State::Left { successor: None };
-        let beat = Beat { incarnation: incarnation(me), counter: 1 << 40, epoch: 1, state };
+        let beat = Heartbeat { incarnation: incarnation(me), counter: 1 << 40, epoch: 1, state };
         let message = Box::new(Message::Gossip { beats: vec![beat], site_version: 1 });
         self.step(1 - me, Event::Peer { from, message });
     }
@@ -195,7 +195,7 @@
 
 /// Gives the number of the claims' objects.
 fn claims_shards() -> u64 {
-    hollyspoke::claim::SHARDS
+    hollyspoke::claim::OBJECT_COUNT
 }
 
 /// Gives a box's incarnation.
