--- a/crates/hollyspoke-gateway/src/budget.rs
+++ b/crates/hollyspoke-gateway/src/budget.rs
@@ -28,13 +28,13 @@
 
 /// The share of a box's part of the allowance that it may have at once, when many calls fail
 /// together; the rest comes evenly over the window, for troubles that last.
-const AT_ONCE_SHARE: f64 = 0.6;
+const BURST_SHARE: f64 = 0.6;
 
 /// The tokens that a bucket holds at least. With less than one whole token no repeat could be sent,
 /// which is so where the allowance is less than 1.9 for each box, and at a box that has heard nobody
 /// and takes 1,500 others to be there. All boxes together then hold one each, which the allowance
 /// covers up to as many boxes as it has repeats; nothing comes over time then.
-const LEAST_HELD: f64 = 1.0;
+const MIN_CAPACITY_TOKENS: f64 = 1.0;
 
 /// The boxes that share a bound, and what each of them gets of it.
 #[derive(Debug, Clone, Copy)]
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
     /// The tokens.
-    saved: f64,
+    available: f64,
     /// When they were last brought up to the time; at first the start of the box.
-    filled: Time,
+    refilled_at: Time,
     /// The boxes that shared the bound then.
     boxes: usize,
 }
@@ -63,56 +63,56 @@
     }
 
     /// Gives the tokens that the bucket holds at most.
-    fn most(self) -> f64 {
-        (self.allowance() * AT_ONCE_SHARE).max(LEAST_HELD)
+    fn capacity(self) -> f64 {
+        (self.allowance() * BURST_SHARE).max(MIN_CAPACITY_TOKENS)
     }
 
     /// Gives the tokens that come in a second whatever is asked.
-    fn a_second(self) -> f64 {
-        (self.allowance() - self.most()).max(0.0) / self.bound.window.as_secs_f64()
+    fn tokens_per_s(self) -> f64 {
+        (self.allowance() - self.capacity()).max(0.0) / self.bound.window.as_secs_f64()
     }
 }
 
 impl Budget {
     /// Takes in a request.
     pub fn arrive(&mut self, now: Time, part: Part<'_>) {
-        self.fill(now, part);
+        self.refill(now, part);
         self.add(part.bound.ratio * USED_SHARE, part);
     }
 
     /// Takes the token for a repeat; tells whether there was one.
     pub fn take(&mut self, now: Time, part: Part<'_>) -> bool {
-        self.fill(now, part);
-        let has_one = self.saved >= 1.0;
+        self.refill(now, part);
+        let has_one = self.available >= 1.0;
         if has_one {
-            self.saved -= 1.0;
+            self.available -= 1.0;
         }
         has_one
     }
 
     /// Gives back the token of a call that turned out not to count.
-    pub fn give_back(&mut self, now: Time, part: Part<'_>) {
-        self.fill(now, part);
+    pub fn refund(&mut self, now: Time, part: Part<'_>) {
+        self.refill(now, part);
         self.add(1.0, part);
     }
 
     /// Gives the tokens, as they were after the last call.
-    pub fn saved(&self) -> f64 {
-        self.saved
+    pub fn available(&self) -> f64 {
+        self.available
     }
 
     /// Brings the tokens up to a time. Where the boxes have become fewer since, the time before
     /// brings as much as it did for more.
-    fn fill(&mut self, now: Time, part: Part<'_>) {
+    fn refill(&mut self, now: Time, part: Part<'_>) {
         let before = Part { boxes: part.boxes.max(self.boxes), ..part };
-        let span = now.since(self.filled);
-        self.filled = now;
+        let elapsed = now.since(self.refilled_at);
+        self.refilled_at = now;
         self.boxes = part.boxes;
-        self.add(before.a_second() * span.as_secs_f64(), part);
+        self.add(before.tokens_per_s() * elapsed.as_secs_f64(), part);
     }
 
     /// Adds tokens, as far as the bucket holds them.
     fn add(&mut self, tokens: f64, part: Part<'_>) {
-        self.saved = (self.saved + tokens).min(part.most());
+        self.available = (self.available + tokens).min(part.capacity());
     }
 }
--- a/crates/hollyspoke-gateway/src/customer.rs
+++ b/crates/hollyspoke-gateway/src/customer.rs
@@ -38,7 +38,7 @@
 impl Unit {
     /// Gives what a request counts.
     pub fn of(self, request: &Request) -> u64 {
-        match (self, request.prompt_tokens, request.answer_tokens) {
+        match (self, request.prompt_tokens, request.max_answer_tokens) {
             (Unit::Request, ..) => 1,
             (Unit::Token { .. }, Some(prompt), Some(answer)) => prompt.saturating_add(answer),
             (Unit::Token { plain }, ..) => plain,
--- a/crates/hollyspoke-gateway/src/effect.rs
+++ b/crates/hollyspoke-gateway/src/effect.rs
@@ -11,11 +11,11 @@
 use crate::departure;
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::event::Kind;
-use crate::intake::Change;
 use crate::message::{Demand, Load, Message};
 use crate::quarantine::About;
+use crate::rate_limit::Change;
 use crate::ratio::Split;
-use crate::request::{CallKey, FlightKey};
+use crate::request::{CallKey, RequestKey};
 use crate::rest;
 use crate::signature::Signature;
 use crate::statement::ToldLoad;
@@ -38,17 +38,17 @@
     /// To run a plain request.
     Plain,
     /// To read the prompt for another engine.
-    Read,
+    Prefill,
     /// To generate the answer.
-    Generate(Prompt),
+    Decode(Prompt),
 }
 
 impl Task {
     /// Gives the engine that the prompt is taken from, if it is another one.
     pub fn source(&self) -> Option<SocketAddr> {
         match self {
-            Task::Generate(Prompt::Read(source)) => Some(source.address),
-            Task::Generate(Prompt::KeptAt(address)) => Some(*address),
+            Task::Decode(Prompt::Prefilled(source)) => Some(source.address),
+            Task::Decode(Prompt::CachedAt(address)) => Some(*address),
             _ => None,
         }
     }
@@ -58,20 +58,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Prompt {
     /// It reads the prompt itself.
-    Unread,
+    NotPrefilled,
     /// Another engine has read the prompt for it.
-    Read(Source),
+    Prefilled(Source),
     /// It keeps the prompt from an earlier run.
-    Kept,
+    Cached,
     /// Another engine keeps the prompt from an earlier run, and listens there.
-    KeptAt(SocketAddr),
+    CachedAt(SocketAddr),
 }
 
 /// One call to an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Send {
     /// The request.
-    pub flight: FlightKey,
+    pub request: RequestKey,
     /// The call.
     pub call: CallKey,
     /// The engine.
@@ -88,7 +88,7 @@
 
 /// The longest that an order may be on its way; the driver gives it up then. Engines answer within
 /// milliseconds.
-pub const LONGEST_ORDER: Duration = Duration::from_secs(1);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An order to an engine to change its stage.
 #[derive(Debug, Clone, PartialEq)]
@@ -115,13 +115,13 @@
     /// It has no key that is known.
     UnknownKey,
     /// Engines crash under it. It was not run, and is not to come again.
-    Harmful(NotRun),
+    Quarantined(NotRun),
     /// No route covers it.
     NoRoute,
     /// Its engine failed, and it may have run.
-    Broken,
+    Failed,
     /// Its time passed, and it may have run.
-    Late,
+    TimedOut,
 }
 
 /// Why a request was not run.
@@ -130,7 +130,7 @@
     /// No configuration is known yet.
     NoConfiguration,
     /// A newer configuration is known of and not read yet, and may have its key.
-    Behind,
+    StaleConfiguration,
     /// The process is about to end.
     Stopping,
     /// No engine can take it.
@@ -138,21 +138,21 @@
     /// All engines that could take it are in evacuated data centres.
     Evacuated,
     /// No engine lies in the regions where it may be served.
-    NoHome,
+    NoEngineInRegion,
     /// All engines that could take it are in need, and take no more for now.
-    Limited,
+    RateLimited,
     /// All engines that could take it are about to leave.
-    Leaving,
+    ShuttingDown,
     /// All engines that could take it want nothing from this box for a time.
-    Resting,
+    BackingOff,
     /// The engines turned it away.
-    TurnedAway,
+    Rejected,
     /// It would be served too late.
     Overloaded,
     /// Its time passed before it was sent.
     TimedOut,
     /// It is being found out whether engines crash under it.
-    Doubted,
+    UnderSuspicion,
 }
 
 impl NotRunReason {
@@ -160,34 +160,34 @@
     pub fn name(self) -> &'static str {
         match self {
             NotRunReason::NoConfiguration => "refused: no configuration",
-            NotRunReason::Behind => "refused: configuration behind",
+            NotRunReason::StaleConfiguration => "refused: configuration behind",
             NotRunReason::Stopping => "refused: stopping",
             NotRunReason::NoEngine => "refused: no engine",
             NotRunReason::Evacuated => "refused: evacuated",
-            NotRunReason::NoHome => "refused: no engine in its regions",
-            NotRunReason::Limited => "refused: engines limited",
-            NotRunReason::Leaving => "refused: engines leaving",
-            NotRunReason::Resting => "refused: engines resting",
-            NotRunReason::TurnedAway => "refused: turned away",
+            NotRunReason::NoEngineInRegion => "refused: no engine in its regions",
+            NotRunReason::RateLimited => "refused: engines limited",
+            NotRunReason::ShuttingDown => "refused: engines leaving",
+            NotRunReason::BackingOff => "refused: engines resting",
+            NotRunReason::Rejected => "refused: turned away",
             NotRunReason::Overloaded => "refused: overloaded",
             NotRunReason::TimedOut => "refused: time passed",
-            NotRunReason::Doubted => "refused: under suspicion",
+            NotRunReason::UnderSuspicion => "refused: under suspicion",
         }
     }
 }
 
 /// An engine that a request could not be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptFrom {
+pub struct Exclusion {
     /// The engine's id.
     pub engine: Arc<str>,
     /// Why not.
-    pub by: Bar,
+    pub reason: Bar,
 }
 
 /// A decision worth a line in the log.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// A version of the configuration came into force.
     Configured {
         /// The version.
@@ -223,7 +223,7 @@
         /// The revision of the engines that were known before.
         revision: Revision,
         /// The box that told; none if the store did itself.
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
     },
     /// An engine was added or changed.
     Engine {
@@ -235,7 +235,7 @@
         is_draining: bool,
     },
     /// An engine left.
-    EngineLeft {
+    EngineRemoved {
         /// The engine's id.
         id: Arc<str>,
     },
@@ -253,21 +253,21 @@
         /// What has become of its limit.
         change: Change,
         /// The box that told; none if the engine did itself.
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         /// How long ago it was so.
         age: Duration,
     },
     /// An engine is about to leave.
-    Leaving {
+    ShuttingDown {
         /// The engine's id.
         id: Arc<str>,
         /// The box that told; none if the engine did itself.
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         /// How long ago it was known.
         age: Duration,
     },
     /// An engine that was about to leave has done so.
-    HasLeft {
+    ShutDown {
         /// The engine's id.
         id: Arc<str>,
         /// How that is known.
@@ -276,7 +276,7 @@
         age: Duration,
     },
     /// What has become of an engine's rest.
-    Rest {
+    BackOff {
         /// The engine's id.
         id: Arc<str>,
         /// What has become of it.
@@ -302,7 +302,7 @@
         before: u32,
     },
     /// A request that had come to an engine was to be sent to another one.
-    Repeat {
+    Retry {
         /// The client's id of the request.
         request: Arc<str>,
         /// The service.
@@ -310,7 +310,7 @@
         /// Whether the budget allowed it.
         is_sent: bool,
         /// The repeats that the budget then had left.
-        saved: f64,
+        available: f64,
         /// The boxes that the fixed allowance was divided by.
         boxes: usize,
     },
@@ -325,7 +325,7 @@
         /// The engine's id.
         engine: Arc<str>,
         /// How.
-        how: &'static str,
+        outcome: &'static str,
         /// The status, 0 if none came.
         status: u16,
         /// The load that the engine told last.
@@ -342,9 +342,9 @@
         /// The units of the customer's limit that the request took.
         units: u64,
         /// The engines that it could not be sent to by what they have said.
-        kept_from: Vec<KeptFrom>,
+        exclusions: Vec<Exclusion>,
         /// How.
-        how: &'static str,
+        outcome: &'static str,
         /// The time since its arrival.
         after: Duration,
     },
@@ -358,7 +358,7 @@
         alive: usize,
     },
     /// A request is held back from now on, since engines crashed under it.
-    Held {
+    Quarantined {
         /// The request.
         signature: Signature,
         /// What is known of it, if this box has seen it.
@@ -373,7 +373,7 @@
         /// The request.
         signature: Signature,
         /// Why.
-        how: &'static str,
+        outcome: &'static str,
     },
     /// The requests that are held back, or nearly so, were read from the store.
     CasesRead {
@@ -397,7 +397,7 @@
         left: usize,
     },
     /// This box follows the store's changes from now on, or no more.
-    Follows(bool),
+    WatchesStore(bool),
     /// This box holds the lease for orders from now on, under a fencing token, or no more.
     Lease(Option<u64>),
     /// An engine is to change its stage.
@@ -427,7 +427,7 @@
         /// The engine's id.
         id: Arc<str>,
         /// What became of it.
-        how: &'static str,
+        outcome: &'static str,
     },
     /// The process was told to stop.
     Stopping,
@@ -441,25 +441,25 @@
     /// Drops a call and its connection.
     Cancel(CallKey),
     /// Gives the client the answer of a call; a stream's events follow as they come.
-    Deliver(FlightKey, CallKey),
+    Deliver(RequestKey, CallKey),
     /// Lets the events of a call follow those passed before, in the same answer.
-    Join(FlightKey, CallKey),
+    Resume(RequestKey, CallKey),
     /// Gives the client an answer of the gateway's own.
-    Refuse(FlightKey, Refusal),
+    Refuse(RequestKey, Refusal),
     /// Ends a begun answer so that the client sees that it is not whole.
-    Break(FlightKey),
+    Abort(RequestKey),
     /// Ends a begun answer as whole.
-    Finish(FlightKey),
+    Finish(RequestKey),
     /// Frees a prompt that was read.
     Free(Source),
     /// Asks an engine which parts of prompts it keeps.
-    Survey(Arc<Engine>),
+    QueryCachedPrompts(Arc<Engine>),
     /// Follows the store's changes from now on, or no more.
-    Follow(bool),
+    WatchStore(bool),
     /// Begins an operation on an object of the product's own in the store, under a number.
     Store(u64, Operation),
     /// Asks an engine how many orders it has taken.
-    Inspect(Arc<Engine>),
+    QueryOrderCount(Arc<Engine>),
     /// Orders an engine to change its stage.
     Order(Order),
     /// Asks an engine whether it lives.
@@ -469,7 +469,7 @@
     /// Asks a box to hand over what it knows.
     Fetch(SocketAddr),
     /// Sends a datagram to boxes.
-    Tell(Vec<SocketAddr>, Box<Message>),
+    Announce(Vec<SocketAddr>, Box<Message>),
     /// Writes a line to the log.
-    Note(Note),
+    Log(LogEvent),
 }
--- a/crates/hollyspoke-gateway/src/event.rs
+++ b/crates/hollyspoke-gateway/src/event.rs
@@ -10,7 +10,7 @@
 use crate::evacuation::{Change, Evacuation};
 use crate::message::Message;
 use crate::prompt::PromptKey;
-use crate::request::{CallKey, FlightKey, Request};
+use crate::request::{CallKey, Request, RequestKey};
 use crate::route::Configuration;
 use crate::snapshot::Snapshot;
 use crate::statement::Statement;
@@ -21,7 +21,7 @@
     /// The engine says that it has not run the request and never will.
     Refused,
     /// Another incarnation has the address and has not run the request.
-    Moved,
+    Replaced,
     /// The request has run, or may have.
     Ran,
 }
@@ -34,7 +34,7 @@
     /// What the answer proves.
     pub execution: Execution,
     /// What the engine says of itself.
-    pub says: Statement,
+    pub statement: Statement,
     /// Where the prompt lies, for an answer to the reading of a prompt.
     pub handle: Option<String>,
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallEvent {
     /// The connection never opened: nothing was sent.
-    Unsent,
+    NotConnected,
     /// The head of a stream has come.
     Began(Answer),
     /// A whole answer has come; a stream has come to its whole end.
     Answered(Answer),
     /// Whole events of a stream were passed to the client; the id of the last, if it has one.
-    Passed(Option<u64>),
+    Forwarded(Option<u64>),
     /// The connection ended, or gave what is no answer to the request, after it was sent.
     Broken,
 }
@@ -69,9 +69,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// It carries the order out.
-    Taken,
+    Accepted,
     /// It is as ordered already.
-    Held,
+    AlreadyApplied,
     /// It has another order under way, or has taken others before.
     Conflict,
     /// It does not take the order, or was never reached.
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
     /// It lives; when that life began, if it tells.
-    Lives(Option<u64>),
+    Alive(Option<u64>),
     /// Another incarnation has its address.
     Replaced,
     /// It takes no connection, or gives no answer.
@@ -105,7 +105,7 @@
     /// Evacuations have changed, in this order; the revision that the changes led to.
     EvacuationChanged(Vec<Change>, Revision),
     /// The box at an address has handed over what it knows.
-    Fetched(SocketAddr, Box<Snapshot>),
+    SnapshotReceived(SocketAddr, Box<Snapshot>),
     /// An answer of the store told its era, before anything else that it tells is taken.
     StoreEra(u64),
     /// The store answered about a kind of object.
@@ -113,28 +113,28 @@
     /// The store did not answer, or refused, about a kind of object.
     StoreFailed(Kind),
     /// A request came whole.
-    Arrived(FlightKey, Request),
+    Arrived(RequestKey, Request),
     /// The client of a request closed its connection.
-    ClientLeft(FlightKey),
+    ClientDisconnected(RequestKey),
     /// Something happened to a call.
     Call(CallKey, CallEvent),
     /// A datagram came from another box.
-    Heard(Message),
+    Received(Message),
     /// The boxes to greet, from the settings.
     Seeds(Vec<SocketAddr>),
     /// An engine told which parts of prompts it keeps.
-    Surveyed(EngineKey, Vec<PromptKey>),
+    CachedPrompts(EngineKey, Vec<PromptKey>),
     /// The store answered an operation of a number.
     Stored(u64, Answered),
     /// An engine told how many orders it has taken since its start; none if it did not tell.
-    Inspected(EngineKey, Option<u64>),
+    OrderCount(EngineKey, Option<u64>),
     /// An engine answered an order, or did not.
     Ordered(EngineKey, OrderAnswer),
     /// An engine was asked whether it lives.
     Probed(EngineKey, Probe),
     /// An engine said something of itself in its answer to an order or a question, or in the head of an
     /// answer whose rest is yet to come, or never came.
-    Stated(EngineKey, Statement),
+    Statement(EngineKey, Statement),
     /// An operator lets the held requests go whose signature begins so.
     Lift(String),
     /// The machine was suspended for a time that has been added to the clock since.
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -1,6 +1,8 @@
 //! The reducer: takes an event, passes it to the part concerned, and collects the effects.
 
+mod cached;
 mod call;
+mod capacity;
 mod cases;
 mod census;
 mod cold;
@@ -9,14 +11,12 @@
 mod era;
 mod evacuation;
 mod handover;
-mod kept;
 mod limit;
 mod peers;
 mod permits;
 mod quarantine;
 mod relay;
-mod repeats;
-mod room;
+mod retries;
 mod stages;
 mod start;
 mod store;
@@ -39,11 +39,10 @@
 use crate::customer::CustomerKey;
 use crate::demand::{Meter, Runs};
 use crate::directory::Directory;
-use crate::effect::{Effect, Note};
+use crate::effect::{Effect, LogEvent};
 use crate::engine::EngineKey;
 use crate::evacuation::Evacuations;
 use crate::event::{Event, Kind};
-use crate::flight::{Call, Flight};
 use crate::gateway::cases::Cases;
 use crate::gateway::census::Census;
 use crate::gateway::peers::{PeerChanges, Untold};
@@ -51,13 +50,14 @@
 use crate::gateway::stages::Stages;
 use crate::gateway::store::{EngineChanges, StoreState};
 use crate::gateway::survey::Survey;
+use crate::in_flight::{Call, InFlight};
 use crate::load::Ledger;
 use crate::member::Members;
 use crate::message::{DataCentreKey, Format, Load, Standing};
 use crate::prompt::Prompts;
 use crate::quarantine::Quarantine;
 use crate::region::Regions;
-use crate::request::{CallKey, FlightKey};
+use crate::request::{CallKey, RequestKey};
 use crate::route::Configuration;
 use crate::terms::Terms;
 
@@ -85,7 +85,7 @@
     /// Where this box listens for clients.
     pub front: SocketAddr,
     /// How often requests may be sent to a second engine.
-    pub bound: Bound,
+    pub retry_bound: Bound,
     /// How exactly customers' limits are kept.
     pub tolerance: Tolerance,
     /// How boxes share customers' limits.
@@ -148,17 +148,17 @@
     /// How many boxes live by the store.
     census: Census,
     /// When it is looked again which boxes share them.
-    sees_boxes_at: Time,
+    box_count_due: Time,
     /// The longest deadline that clients have given on each route.
     deadlines: HashMap<Arc<str>, Duration>,
     /// The requests under way.
-    flights: HashMap<FlightKey, Flight>,
+    in_flight: HashMap<RequestKey, InFlight>,
     /// The calls under way.
     calls: HashMap<CallKey, Call>,
     /// The requests that wait for room at an engine.
-    waiting: Vec<FlightKey>,
+    waiting: Vec<RequestKey>,
     /// Whether the event under way may have brought room for those that wait.
-    may_have_room: bool,
+    may_have_capacity: bool,
     /// How long runs at engines with stages hold their memory.
     runs: Runs,
     /// What clients ask of each service with stages.
@@ -166,7 +166,7 @@
     /// The changes of engines' stages that this box orders.
     stages: Stages,
     /// When each request is looked at again.
-    due: BTreeSet<(Time, FlightKey)>,
+    due: BTreeSet<(Time, RequestKey)>,
     /// The number of the next call.
     next_call: u64,
     /// The number of the next datagram.
@@ -182,22 +182,22 @@
     /// How far this box is with asking engines which prompts they keep.
     survey: Survey,
     /// What is to be told to the other boxes with this event.
-    untold: Untold,
+    unannounced: Untold,
     /// The boxes that are to be named in the log with the next heartbeat.
     peer_changes: PeerChanges,
     /// The changes of engines that are to be counted in the log with the next heartbeat.
     engine_changes: EngineChanges,
     /// Since when changes gather that are not urgent.
-    gathering_since: Option<Time>,
+    batch_started_at: Option<Time>,
     /// When the next heartbeat is due.
     next_heartbeat: Time,
     /// The heartbeats sent so far, from a drawn number on, so that those of all boxes to other data
     /// centres are spread.
     heartbeats: u32,
     /// Whether the next heartbeat goes to all boxes.
-    beats_wide: bool,
+    heartbeat_to_all: bool,
     /// When the process was told to stop.
-    stopped: Option<Time>,
+    stopped_at: Option<Time>,
     /// The source of chance.
     random: Pcg64Mcg,
     /// What the event under way has led to.
@@ -214,7 +214,7 @@
             members: Members::new(DataCentreKey::of(&settings.data_centre)),
             quota: Quota::new(settings.tolerance),
             census: Census::default(),
-            sees_boxes_at: Time::ZERO,
+            box_count_due: Time::ZERO,
             settings,
             now: Time::ZERO,
             configuration: None,
@@ -228,10 +228,10 @@
             prompts: Prompts::default(),
             budgets: HashMap::new(),
             deadlines: HashMap::new(),
-            flights: HashMap::new(),
+            in_flight: HashMap::new(),
             calls: HashMap::new(),
             waiting: Vec::new(),
-            may_have_room: false,
+            may_have_capacity: false,
             runs: Runs::default(),
             meters: HashMap::new(),
             stages,
@@ -243,14 +243,14 @@
             cases: Cases::default(),
             probing: HashSet::new(),
             survey: Survey::default(),
-            untold: Untold::default(),
+            unannounced: Untold::default(),
             peer_changes: PeerChanges::default(),
             engine_changes: EngineChanges::default(),
-            gathering_since: None,
+            batch_started_at: None,
             next_heartbeat: Time::ZERO,
             heartbeats,
-            beats_wide: true,
-            stopped: None,
+            heartbeat_to_all: true,
+            stopped_at: None,
             random,
             effects: Vec::new(),
         }
@@ -259,7 +259,7 @@
     /// Takes an event and gives what is to be done.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
-        self.may_have_room = !matches!(event, Event::Heard(_));
+        self.may_have_capacity = !matches!(event, Event::Received(_));
         match event {
             Event::Configured(configuration) => self.configure(configuration),
             Event::Listed(engines, revision) => self.list(engines, revision),
@@ -268,21 +268,21 @@
             Event::EvacuationChanged(changes, revision) => {
                 self.change_evacuation(changes, revision);
             }
-            Event::Fetched(provider, snapshot) => self.take_snapshot(provider, *snapshot),
+            Event::SnapshotReceived(provider, snapshot) => self.take_snapshot(provider, *snapshot),
             Event::StoreEra(era) => self.learn_era(era, None),
             Event::StoreAnswered(kind) => self.store_answered(kind),
             Event::StoreFailed(kind) => self.store_failed(kind),
-            Event::Arrived(flight, request) => self.arrive(flight, request),
-            Event::ClientLeft(flight) => self.client_left(flight),
-            Event::Call(call, event) => self.called(call, event),
-            Event::Heard(message) => self.hear(&message),
+            Event::Arrived(key, request) => self.arrive(key, request),
+            Event::ClientDisconnected(key) => self.client_left(key),
+            Event::Call(call, event) => self.handle_call_event(call, event),
+            Event::Received(message) => self.hear(&message),
             Event::Seeds(seeds) => self.members.seek(self.settings.peer, seeds, self.now),
-            Event::Surveyed(engine, prompts) => self.surveyed(engine, prompts),
+            Event::CachedPrompts(engine, prompts) => self.surveyed(engine, prompts),
             Event::Stored(number, answer) => self.stored(number, &answer),
-            Event::Inspected(engine, count) => self.inspected(engine, count),
+            Event::OrderCount(engine, count) => self.inspected(engine, count),
             Event::Ordered(engine, answer) => self.ordered(engine, answer),
             Event::Probed(engine, probe) => self.probed(engine, probe),
-            Event::Stated(engine, says) => self.stated(engine, &says),
+            Event::Statement(engine, says) => self.stated(engine, &says),
             Event::Lift(short) => self.lift(&short),
             Event::Suspended(span) => self.resume(span),
             Event::Stop => self.stop(),
@@ -293,7 +293,7 @@
         self.take_ended();
         self.survey();
         self.give_orders();
-        if self.may_have_room {
+        if self.may_have_capacity {
             self.admit_waiting();
         }
         self.expire();
@@ -333,12 +333,12 @@
 
     /// Tells whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
-        self.stopped.is_some()
+        self.stopped_at.is_some()
     }
 
     /// Tells whether a stopped process has nothing left to do at a time.
     pub fn is_done(&self, now: Time) -> bool {
-        self.is_closing(now) && self.flights.is_empty()
+        self.is_closing(now) && self.in_flight.is_empty()
     }
 
     /// Gives the limits of what clients may send, once a configuration is known.
@@ -382,7 +382,7 @@
     }
 
     /// Gives the number of boxes that live as this one knows, itself included.
-    pub fn living_boxes(&self) -> usize {
+    pub fn alive_box_count(&self) -> usize {
         self.members.count(self.now)
     }
 
@@ -397,8 +397,8 @@
     }
 
     /// Gives the number of requests under way.
-    pub fn flight_count(&self) -> usize {
-        self.flights.len()
+    pub fn in_flight_count(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Gives this box's work at engines: what its calls hold, and what is reserved for them.
@@ -408,7 +408,7 @@
 
     /// Tells how this box stands.
     fn standing(&self) -> Standing {
-        if self.stopped.is_some() {
+        if self.stopped_at.is_some() {
             Standing::Stopping
         } else if !self.may_serve() {
             Standing::Starting
@@ -419,45 +419,45 @@
 
     /// Tells whether this box knows all that it needs to serve.
     fn may_serve(&self) -> bool {
-        let has_read = self.configuration.is_some() && self.is_listed;
-        has_read && self.knows_cases() && self.knows_evacuation()
+        let has_prefilled = self.configuration.is_some() && self.is_listed;
+        has_prefilled && self.knows_cases() && self.knows_evacuation()
     }
 
     /// Tells whether a stopping box takes no new requests any more.
     fn is_closing(&self, now: Time) -> bool {
         let open = self.settings.grace.mul_f64(LAST_REQUEST_SHARE);
-        self.stopped.is_some_and(|it| now.since(it) >= open)
+        self.stopped_at.is_some_and(|it| now.since(it) >= open)
     }
 
     /// Tells whether a request that may take a time could be under way when a stopping process
     /// has to end.
-    fn outlives_stop(&self, held: Duration) -> bool {
-        let Some(stopped) = self.stopped else { return false };
-        let since = self.now.since(stopped);
+    fn exceeds_grace(&self, held: Duration) -> bool {
+        let Some(stopped_at) = self.stopped_at else { return false };
+        let since = self.now.since(stopped_at);
         let left = self.settings.grace.saturating_sub(since + GRACE_MARGIN);
         since >= self.settings.grace.mul_f64(ALL_REQUESTS_SHARE) && held > left
     }
 
     /// Notes that the process was told to stop.
     fn stop(&mut self) {
-        if self.stopped.is_none() {
-            self.stopped = Some(self.now);
-            self.note(Note::Stopping);
+        if self.stopped_at.is_none() {
+            self.stopped_at = Some(self.now);
+            self.log(LogEvent::Stopping);
             self.beat_at_once();
         }
     }
 
     /// Goes on after the machine was suspended: what was read before may be out of date.
     fn resume(&mut self, span: Duration) {
-        self.note(Note::Suspended(span));
+        self.log(LogEvent::Suspended(span));
         self.effects.push(Effect::Read(Kind::Configuration));
         self.effects.push(Effect::Read(Kind::Engines));
         self.effects.push(Effect::Read(Kind::Evacuations));
     }
 
     /// Adds a line for the log.
-    fn note(&mut self, note: Note) {
-        self.effects.push(Effect::Note(note));
+    fn log(&mut self, event: LogEvent) {
+        self.effects.push(Effect::Log(event));
     }
 
     /// Draws a number.
--- a/crates/hollyspoke-gateway/src/gateway/kept.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cached.rs
@@ -2,57 +2,62 @@
 //! of an engine that has read it.
 
 use super::Gateway;
-use super::start::Next;
+use super::start::NextCall;
 use crate::directory::Known;
 use crate::effect::{Prompt, Task};
 use crate::engine::{EngineKey, Stage};
-use crate::flight::Flight;
+use crate::in_flight::InFlight;
 use crate::placement::View;
 use crate::route::Staged;
 
 impl Gateway {
     /// Chooses the next call of a request whose prompt some engine keeps: that engine if it
     /// generates and has room, else another one that takes the prompt from there.
-    pub(super) fn next_kept(
+    pub(super) fn next_cached(
         &self,
-        flight: &Flight,
+        in_flight: &InFlight,
         view: &View<'_>,
         staged: &Staged,
-    ) -> Option<Next> {
-        if flight.source.is_some() {
+    ) -> Option<NextCall> {
+        if in_flight.source.is_some() {
             return None;
         }
-        let prompt = flight.request.prompt?;
-        let keepers = self.prompts.keepers(prompt).filter(|&it| !has_failed(flight, it));
+        let prompt = in_flight.request.prompt?;
+        let keepers = self.prompts.keepers(prompt).filter(|&it| !has_failed(in_flight, it));
         let keepers = keepers.filter_map(|it| self.directory.get(it));
         let keepers = keepers.filter(|it| !it.is_evacuated());
         let keepers: Vec<_> = keepers.filter(|it| !it.health.is_poor(self.now)).collect();
-        let held = flight.request.tokens_held();
+        let held = in_flight.request.mean_held_tokens();
         let generators = keepers.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
         // A kept prompt is no reason to wait for an engine in need: others read it in less.
         let at_once = generators.filter(|it| !view.must_ask(it.engine.key));
-        let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| kept_by(it));
-        own.chain(keepers.iter().filter_map(|it| taken_from(it, view, staged, held))).next()
+        let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| call_to_holder(it));
+        own.chain(keepers.iter().filter_map(|it| call_to_importer(it, view, staged, held))).next()
     }
 }
 
 /// Tells whether an engine has just failed a request that may have begun there.
-fn has_failed(flight: &Flight, engine: EngineKey) -> bool {
-    flight.runs > 0 && flight.tried.last() == Some(&engine)
+fn has_failed(in_flight: &InFlight, engine: EngineKey) -> bool {
+    in_flight.runs > 0 && in_flight.tried.last() == Some(&engine)
 }
 
 /// Makes the call to an engine that keeps the prompt.
-fn kept_by(keeper: &Known) -> Next {
+fn call_to_holder(keeper: &Known) -> NextCall {
     let choice = View::at(keeper);
-    Next { task: Task::Generate(Prompt::Kept), choice, generator: None }
+    NextCall { task: Task::Decode(Prompt::Cached), choice, decode_engine: None }
 }
 
 /// Makes the call to an engine that takes the prompt from the one that keeps it.
-fn taken_from(keeper: &Known, view: &View<'_>, staged: &Staged, held: u64) -> Option<Next> {
+fn call_to_importer(
+    keeper: &Known,
+    view: &View<'_>,
+    staged: &Staged,
+    held: u64,
+) -> Option<NextCall> {
     let choice = view.generating(staged, held, &keeper.engine.data_centre, None)?;
     if choice.engine.key == keeper.engine.key {
         return None;
     }
-    let prompt = Prompt::KeptAt(keeper.engine.address);
-    Some(Next { task: Task::Generate(prompt), choice, generator: None })
+    let prompt = Prompt::CachedAt(keeper.engine.address);
+    Some(NextCall { task: Task::Decode(prompt), choice, decode_engine: None })
 }
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -3,13 +3,13 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::{Effect, NotRunReason, Note, Prompt, Source, Task};
+use crate::effect::{Effect, LogEvent, NotRunReason, Prompt, Source, Task};
 use crate::event::{Answer, CallEvent, Execution};
-use crate::flight::Call;
+use crate::in_flight::Call;
 use crate::load::Urgency;
 use crate::message::{Full, Load};
 use crate::prompt::Kept;
-use crate::request::{CallKey, FlightKey};
+use crate::request::{CallKey, RequestKey};
 use crate::rest;
 
 /// The status of an answer as asked for.
@@ -17,231 +17,231 @@
 
 /// Statuses that promise a client that its request has not run; an engine's answer with one of
 /// them that does not prove it is not passed on.
-const PROMISES: [u16; 3] = [408, 429, 503];
+const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
 /// The lowest status of an engine's own failure.
 const SERVER_ERROR: u16 = 500;
 
 impl Gateway {
     /// Takes what happened to a call; one that was dropped before is ignored.
-    pub(super) fn called(&mut self, key: CallKey, event: CallEvent) {
+    pub(super) fn handle_call_event(&mut self, key: CallKey, event: CallEvent) {
         match event {
-            CallEvent::Unsent => self.call_unsent(key),
+            CallEvent::NotConnected => self.call_not_connected(key),
             CallEvent::Began(answer) => self.call_began(key, &answer),
             CallEvent::Answered(answer) => self.call_answered(key, answer),
-            CallEvent::Passed(id) => self.call_passed(key, id),
+            CallEvent::Forwarded(id) => self.call_forwarded(key, id),
             CallEvent::Broken => self.call_broken(key),
         }
     }
 
     /// The connection never opened: another engine can be asked at no charge.
-    fn call_unsent(&mut self, key: CallKey) {
+    fn call_not_connected(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
-        self.miss(&call);
+        self.record_unreachable(&call);
         self.judge_return(&call, false);
-        self.note_failure(&call, "not reached", 0);
-        self.give_repeat_back(&call);
-        if call.is_run()
-            && let Some(flight) = self.flights.get_mut(&call.flight)
+        self.log_failure(&call, "not reached", 0);
+        self.refund_retry(&call);
+        if call.runs_request()
+            && let Some(in_flight) = self.in_flight.get_mut(&call.request)
         {
-            flight.arrivals = flight.arrivals.saturating_sub(1);
+            in_flight.arrivals = in_flight.arrivals.saturating_sub(1);
         }
-        self.proceed(call.flight);
+        self.proceed(call.request);
     }
 
     /// The head of a stream has come: the client gets it, or the stream goes on behind what the
     /// client has.
     fn call_began(&mut self, key: CallKey, answer: &Answer) {
         let Some(call) = self.calls.get(&key).cloned() else { return };
-        self.learn(&call, answer);
+        self.apply_answer(&call, answer);
         self.terms.rests.release(call.engine.key, call.sent);
-        self.finish_reading(key);
+        self.finish_prefill(key);
         if let Some(call) = self.calls.get_mut(&key) {
             call.has_begun = true;
             call.last_event_at = self.now;
         }
         let now = self.now;
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
-        flight.runs += 1;
-        flight.trace.mark_sent();
-        flight.source = None;
-        if let Some(prompt) = flight.request.prompt {
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
+        in_flight.runs += 1;
+        in_flight.trace.mark_sent();
+        in_flight.source = None;
+        if let Some(prompt) = in_flight.request.prompt {
             self.prompts.see(Kept { prompt, engine: call.engine.key }, now);
         }
-        flight.patience = flight.gap_patience().map(|it| now + it);
-        let patience = flight.patience;
-        let effect = if flight.has_begun {
-            Effect::Join(call.flight, key)
+        in_flight.silence_deadline = in_flight.gap_timeout().map(|it| now + it);
+        let silence_deadline = in_flight.silence_deadline;
+        let effect = if in_flight.has_begun {
+            Effect::Resume(call.request, key)
         } else {
-            Effect::Deliver(call.flight, key)
+            Effect::Deliver(call.request, key)
         };
-        flight.has_begun = true;
-        self.wake_at(call.flight, patience);
+        in_flight.has_begun = true;
+        self.wake_at(call.request, silence_deadline);
         self.effects.push(effect);
     }
 
     /// Events were given to the client.
-    fn call_passed(&mut self, key: CallKey, id: Option<u64>) {
+    fn call_forwarded(&mut self, key: CallKey, id: Option<u64>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&key) else { return };
         let pause = now.since(call.last_event_at);
         call.last_event_at = now;
         let call = call.clone();
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
-        flight.last_event = id.or(flight.last_event);
-        flight.patience = flight.gap_patience().map(|it| now + it);
-        if flight.route.longest_gap.is_some_and(|it| pause > it) {
-            self.fail(&call);
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
+        in_flight.last_event = id.or(in_flight.last_event);
+        in_flight.silence_deadline = in_flight.gap_timeout().map(|it| now + it);
+        if in_flight.route.longest_gap.is_some_and(|it| pause > it) {
+            self.record_failure(&call);
         }
     }
 
     /// A whole answer has come.
     fn call_answered(&mut self, key: CallKey, answer: Answer) {
         let Some(call) = self.take_call(key) else { return };
-        self.learn(&call, &answer);
+        self.apply_answer(&call, &answer);
         match (answer.execution, &call.task) {
-            (Execution::Refused | Execution::Moved, _) => self.turned_away(&call, &answer),
-            (Execution::Ran, Task::Read) => self.prompt_read(&call, answer),
-            (Execution::Ran, _) => self.ran(key, &call, &answer),
+            (Execution::Refused | Execution::Replaced, _) => self.engine_rejected(&call, &answer),
+            (Execution::Ran, Task::Prefill) => self.prefill_ended(&call, answer),
+            (Execution::Ran, _) => self.request_ran(key, &call, &answer),
         }
     }
 
     /// An engine has not run the request and said so.
-    fn turned_away(&mut self, call: &Call, answer: &Answer) {
-        self.note_failure(call, "turned away", answer.status);
+    fn engine_rejected(&mut self, call: &Call, answer: &Answer) {
+        self.log_failure(call, "turned away", answer.status);
         let now = self.now;
-        if answer.execution == Execution::Moved {
+        if answer.execution == Execution::Replaced {
             self.directory.replace(call.engine.key, now);
-            self.untold.replaced.push(call.engine.key);
+            self.unannounced.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
             known.turn_away(call.load.held, now);
-            self.untold.full.push(Full { engine: call.engine.key, held: call.load.held });
+            self.unannounced.full.push(Full { engine: call.engine.key, held: call.load.held });
         }
-        let rests = matches!(answer.says.rest, rest::Told::Span(_));
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
-        flight.rejections += 1;
+        let rests = matches!(answer.statement.rest, rest::Told::Span(_));
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
+        in_flight.rejections += 1;
         match call.task {
-            Task::Read => {
-                flight.arrivals += 1;
+            Task::Prefill => {
+                in_flight.arrivals += 1;
                 // Another engine may read for it that does not rest; one try more is worth it.
-                flight.reading_failed = !rests || flight.rejections > 1;
+                in_flight.prefill_failed = !rests || in_flight.rejections > 1;
             }
             // One that rests says nothing of the prompt.
-            Task::Generate(Prompt::Read(_)) if rests => {}
-            Task::Generate(Prompt::Read(_)) => self.handle_turned_away(call.flight),
-            Task::Generate(_) | Task::Plain => {}
+            Task::Decode(Prompt::Prefilled(_)) if rests => {}
+            Task::Decode(Prompt::Prefilled(_)) => self.prefill_handle_rejected(call.request),
+            Task::Decode(_) | Task::Plain => {}
         }
-        self.proceed(call.flight);
+        self.proceed(call.request);
     }
 
     /// An engine that was to generate turned a prompt away that was read for it. It was full, or
     /// the prompt is gone, which a second engine shows.
-    fn handle_turned_away(&mut self, key: FlightKey) {
+    fn prefill_handle_rejected(&mut self, key: RequestKey) {
         let now = self.now;
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        let is_first = !flight.handle_refused;
-        flight.handle_refused = true;
-        if is_first && now < flight.handle_end() {
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        let is_first = !in_flight.handle_rejected;
+        in_flight.handle_rejected = true;
+        if is_first && now < in_flight.handle_end() {
             return;
         }
-        flight.reading_failed = true;
-        let source = flight.source.take();
+        in_flight.prefill_failed = true;
+        let source = in_flight.source.take();
         self.free(source);
     }
 
     /// A prompt was read for another engine.
-    fn prompt_read(&mut self, call: &Call, answer: Answer) {
+    fn prefill_ended(&mut self, call: &Call, answer: Answer) {
         let handle = answer.handle.filter(|_| answer.status == OK);
         let Some(handle) = handle else {
-            self.note_failure(call, "prompt not read", answer.status);
-            self.fail(call);
-            return self.reading_failed(call.flight);
+            self.log_failure(call, "prompt not read", answer.status);
+            self.record_failure(call);
+            return self.prefill_failed(call.request);
         };
-        self.give_repeat_back(call);
+        self.refund_retry(call);
         let now = self.now;
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
-        flight.read_at = now;
-        if let Some(prompt) = flight.request.prompt {
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
+        in_flight.prefilled_at = now;
+        if let Some(prompt) = in_flight.request.prompt {
             self.prompts.note(Kept { prompt, engine: call.engine.key }, now);
         }
-        flight.source =
+        in_flight.source =
             Some(Source { engine: call.engine.key, address: call.engine.address, handle });
-        self.proceed(call.flight);
+        self.proceed(call.request);
     }
 
     /// The reading of a prompt failed; the engine that generates reads it itself.
-    fn reading_failed(&mut self, key: FlightKey) {
-        if let Some(flight) = self.flights.get_mut(&key) {
-            flight.reading_failed = true;
-            flight.arrivals += 1;
+    fn prefill_failed(&mut self, key: RequestKey) {
+        if let Some(in_flight) = self.in_flight.get_mut(&key) {
+            in_flight.prefill_failed = true;
+            in_flight.arrivals += 1;
         }
         self.proceed(key);
     }
 
     /// An engine ran the request to an end.
-    fn ran(&mut self, key: CallKey, call: &Call, answer: &Answer) {
+    fn request_ran(&mut self, key: CallKey, call: &Call, answer: &Answer) {
         let is_failure = answer.status >= SERVER_ERROR;
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
-        flight.trace.mark_sent();
-        let signature = flight.signature;
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
+        in_flight.trace.mark_sent();
+        let signature = in_flight.signature;
         self.acquit(signature);
         if call.has_begun {
-            self.effects.push(Effect::Finish(call.flight));
-            return self.end(call.flight, "whole");
+            self.effects.push(Effect::Finish(call.request));
+            return self.end(call.request, "whole");
         }
-        if let Some(flight) = self.flights.get_mut(&call.flight) {
-            flight.runs += 1;
+        if let Some(in_flight) = self.in_flight.get_mut(&call.request) {
+            in_flight.runs += 1;
         }
         if is_failure {
-            self.note_failure(call, "failed", answer.status);
-            self.fail(call);
-            if self.can_repeat(call.flight) {
-                return self.proceed(call.flight);
+            self.log_failure(call, "failed", answer.status);
+            self.record_failure(call);
+            if self.can_retry(call.request) {
+                return self.proceed(call.request);
             }
         }
-        let Some(flight) = self.flights.get(&call.flight) else { return };
-        if flight.has_begun {
-            return self.break_off(call.flight);
+        let Some(in_flight) = self.in_flight.get(&call.request) else { return };
+        if in_flight.has_begun {
+            return self.abort(call.request);
         }
-        if PROMISES.contains(&answer.status) {
-            return self.give_up(call.flight, NotRunReason::TurnedAway);
+        if NOT_RUN_STATUSES.contains(&answer.status) {
+            return self.give_up(call.request, NotRunReason::Rejected);
         }
-        self.effects.push(Effect::Deliver(call.flight, key));
-        self.end(call.flight, "answered");
+        self.effects.push(Effect::Deliver(call.request, key));
+        self.end(call.request, "answered");
     }
 
     /// A call ended without a whole answer after it was sent.
     fn call_broken(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
-        self.note_failure(&call, "broken", 0);
+        self.log_failure(&call, "broken", 0);
         self.judge_return(&call, false);
-        self.fail(&call);
+        self.record_failure(&call);
         self.suspect(&call);
-        self.lost(&call);
+        self.call_lost(&call);
     }
 
     /// Goes on after a call whose outcome is unknown.
-    pub(super) fn lost(&mut self, call: &Call) {
-        if !call.is_run() {
-            return self.reading_failed(call.flight);
+    pub(super) fn call_lost(&mut self, call: &Call) {
+        if !call.runs_request() {
+            return self.prefill_failed(call.request);
         }
-        let Some(flight) = self.flights.get_mut(&call.flight) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         if !call.has_begun {
-            flight.runs += 1;
+            in_flight.runs += 1;
         }
-        flight.trace.mark_sent();
-        flight.source = None;
-        flight.reading_failed = true;
-        if self.can_repeat(call.flight) {
-            return self.proceed(call.flight);
+        in_flight.trace.mark_sent();
+        in_flight.source = None;
+        in_flight.prefill_failed = true;
+        if self.can_retry(call.request) {
+            return self.proceed(call.request);
         }
-        self.give_up(call.flight, NotRunReason::TurnedAway);
+        self.give_up(call.request, NotRunReason::Rejected);
     }
 
     /// Tells whether a request may be sent to one more engine.
-    fn can_repeat(&self, key: FlightKey) -> bool {
-        let Some(flight) = self.flights.get(&key) else { return false };
-        flight.route.is_idempotent() && flight.may_run_again() && self.now < flight.ends
+    fn can_retry(&self, key: RequestKey) -> bool {
+        let Some(in_flight) = self.in_flight.get(&key) else { return false };
+        in_flight.route.is_idempotent() && in_flight.may_run_again() && self.now < in_flight.ends
     }
 
     /// Takes a call out, with its work.
@@ -252,12 +252,12 @@
         }
         let urgency = self.end_urgency(&call);
         self.ledger.remove(call.engine.key, call.load, urgency);
-        if matches!(call.task, Task::Generate(_)) {
+        if matches!(call.task, Task::Decode(_)) {
             self.runs.end(self.now);
         }
-        if let Some(flight) = self.flights.get_mut(&call.flight) {
-            flight.call = None;
-            flight.patience = None;
+        if let Some(in_flight) = self.in_flight.get_mut(&call.request) {
+            in_flight.call = None;
+            in_flight.silence_deadline = None;
         }
         Some(call)
     }
@@ -271,7 +271,7 @@
     }
 
     /// Notes that an engine has read the prompt of a call that goes on.
-    fn finish_reading(&mut self, key: CallKey) {
+    fn finish_prefill(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         let read = Load { reading: call.load.reading, calls: 0, held: 0 };
         call.load.reading = 0;
@@ -282,40 +282,42 @@
 
     /// Learns from an answer: load, health (an answer that comes late counts as failed), and the
     /// rate of reading. One of another engine at the same address says nothing of this one.
-    fn learn(&mut self, call: &Call, answer: &Answer) {
-        if !self.is_of_this_life(call) || answer.execution == Execution::Moved {
+    fn apply_answer(&mut self, call: &Call, answer: &Answer) {
+        if !self.is_of_this_life(call) || answer.execution == Execution::Replaced {
             return;
         }
         self.learn_limit(call, answer);
-        self.learn_terms(call, &answer.says);
+        self.learn_terms(call, &answer.statement);
         let now = self.now;
         let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
         self.judge_return(call, is_good);
         if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.told = answer.says.load.map(|it| (it, now)).or(known.told);
-            match self.flights.get(&call.flight) {
-                Some(flight) if is_good && call.is_slow(now, flight) => known.health.fail(now),
+            known.told = answer.statement.load.map(|it| (it, now)).or(known.told);
+            match self.in_flight.get(&call.request) {
+                Some(in_flight) if is_good && call.is_slow(now, in_flight) => {
+                    known.health.fail(now)
+                }
                 _ if is_good => known.health.succeed(now),
                 _ => {}
             }
         }
-        let has_read = match call.task {
-            Task::Read => answer.handle.is_some(),
-            Task::Generate(Prompt::Unread) => answer.status == OK,
+        let has_prefilled = match call.task {
+            Task::Prefill => answer.handle.is_some(),
+            Task::Decode(Prompt::NotPrefilled) => answer.status == OK,
             _ => false,
         };
-        if has_read && call.engine.stage.is_some() {
+        if has_prefilled && call.engine.stage.is_some() {
             self.measure(call, now);
         }
     }
 
     /// Measures an engine's rate of reading.
     fn measure(&mut self, call: &Call, now: Time) {
-        self.directory.measure(call.engine.key, call.ahead, now.since(call.sent), now);
+        self.directory.measure(call.engine.key, call.queued_tokens, now.since(call.sent), now);
     }
 
     /// Notes that an engine failed a call.
-    fn fail(&mut self, call: &Call) {
+    fn record_failure(&mut self, call: &Call) {
         let now = self.now;
         if self.is_of_this_life(call)
             && let Some(known) = self.directory.get_mut(call.engine.key)
@@ -325,25 +327,34 @@
     }
 
     /// Notes that an engine could not be reached, or fell silent.
-    pub(super) fn miss(&mut self, call: &Call) {
+    pub(super) fn record_unreachable(&mut self, call: &Call) {
         if !self.is_of_this_life(call) {
             return;
         }
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
         let span = known.health.miss(now);
-        self.untold.missed.push(call.engine.key);
-        self.note(Note::Avoided { id: call.engine.id.clone(), span });
+        self.unannounced.missed.push(call.engine.key);
+        self.log(LogEvent::Avoided { id: call.engine.id.clone(), span });
     }
 
     /// Adds a failed call to the log.
-    pub(super) fn note_failure(&mut self, call: &Call, how: &'static str, status: u16) {
-        let Some(flight) = self.flights.get(&call.flight) else { return };
-        let request = flight.request.id.clone();
-        let (signature, path) = (flight.signature, flight.request.path.as_str().into());
+    pub(super) fn log_failure(&mut self, call: &Call, outcome: &'static str, status: u16) {
+        let Some(in_flight) = self.in_flight.get(&call.request) else { return };
+        let request = in_flight.request.id.clone();
+        let (signature, path) = (in_flight.signature, in_flight.request.path.as_str().into());
         let engine = call.engine.id.clone();
         let told = self.directory.get(call.engine.key).and_then(|it| it.told).map(|it| it.0);
         let known = self.ledger.at(call.engine.key);
-        self.note(Note::Failed { request, signature, path, engine, how, status, told, known });
+        self.log(LogEvent::Failed {
+            request,
+            signature,
+            path,
+            engine,
+            outcome,
+            status,
+            told,
+            known,
+        });
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/room.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -7,10 +7,10 @@
 use crate::directory::Known;
 use crate::effect::NotRunReason;
 use crate::engine::{EngineKey, Stage};
-use crate::flight::Flight;
+use crate::in_flight::InFlight;
 use crate::load::Urgency;
 use crate::message::Load;
-use crate::request::FlightKey;
+use crate::request::RequestKey;
 
 /// The share of the target for which a request waits before it is refused. Chosen by a sweep, with
 /// accounts that give nothing for a refusal, however early (`docs/design/shifted.md`): those that
@@ -33,33 +33,33 @@
     }
 
     /// Has a request wait for room, or gives it up if no room can come.
-    pub(super) fn wait_for_room(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(&key) else { return };
-        if let Some(wait) = self.kept_for(flight) {
+    pub(super) fn wait_for_capacity(&mut self, key: RequestKey) {
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        if let Some(wait) = self.kept_for(in_flight) {
             return self.wait_or_refuse(key, wait);
         }
-        if flight.service.staged.is_none() || !self.can_find_room(flight) {
-            let reason = self.why_no_engine(flight);
+        if in_flight.service.staged.is_none() || !self.may_get_capacity(in_flight) {
+            let reason = self.no_engine_reason(in_flight);
             return self.give_up(key, reason);
         }
-        let is_waiting = flight.waits_until.is_some_and(|it| it > self.now);
-        if is_waiting && !flight.waits_for_permit {
+        let is_waiting = in_flight.waits_until.is_some_and(|it| it > self.now);
+        if is_waiting && !in_flight.waits_for_permit {
             return;
         }
-        let until = wait_end(flight);
+        let until = wait_end(in_flight);
         if until <= self.now {
-            return self.refuse_for_room(key);
+            return self.refuse_for_capacity(key);
         }
         self.wait_until(key, until);
-        if let Some(flight) = self.flights.get_mut(&key) {
-            flight.waits_for_permit = false;
+        if let Some(in_flight) = self.in_flight.get_mut(&key) {
+            in_flight.waits_for_permit = false;
         }
     }
 
     /// Has a request wait until a time, after which it is looked at again.
-    pub(super) fn wait_until(&mut self, key: FlightKey, until: Time) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        if flight.waits_until.replace(until).is_none() {
+    pub(super) fn wait_until(&mut self, key: RequestKey, until: Time) {
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        if in_flight.waits_until.replace(until).is_none() {
             self.waiting.push(key);
         }
         self.wake_at(key, Some(until));
@@ -74,22 +74,28 @@
             return;
         }
         let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.retain(|it| self.flights.get(it).is_some_and(|it| it.waits_until.is_some()));
+        waiting.retain(|it| self.in_flight.get(it).is_some_and(|it| it.waits_until.is_some()));
         waiting.sort_by_key(|it| {
-            let flight = &self.flights[it];
-            let is_late = self.now.since(flight.arrived) > flight.route.target;
-            (flight.source.is_none(), is_late, flight.rank(), !flight.is_repeated, *it)
+            let in_flight = &self.in_flight[it];
+            let is_late = self.now.since(in_flight.arrived) > in_flight.route.target;
+            (
+                in_flight.source.is_none(),
+                is_late,
+                in_flight.priority(),
+                !in_flight.is_client_retry,
+                *it,
+            )
         });
         for &key in &waiting {
             self.proceed(key);
         }
-        waiting.retain(|it| self.flights.get(it).is_some_and(|it| it.waits_until.is_some()));
+        waiting.retain(|it| self.in_flight.get(it).is_some_and(|it| it.waits_until.is_some()));
         self.waiting.extend(waiting);
     }
 
     /// Refuses a request for which no room came in time.
-    pub(super) fn refuse_for_room(&mut self, key: FlightKey) {
-        if let Some(wait) = self.flights.get(&key).and_then(|it| self.kept_for(it)) {
+    pub(super) fn refuse_for_capacity(&mut self, key: RequestKey) {
+        if let Some(wait) = self.in_flight.get(&key).and_then(|it| self.kept_for(it)) {
             return self.refuse_kept(key, wait);
         }
         let spread = (self.draw() % 1000) as f64 / 1000.0;
@@ -98,65 +104,66 @@
     }
 
     /// Reserves memory at the engine that is to generate.
-    pub(super) fn reserve(&mut self, key: FlightKey, engine: Option<EngineKey>) {
+    pub(super) fn reserve(&mut self, key: RequestKey, engine: Option<EngineKey>) {
         let Some(engine) = engine else { return };
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        let held = u32::try_from(flight.request.tokens_held()).unwrap_or(u32::MAX / 4);
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        let held = u32::try_from(in_flight.request.mean_held_tokens()).unwrap_or(u32::MAX / 4);
         let load = Load { reading: 0, calls: 0, held };
-        flight.reserved = Some((engine, load));
+        in_flight.reserved = Some((engine, load));
         self.ledger.add(engine, load);
     }
 
     /// Releases the memory that was reserved for a request.
-    pub(super) fn unreserve(&mut self, key: FlightKey) {
-        let reserved = self.flights.get_mut(&key).and_then(|it| it.reserved.take());
+    pub(super) fn unreserve(&mut self, key: RequestKey) {
+        let reserved = self.in_flight.get_mut(&key).and_then(|it| it.reserved.take());
         if let Some((engine, load)) = reserved {
             self.ledger.remove(engine, load, Urgency::Now);
         }
     }
 
     /// Tells whether an engine could take the request if it had room.
-    fn can_find_room(&self, flight: &Flight) -> bool {
-        let mut open = self.directory.open(&flight.service.name, self.now);
-        let leaving_for = self.leaving_for(flight);
+    fn may_get_capacity(&self, in_flight: &InFlight) -> bool {
+        let mut open = self.directory.open(&in_flight.service.name, self.now);
+        let leaving_for = self.leaving_for(in_flight);
         open.any(|it| {
-            let is_able = it.engine.stage == Some(Stage::Decode) && self.is_home(flight, it);
+            let is_able =
+                it.engine.stage == Some(Stage::Decode) && self.is_allowed_at(in_flight, it);
             is_able && self.terms.stays(&it.engine, leaving_for, self.now)
         })
     }
 
     /// Tells why no engine can take a request.
-    fn why_no_engine(&self, flight: &Flight) -> NotRunReason {
-        let engines = || self.directory.of_service(&flight.service.name);
-        let is_open = |it: &Known| it.is_open(self.now) && self.is_home(flight, it);
+    fn no_engine_reason(&self, in_flight: &InFlight) -> NotRunReason {
+        let engines = || self.directory.of_service(&in_flight.service.name);
+        let is_open = |it: &Known| it.is_open(self.now) && self.is_allowed_at(in_flight, it);
         let stays = |it: &Known| !self.terms.is_leaving(&it.engine);
         if engines().any(|it| is_open(it) && stays(it)) {
             NotRunReason::NoEngine
         } else if engines().any(is_open) {
-            NotRunReason::Leaving
-        } else if engines().any(|it| it.is_evacuated() && self.is_home(flight, it)) {
+            NotRunReason::ShuttingDown
+        } else if engines().any(|it| it.is_evacuated() && self.is_allowed_at(in_flight, it)) {
             NotRunReason::Evacuated
         } else if engines().any(|it| it.is_open(self.now)) {
-            NotRunReason::NoHome
+            NotRunReason::NoEngineInRegion
         } else {
             NotRunReason::NoEngine
         }
     }
 
     /// Tells whether a request may be served where an engine is.
-    pub(super) fn is_home(&self, flight: &Flight, known: &Known) -> bool {
+    pub(super) fn is_allowed_at(&self, in_flight: &InFlight, known: &Known) -> bool {
         let regions = &self.settings.regions;
-        flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
+        in_flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
     }
 }
 
 /// Gives until when a request may wait for room.
-fn wait_end(flight: &Flight) -> Time {
-    if flight.source.is_some() {
-        return flight.handle_end();
+fn wait_end(in_flight: &InFlight) -> Time {
+    if in_flight.source.is_some() {
+        return in_flight.handle_end();
     }
-    if flight.sends > 0 {
-        return flight.ends;
+    if in_flight.call_count > 0 {
+        return in_flight.ends;
     }
-    flight.arrived + flight.route.target.mul_f64(WAIT_SHARE)
+    in_flight.arrived + in_flight.route.target.mul_f64(WAIT_SHARE)
 }
--- a/crates/hollyspoke-gateway/src/gateway/cases.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cases.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Gateway;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::quarantine::{About, Crashes, MOST_CRASHES, Word};
 use crate::signature::Signature;
 
@@ -235,7 +235,7 @@
                 self.note_held(&[signature]);
             }
         }
-        self.note(Note::CasesRead { cases: saved.len() });
+        self.log(LogEvent::CasesRead { cases: saved.len() });
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/census.rs
+++ b/crates/hollyspoke-gateway/src/gateway/census.rs
@@ -12,7 +12,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 
 /// The kind of the object.
 const KIND: &str = "census";
@@ -139,7 +139,7 @@
             (Answer::Conflict | Answer::Away | Answer::Absent | Answer::Written { .. }, _) => None,
         };
         if let Some(Stored { boxes, .. }) = self.census.stored {
-            self.note(Note::Census { boxes, is_written: written.is_some() });
+            self.log(LogEvent::Census { boxes, is_written: written.is_some() });
         }
         true
     }
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -9,9 +9,9 @@
 use super::{Gateway, Sharing};
 use crate::customer::{Caller, Customer};
 use crate::effect::{Effect, NotRunReason, Refusal};
-use crate::flight::Flight;
+use crate::in_flight::InFlight;
 use crate::message::{Message, Usage};
-use crate::request::{FlightKey, Request};
+use crate::request::{Request, RequestKey};
 use crate::route::{Configuration, Route};
 
 /// When a client may come back whose key may be in a configuration that is being read. Boxes have
@@ -33,7 +33,8 @@
 const RETRY_SPREAD: f64 = 0.5;
 
 /// The bounds of the time after which a client may come back whose customer is over its limit.
-const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(10));
 
 /// Who sent a request.
 pub(super) struct Identity {
@@ -69,11 +70,16 @@
 impl Gateway {
     /// Refuses a request without a known key. A box that knows that its configuration is behind
     /// does not say that the key is unknown.
-    pub(super) fn refuse_unknown_key(&mut self, key: FlightKey, request: &Request) {
+    pub(super) fn refuse_unknown_key(&mut self, key: RequestKey, request: &Request) {
         if self.is_behind() {
-            return self.refuse_unsent(key, request, NotRunReason::Behind, BEHIND_RETRY);
+            return self.refuse_on_arrival(
+                key,
+                request,
+                NotRunReason::StaleConfiguration,
+                BEHIND_RETRY,
+            );
         }
-        self.note_refusal(request, "unknown key", None);
+        self.log_refusal(request, "unknown key", None);
         self.effects.push(Effect::Refuse(key, Refusal::UnknownKey));
     }
 
@@ -81,7 +87,7 @@
     /// forbids it, which is then refused.
     pub(super) fn take_units(
         &mut self,
-        key: FlightKey,
+        key: RequestKey,
         request: &Request,
         customer: Option<&Arc<Customer>>,
     ) -> Option<u64> {
@@ -100,23 +106,23 @@
     /// Refuses a request whose customer is over its limit.
     fn refuse_over_limit(
         &mut self,
-        key: FlightKey,
+        key: RequestKey,
         request: &Request,
         customer: &Arc<Customer>,
         wait: Duration,
     ) {
         let Some(proof) = Trace::clean().not_run() else { return };
         let spread = (self.draw() % 1000) as f64 / 1000.0;
-        let (least, most) = RETRY_BOUNDS;
+        let (least, most) = RETRY_AFTER_RANGE;
         let wait = if self.members.seeks(self.now) { UNHEARD_RETRY } else { wait };
         let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(least, most);
-        self.note_refusal(request, "over limit", Some(customer));
+        self.log_refusal(request, "over limit", Some(customer));
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
     }
 
     /// Gives back what was taken for a request that has not run.
-    pub(super) fn give_units_back(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
+    pub(super) fn give_units_back(&mut self, key: RequestKey) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return };
         let units = std::mem::take(&mut flight.units);
         if let Some(customer) = &flight.customer
             && units > 0
@@ -138,15 +144,15 @@
 
     /// Looks a request's key up again if the configuration has changed since; refuses the request
     /// and tells so if the key is not known any more.
-    pub(super) fn check_again(&mut self, key: FlightKey) -> bool {
+    pub(super) fn check_again(&mut self, key: RequestKey) -> bool {
         let Some(configuration) = &self.configuration else { return true };
-        let Some(flight) = self.flights.get_mut(&key) else { return true };
-        if flight.checked == configuration.version || is_allowed(configuration, flight) {
-            flight.checked = configuration.version;
+        let Some(flight) = self.in_flight.get_mut(&key) else { return true };
+        if flight.checked_version == configuration.version || is_allowed(configuration, flight) {
+            flight.checked_version = configuration.version;
             return true;
         }
         if flight.trace.is_sent() {
-            self.give_up(key, NotRunReason::TurnedAway);
+            self.give_up(key, NotRunReason::Rejected);
             return false;
         }
         self.give_units_back(key);
@@ -157,10 +163,10 @@
 
     /// Brings the picture of the boxes that share customers' limits up to date.
     fn see_boxes(&mut self) {
-        if self.now < self.sees_boxes_at {
+        if self.now < self.box_count_due {
             return;
         }
-        self.sees_boxes_at = self.now + SEE_EVERY;
+        self.box_count_due = self.now + SEE_EVERY;
         let boxes = self.sharing_boxes();
         let picture = match self.settings.sharing {
             Sharing::Parts => Picture::alone(boxes),
@@ -229,7 +235,7 @@
 
 /// Tells whether a request's route lets it through with its key under a configuration. One whose
 /// route is gone was taken up while it was there.
-fn is_allowed(configuration: &Configuration, flight: &Flight) -> bool {
+fn is_allowed(configuration: &Configuration, flight: &InFlight) -> bool {
     let request = &flight.request;
     let route = configuration.route(&request.host, &request.path).unwrap_or(&flight.route);
     identify(configuration, route, request).is_ok()
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -5,8 +5,8 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::{Effect, KeptFrom, NotRunReason, Note, Refusal, Source};
-use crate::request::{CallKey, FlightKey};
+use crate::effect::{Effect, Exclusion, LogEvent, NotRunReason, Refusal, Source};
+use crate::request::{CallKey, RequestKey};
 
 /// When a client may come back whose request no engine could take.
 const RETRY_AFTER: Duration = Duration::from_millis(600);
@@ -24,106 +24,106 @@
     }
 
     /// Looks at one request that is due.
-    fn expire_one(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(&key) else { return };
-        if flight.ends <= self.now {
+    fn expire_one(&mut self, key: RequestKey) {
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        if in_flight.ends <= self.now {
             return self.time_out(key);
         }
-        if self.is_asked_in_vain(flight) {
+        if self.is_asked_in_vain(in_flight) {
             return self.proceed(key);
         }
-        if flight.waits_until.is_some_and(|it| it <= self.now) {
-            return self.refuse_for_room(key);
+        if in_flight.waits_until.is_some_and(|it| it <= self.now) {
+            return self.refuse_for_capacity(key);
         }
-        let Some(patience) = flight.patience else { return };
-        if patience > self.now {
-            self.due.insert((patience, key));
+        let Some(silence_deadline) = in_flight.silence_deadline else { return };
+        if silence_deadline > self.now {
+            self.due.insert((silence_deadline, key));
             return;
         }
-        self.fall_silent(key);
+        self.time_out_call(key);
     }
 
     /// Has a request looked at again at a time.
-    pub(super) fn wake_at(&mut self, key: FlightKey, time: Option<Time>) {
+    pub(super) fn wake_at(&mut self, key: RequestKey, time: Option<Time>) {
         if let Some(time) = time {
             self.due.insert((time, key));
         }
     }
 
     /// Gives a request its final answer because its time has passed.
-    fn time_out(&mut self, key: FlightKey) {
+    fn time_out(&mut self, key: RequestKey) {
         self.give_up(key, NotRunReason::TimedOut);
     }
 
     /// Drops a call whose engine is silent and goes on elsewhere, if the request may be sent
     /// elsewhere. Else silence is no reason to end it.
-    fn fall_silent(&mut self, key: FlightKey) {
-        let Some(call_key) = self.flights.get(&key).and_then(|it| it.call) else { return };
-        if !self.can_leave(call_key) {
+    fn time_out_call(&mut self, key: RequestKey) {
+        let Some(call_key) = self.in_flight.get(&key).and_then(|it| it.call) else { return };
+        if !self.can_move(call_key) {
             return;
         }
         let Some(call) = self.take_call(call_key) else { return };
         self.effects.push(Effect::Cancel(call_key));
-        self.note_failure(&call, "silent", 0);
-        self.miss(&call);
+        self.log_failure(&call, "silent", 0);
+        self.record_unreachable(&call);
         self.suspect(&call);
-        self.lost(&call);
+        self.call_lost(&call);
     }
 
     /// Tells whether a request may be sent elsewhere while a call is under way.
-    fn can_leave(&self, call_key: CallKey) -> bool {
+    fn can_move(&self, call_key: CallKey) -> bool {
         let Some(call) = self.calls.get(&call_key) else { return false };
-        let Some(flight) = self.flights.get(&call.flight) else { return false };
-        let runs = flight.runs + u32::from(call.is_run() && !call.has_begun);
-        !call.is_run() || runs < flight.route.max_attempts
+        let Some(in_flight) = self.in_flight.get(&call.request) else { return false };
+        let runs = in_flight.runs + u32::from(call.runs_request() && !call.has_begun);
+        !call.runs_request() || runs < in_flight.route.max_attempts
     }
 
     /// Ends a request whose client has left.
-    pub(super) fn client_left(&mut self, key: FlightKey) {
+    pub(super) fn client_left(&mut self, key: RequestKey) {
         self.drop_call(key);
-        if self.flights.get(&key).is_some_and(|it| !it.trace.is_sent()) {
+        if self.in_flight.get(&key).is_some_and(|it| !it.trace.is_sent()) {
             self.give_units_back(key);
         }
         self.end(key, "client left");
     }
 
     /// Gives a request up.
-    pub(super) fn give_up(&mut self, key: FlightKey, reason: NotRunReason) {
+    pub(super) fn give_up(&mut self, key: RequestKey, reason: NotRunReason) {
         self.give_up_until(key, reason, RETRY_AFTER);
     }
 
     /// Gives a request up; if it has not run, the client may come back after a time.
-    pub(super) fn give_up_until(&mut self, key: FlightKey, reason: NotRunReason, retry: Duration) {
+    pub(super) fn give_up_until(&mut self, key: RequestKey, reason: NotRunReason, retry: Duration) {
         self.drop_call(key);
-        let Some(flight) = self.flights.get(&key) else { return };
-        if flight.has_begun {
-            return self.break_off(key);
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        if in_flight.has_begun {
+            return self.abort(key);
         }
-        let refusal = match flight.trace.not_run() {
+        let refusal = match in_flight.trace.not_run() {
             Some(proof) => Refusal::NotRun(proof, reason, retry),
-            None if flight.ends <= self.now => Refusal::Late,
-            None => Refusal::Broken,
+            None if in_flight.ends <= self.now => Refusal::TimedOut,
+            None => Refusal::Failed,
         };
-        let how = match refusal {
+        let outcome = match refusal {
             Refusal::NotRun(_, reason, _) => reason.name(),
             Refusal::OverLimit(..) => "over limit",
             Refusal::UnknownKey => "unknown key",
-            Refusal::Harmful(_) => "held back",
+            Refusal::Quarantined(_) => "held back",
             Refusal::NoRoute => "no route",
-            Refusal::Broken => "broken",
-            Refusal::Late => "time passed",
+            Refusal::Failed => "broken",
+            Refusal::TimedOut => "time passed",
         };
         if matches!(refusal, Refusal::NotRun(..)) {
             self.give_units_back(key);
         }
         self.effects.push(Effect::Refuse(key, refusal));
-        self.end(key, how);
+        self.end(key, outcome);
     }
 
     /// Ends a begun answer visibly unfinished.
-    pub(super) fn break_off(&mut self, key: FlightKey) {
+    pub(super) fn abort(&mut self, key: RequestKey) {
         self.drop_call(key);
-        self.effects.push(Effect::Break(key));
+        self.effects.push(Effect::Abort(key));
         self.end(key, "broken off");
     }
 
@@ -138,31 +138,31 @@
     }
 
     /// Removes a request and frees its prompt if nobody has taken it.
-    pub(super) fn end(&mut self, key: FlightKey, how: &'static str) {
+    pub(super) fn end(&mut self, key: RequestKey, outcome: &'static str) {
         self.unreserve(key);
-        let Some(flight) = self.flights.remove(&key) else { return };
-        self.due.remove(&(flight.ends, key));
-        self.free(flight.source);
-        let after = self.now.since(flight.arrived);
-        let customer = flight.customer.map(|it| it.name.clone());
-        let (request, units) = (flight.request.id, flight.units);
-        let kept_from = flight.kept_from.iter().map(|it| {
+        let Some(in_flight) = self.in_flight.remove(&key) else { return };
+        self.due.remove(&(in_flight.ends, key));
+        self.free(in_flight.source);
+        let after = self.now.since(in_flight.arrived);
+        let customer = in_flight.customer.map(|it| it.name.clone());
+        let (request, units) = (in_flight.request.id, in_flight.units);
+        let exclusions = in_flight.exclusions.iter().map(|it| {
             let engine = self.engine_name(it.engine).into();
-            KeptFrom { engine, by: it.by }
+            Exclusion { engine, reason: it.reason }
         });
-        let kept_from = kept_from.collect();
-        self.note(Note::Ended { request, customer, units, kept_from, how, after });
+        let exclusions = exclusions.collect();
+        self.log(LogEvent::Ended { request, customer, units, exclusions, outcome, after });
     }
 
     /// Drops the call under way. If it could run the request, it may have.
-    fn drop_call(&mut self, key: FlightKey) {
-        let Some(call_key) = self.flights.get(&key).and_then(|it| it.call) else { return };
+    fn drop_call(&mut self, key: RequestKey) {
+        let Some(call_key) = self.in_flight.get(&key).and_then(|it| it.call) else { return };
         let Some(call) = self.take_call(call_key) else { return };
         self.effects.push(Effect::Cancel(call_key));
-        if call.is_run()
-            && let Some(flight) = self.flights.get_mut(&key)
+        if call.runs_request()
+            && let Some(in_flight) = self.in_flight.get_mut(&key)
         {
-            flight.trace.mark_sent();
+            in_flight.trace.mark_sent();
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/era.rs
+++ b/crates/hollyspoke-gateway/src/gateway/era.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use super::Gateway;
-use crate::effect::{Effect, Note};
+use crate::effect::{Effect, LogEvent};
 use crate::event::Kind;
 
 /// The kinds of objects that are followed.
@@ -20,14 +20,14 @@
     }
 
     /// Takes the store's era from another box, if that tells one.
-    pub(super) fn hear_era(&mut self, era: u64, told_by: SocketAddr) {
+    pub(super) fn hear_era(&mut self, era: u64, announced_by: SocketAddr) {
         if era > 0 {
-            self.learn_era(era, Some(told_by));
+            self.learn_era(era, Some(announced_by));
         }
     }
 
     /// Takes the store's era from one of its answers, or from another box.
-    pub(super) fn learn_era(&mut self, era: u64, told_by: Option<SocketAddr>) {
+    pub(super) fn learn_era(&mut self, era: u64, announced_by: Option<SocketAddr>) {
         let before = self.store.era;
         if before.is_some_and(|it| it >= era) {
             return;
@@ -37,7 +37,7 @@
         let revision = self.directory.complete();
         let knew_earlier = before.is_some() || (self.is_listed && revision.era < era);
         if knew_earlier {
-            self.note(Note::StoreReturned { era, revision, told_by });
+            self.log(LogEvent::StoreReturned { era, revision, announced_by });
             self.write_and_read_again();
         }
     }
--- a/crates/hollyspoke-gateway/src/gateway/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/gateway/evacuation.rs
@@ -7,7 +7,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::evacuation::{Change, Difference, Evacuation};
 
 /// The time after a box's start by which it serves even if nobody has told which data centres are
@@ -55,10 +55,10 @@
         }
         self.directory.evacuate(&self.evacuations.in_force());
         for data_centre in difference.begun {
-            self.note(Note::Evacuated { data_centre, is_lifted: false });
+            self.log(LogEvent::Evacuated { data_centre, is_lifted: false });
         }
         for data_centre in difference.lifted {
-            self.note(Note::Evacuated { data_centre, is_lifted: true });
+            self.log(LogEvent::Evacuated { data_centre, is_lifted: true });
         }
         self.beat_with_news();
     }
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -6,12 +6,12 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::Note;
+use crate::effect::LogEvent;
 use crate::engine::EngineKey;
 use crate::event::{Answer, Execution};
-use crate::flight::Call;
-use crate::intake::{Change, Told, Word};
+use crate::in_flight::Call;
 use crate::message::{Extension, Message};
+use crate::rate_limit::{Announcement, Change, Reported};
 
 /// The lowest status of an answer that is no success.
 const NO_SUCCESS: u16 = 300;
@@ -23,21 +23,21 @@
     pub(super) fn learn_limit(&mut self, call: &Call, answer: &Answer) {
         if !call.has_begun {
             let may_lift = answer.execution == Execution::Ran && answer.status < NO_SUCCESS;
-            self.learn_limit_of(call.engine.key, answer.says.limit, call.sent, may_lift);
+            self.learn_limit_of(call.engine.key, answer.statement.limit, call.sent, may_lift);
         }
     }
 
     /// Takes a limit that an engine names in its answer to an order or a question.
-    pub(super) fn named(&mut self, engine: EngineKey, told: Told) {
+    pub(super) fn named(&mut self, engine: EngineKey, told: Reported) {
         self.learn_limit_of(engine, told, Time::ZERO, false);
     }
 
     /// Learns from an answer to something that was sent at a time.
-    fn learn_limit_of(&mut self, engine: EngineKey, told: Told, sent: Time, may_lift: bool) {
+    fn learn_limit_of(&mut self, engine: EngineKey, told: Reported, sent: Time, may_lift: bool) {
         let Some(known) = self.directory.get(engine) else { return };
         let change = self.terms.limits.learn(&known.engine, told, sent, may_lift, self.now);
         if let Some(change) = change {
-            self.untold.limits.push(engine);
+            self.unannounced.limits.push(engine);
             self.limit_changed(engine, change, None, Duration::ZERO);
         }
     }
@@ -51,7 +51,7 @@
     }
 
     /// Takes what another box tells of one engine's limit.
-    fn hear_limit(&mut self, word: &Word, sender: SocketAddr) {
+    fn hear_limit(&mut self, word: &Announcement, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
         if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
             let age = Duration::from_millis(u64::from(word.age_ms));
@@ -70,22 +70,22 @@
         &mut self,
         engine: EngineKey,
         change: Change,
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         age: Duration,
     ) {
         self.permits.held.reopen(engine);
         self.begin_to_issue(engine);
-        self.may_have_room = true;
+        self.may_have_capacity = true;
         if let Some(known) = self.directory.get(engine) {
             let id = known.engine.id.clone();
-            self.note(Note::Limited { id, change, told_by, age });
+            self.log(LogEvent::Limited { id, change, announced_by, age });
         }
     }
 
     /// Tells all boxes at once of the limits that have changed by the engines' own word. What others
     /// have told is not passed on: all would tell all.
     pub(super) fn tell_limits(&mut self) {
-        let changed = std::mem::take(&mut self.untold.limits);
+        let changed = std::mem::take(&mut self.unannounced.limits);
         let limits: Vec<_> =
             changed.into_iter().filter_map(|it| self.terms.limits.word(it, self.now)).collect();
         if !limits.is_empty() {
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -9,7 +9,7 @@
 
 use super::Gateway;
 use crate::cadence::{Cadence, FAR_BEATS};
-use crate::effect::{Effect, Note};
+use crate::effect::{Effect, LogEvent};
 use crate::engine::EngineKey;
 use crate::evacuation::Evacuation;
 use crate::member::{Hearing, Reach};
@@ -132,7 +132,7 @@
         let until = self.now + self.leave_span();
         let loads = &message.loads;
         let has_freed = self.ledger.hear(message.sender, loads, message.is_whole, until);
-        self.may_have_room |= has_freed || !message.kept.is_empty() || message.news.is_some();
+        self.may_have_capacity |= has_freed || !message.kept.is_empty() || message.news.is_some();
         if has_freed && let Some(&first) = self.waiting.first() {
             self.wake_at(first, Some(until));
         }
@@ -154,7 +154,7 @@
         }
         let departures = self.all_departures();
         answer.extension = Extension { departures, ..Extension::default() }.filled();
-        self.effects.push(Effect::Tell(vec![message.sender], Box::new(answer)));
+        self.effects.push(Effect::Announce(vec![message.sender], Box::new(answer)));
     }
 
     /// Sends the heartbeat if it is due.
@@ -190,7 +190,7 @@
         message.kept = self.prompts.take_untold();
         // The heartbeat tells all work, so that no changes are left to tell.
         self.ledger.take_changed();
-        self.gathering_since = None;
+        self.batch_started_at = None;
         let reach = self.heartbeat_reach();
         self.tell_within(&reach, message);
     }
@@ -201,7 +201,7 @@
         let PeerChanges { heard, silent } = std::mem::take(&mut self.peer_changes);
         if !heard.is_empty() || !silent.is_empty() {
             let alive = self.members.alive().len();
-            self.note(Note::Peers { heard, silent, alive });
+            self.log(LogEvent::Peers { heard, silent, alive });
         }
     }
 
@@ -210,8 +210,8 @@
     fn heartbeat_reach(&mut self) -> Reach {
         self.heartbeats = self.heartbeats.wrapping_add(1);
         let is_turn = self.heartbeats.is_multiple_of(FAR_BEATS);
-        if !self.members.is_large() || self.is_wide() || self.beats_wide || is_turn {
-            self.beats_wide = false;
+        if !self.members.is_large() || self.is_wide() || self.heartbeat_to_all || is_turn {
+            self.heartbeat_to_all = false;
             return Reach::All;
         }
         Reach::DataCentres(BTreeSet::new())
@@ -238,7 +238,7 @@
     /// Has the heartbeat sent with this event, to all boxes.
     pub(super) fn beat_at_once(&mut self) {
         self.next_heartbeat = self.now;
-        self.beats_wide = true;
+        self.heartbeat_to_all = true;
     }
 
     /// Has the heartbeat sent with this event, since this box has learnt what all learn. Of many
@@ -246,20 +246,20 @@
     /// centre. If each told all, a new version would be a million datagrams among 1,000 boxes.
     pub(super) fn beat_with_news(&mut self) {
         self.next_heartbeat = self.now;
-        self.beats_wide |= !self.members.is_large() || self.is_wide();
+        self.heartbeat_to_all |= !self.members.is_large() || self.is_wide();
     }
 
     /// Tells the living boxes what work has changed, which engines keep new prompts, and which
     /// were replaced, not reached or full.
     pub(super) fn tell_changes(&mut self) {
         let has_urgent_kept = self.prompts.has_untold() && !self.members.is_large();
-        let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.untold.is_empty();
+        let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.unannounced.is_empty();
         if !is_urgent && !self.has_gathered() {
             return;
         }
-        self.gathering_since = None;
+        self.batch_started_at = None;
         let kept = self.prompts.take_untold();
-        let untold = std::mem::take(&mut self.untold);
+        let untold = std::mem::take(&mut self.unannounced);
         let changed = self.ledger.take_changed();
         let mut message = self.message(false);
         message.loads = changed;
@@ -276,7 +276,7 @@
         if !self.ledger.has_changed() && !self.quota.is_urgent() {
             return false;
         }
-        self.gathering_since.get_or_insert(self.now);
+        self.batch_started_at.get_or_insert(self.now);
         self.gathered_at().is_some_and(|it| it <= self.now)
     }
 
@@ -284,7 +284,7 @@
     pub(super) fn gathered_at(&self) -> Option<Time> {
         let nodes = u32::try_from(self.members.most()).unwrap_or(u32::MAX);
         let span = GATHER_A_NODE.saturating_mul(nodes).min(self.cadence().every());
-        self.gathering_since.map(|it| it + span)
+        self.batch_started_at.map(|it| it + span)
     }
 
     /// Passes on changes of engines that were read from the store.
@@ -297,7 +297,7 @@
     /// Adds a datagram to boxes, if there are any.
     pub(super) fn tell(&mut self, audience: Vec<SocketAddr>, message: Message) {
         if !audience.is_empty() {
-            self.effects.push(Effect::Tell(audience, Box::new(message)));
+            self.effects.push(Effect::Announce(audience, Box::new(message)));
         }
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -8,14 +8,14 @@
 
 use super::Gateway;
 use crate::engine::EngineKey;
-use crate::flight::{Asked, Flight, KeptFrom};
-use crate::intake::Word;
+use crate::in_flight::{Exclusion, InFlight, PermitRequest};
 use crate::message::{DataCentreKey, Extension, Message};
 use crate::permit::{
     ANSWERED_WITHIN, ASKED_AGAIN_AFTER, Ask, Holder, Issuer, Outcome, PARTS, Reply, Side,
 };
 use crate::placement::Asking;
-use crate::request::FlightKey;
+use crate::rate_limit::Announcement;
+use crate::request::RequestKey;
 use crate::terms::Bar;
 
 /// The most questions for permits of one call. Each takes a datagram and its answer; where all
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Question {
     /// The request.
-    flight: FlightKey,
+    flight: RequestKey,
     /// The engine.
     engine: EngineKey,
     /// When it was asked.
@@ -80,47 +80,51 @@
 
 impl Gateway {
     /// Tells whether a request may ask for permits.
-    pub(super) fn asking(&self, flight: &Flight) -> Asking {
-        match flight.asked {
+    pub(super) fn asking(&self, flight: &InFlight) -> Asking {
+        match flight.permit_request {
             Some(asked) if self.is_waiting_for(&asked) => Asking::At(asked.engine),
-            _ if flight.asks >= MOST_ASKS || self.permit_end(flight) <= self.now => Asking::Never,
+            _ if flight.permit_request_count >= MOST_ASKS
+                || self.permit_end(flight) <= self.now =>
+            {
+                Asking::Never
+            }
             _ => Asking::Open(self.patience(flight)),
         }
     }
 
     /// Tells whether a question may still bring a permit.
-    fn is_waiting_for(&self, asked: &Asked) -> bool {
+    fn is_waiting_for(&self, asked: &PermitRequest) -> bool {
         let is_left = !asked.is_issued || self.permits.held.expects(asked.engine, self.now);
         self.now < asked.until && is_left
     }
 
     /// Tells whether a request has asked for a permit that does not come.
-    pub(super) fn is_asked_in_vain(&self, flight: &Flight) -> bool {
-        flight.asked.is_some_and(|it| !self.is_waiting_for(&it))
+    pub(super) fn is_asked_in_vain(&self, flight: &InFlight) -> bool {
+        flight.permit_request.is_some_and(|it| !self.is_waiting_for(&it))
     }
 
     /// Gives until when a request may wait for permits.
-    pub(super) fn permit_end(&self, flight: &Flight) -> Time {
+    pub(super) fn permit_end(&self, flight: &InFlight) -> Time {
         let span = flight.route.target.mul_f64(WAIT_SHARE);
         if flight.source.is_some() {
             return flight.handle_end();
         }
-        let begun = if flight.sends == 0 { flight.arrived } else { self.now };
+        let begun = if flight.call_count == 0 { flight.arrived } else { self.now };
         (begun + span).min(flight.ends)
     }
 
     /// Gets a permit for a request that is to go to an engine, if it needs one.
-    pub(super) fn seek_permit(&mut self, key: FlightKey, engine: EngineKey) -> Leave {
+    pub(super) fn seek_permit(&mut self, key: RequestKey, engine: EngineKey) -> Leave {
         if self.terms.limits.of(engine).is_none() || self.permits.held.has(engine, self.now) {
             return Leave::Given;
         }
         self.drop_vain_question(key);
-        let Some(flight) = self.flights.get_mut(&key) else { return Leave::Refused };
-        if flight.asked.is_some_and(|it| it.engine == engine) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return Leave::Refused };
+        if flight.permit_request.is_some_and(|it| it.engine == engine) {
             return Leave::Awaited;
         }
-        flight.asks += 1;
-        let patience = self.flights.get(&key).map_or(Duration::ZERO, |it| self.patience(it));
+        flight.permit_request_count += 1;
+        let patience = self.in_flight.get(&key).map_or(Duration::ZERO, |it| self.patience(it));
         let issuer = self.issuer(engine);
         if issuer == self.settings.peer {
             self.issue_to_own(key, engine, patience)
@@ -132,8 +136,8 @@
 
     /// Forgets a question that brings no permit any more: one without an answer is not asked again at
     /// once.
-    fn drop_vain_question(&mut self, key: FlightKey) {
-        let Some(asked) = self.flights.get(&key).and_then(|it| it.asked) else { return };
+    fn drop_vain_question(&mut self, key: RequestKey) {
+        let Some(asked) = self.in_flight.get(&key).and_then(|it| it.permit_request) else { return };
         if self.is_waiting_for(&asked) {
             return;
         }
@@ -145,14 +149,14 @@
 
     /// Notes that a request's question for a permit of an engine brings none. It may have asked for
     /// another one since.
-    fn end_question(&mut self, key: FlightKey, engine: EngineKey) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        flight.asked.take_if(|it| it.engine == engine);
-        flight.keep_from(KeptFrom { engine, by: Bar::Limit });
+    fn end_question(&mut self, key: RequestKey, engine: EngineKey) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return };
+        flight.permit_request.take_if(|it| it.engine == engine);
+        flight.exclude(Exclusion { engine, reason: Bar::Limit });
     }
 
     /// Issues a permit to a request of this box.
-    fn issue_to_own(&mut self, key: FlightKey, engine: EngineKey, patience: Duration) -> Leave {
+    fn issue_to_own(&mut self, key: RequestKey, engine: EngineKey, patience: Duration) -> Leave {
         match self.issue(engine, patience) {
             Outcome::Issued(0) => {
                 self.permits.held.add(engine, self.now);
@@ -163,7 +167,7 @@
                 let from = self.now + millis(in_ms);
                 self.permits.held.add(engine, from);
                 let until = from + ANSWERED_WITHIN;
-                self.await_permit(key, Asked { engine, until, is_issued: true });
+                self.await_permit(key, PermitRequest { engine, until, is_issued: true });
                 Leave::Awaited
             }
             Outcome::Refused(wait_ms) => {
@@ -176,7 +180,7 @@
     /// Asks another box for a permit.
     fn ask_for_permit(
         &mut self,
-        key: FlightKey,
+        key: RequestKey,
         engine: EngineKey,
         patience: Duration,
         issuer: SocketAddr,
@@ -188,7 +192,7 @@
         let question = Question { flight: key, engine, at: self.now };
         self.permits.questions.insert(number, question);
         let until = self.now + ANSWERED_WITHIN;
-        self.await_permit(key, Asked { engine, until, is_issued: false });
+        self.await_permit(key, PermitRequest { engine, until, is_issued: false });
         let asks = vec![Ask { number, word, patience_ms }];
         let extension = Extension { asks, ..Extension::default() }.filled();
         let message = Message { extension, ..self.message(false) };
@@ -197,15 +201,15 @@
 
     /// Gives for how long a request may wait for its turn: the higher its rank, the longer, so that
     /// the next turns are left to the higher ranks.
-    fn patience(&self, flight: &Flight) -> Duration {
+    fn patience(&self, flight: &InFlight) -> Duration {
         let left = self.permit_end(flight).since(self.now);
-        left / (1 + u32::from(flight.rank()))
+        left / (1 + u32::from(flight.priority()))
     }
 
     /// Has a request wait for a permit.
-    fn await_permit(&mut self, key: FlightKey, asked: Asked) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        flight.asked = Some(asked);
+    fn await_permit(&mut self, key: RequestKey, asked: PermitRequest) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return };
+        flight.permit_request = Some(asked);
         flight.waits_for_permit |= flight.waits_until.is_none();
         let until = flight.waits_until.map_or(asked.until, |it| it.max(asked.until));
         self.wait_until(key, until);
@@ -213,7 +217,7 @@
     }
 
     /// Notes that a request can't go to an engine, and that no other can for a time.
-    fn keep_away(&mut self, key: FlightKey, engine: EngineKey, wait: Duration) {
+    fn keep_away(&mut self, key: RequestKey, engine: EngineKey, wait: Duration) {
         self.permits.held.refuse(engine, wait, self.now);
         self.end_question(key, engine);
     }
@@ -277,13 +281,13 @@
         if engine != reply.engine || self.now.since(at) > ANSWERED_WITHIN {
             return;
         }
-        self.may_have_room = true;
+        self.may_have_capacity = true;
         match reply.outcome {
             Outcome::Issued(in_ms) => {
                 let from = self.now + millis(in_ms);
                 self.permits.held.add(engine, from);
                 let until = from + ANSWERED_WITHIN;
-                self.put_off(key, Asked { engine, until, is_issued: true });
+                self.put_off(key, PermitRequest { engine, until, is_issued: true });
             }
             Outcome::Refused(wait_ms) => self.keep_away(key, engine, millis(wait_ms)),
             Outcome::Unlimited => self.forget_limit(engine),
@@ -291,8 +295,8 @@
     }
 
     /// Has a request that asked go on waiting, for a permit that can be used later.
-    fn put_off(&mut self, key: FlightKey, asked: Asked) {
-        let waits = self.flights.get(&key).and_then(|it| it.asked);
+    fn put_off(&mut self, key: RequestKey, asked: PermitRequest) {
+        let waits = self.in_flight.get(&key).and_then(|it| it.permit_request);
         if waits.is_some_and(|it| it.engine == asked.engine) {
             self.await_permit(key, asked);
         }
@@ -330,7 +334,7 @@
 
     /// Gives the limits that this box's heartbeat tells: those of the engines whose permits it issues,
     /// so that each is told by one box, and those that were lifted of late.
-    pub(super) fn limits_to_tell(&self) -> Vec<Word> {
+    pub(super) fn limits_to_tell(&self) -> Vec<Announcement> {
         let issued = self.permits.issued.iter().copied();
         let lifted = self.terms.limits.lifted().filter(|&it| self.issues(it));
         issued.chain(lifted).filter_map(|it| self.terms.limits.word(it, self.now)).collect()
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -9,13 +9,13 @@
 
 use super::Gateway;
 use super::cases::BACKUP_AFTER;
-use crate::effect::{Effect, NotRunReason, Note, Refusal};
+use crate::effect::{Effect, LogEvent, NotRunReason, Refusal};
 use crate::engine::{Engine, EngineKey};
 use crate::event::Probe;
-use crate::flight::{Call, Flight};
+use crate::in_flight::{Call, InFlight};
 use crate::message::Message;
 use crate::quarantine::{About, HELD_FOR, Life, Proof, Verdict};
-use crate::request::FlightKey;
+use crate::request::RequestKey;
 use crate::signature::Signature;
 
 /// When a client may come back whose request is held back until it is known whether its engines
@@ -62,7 +62,7 @@
             return;
         }
         let is_back = known.engine.born != call.engine.born;
-        let Some(flight) = self.flights.get(&call.flight) else { return };
+        let Some(flight) = self.in_flight.get(&call.request) else { return };
         let (signature, about) = (flight.signature, about(flight));
         let engine = &call.engine;
         if !self.quarantine.suspect(signature, call.stand, engine, about, self.now) {
@@ -81,7 +81,7 @@
         self.probing.remove(&engine);
         let asked = Life { engine, born: None };
         match probe {
-            Probe::Lives(born) => {
+            Probe::Alive(born) => {
                 self.quarantine.clear(Life { engine, born }, self.now);
                 // What is still in question broke in an earlier life.
                 self.confirm(asked, Proof::Proven);
@@ -116,7 +116,7 @@
     /// Drops the prompts that an engine had read for requests and that nobody has taken: it does not
     /// keep them any more.
     fn drop_handles(&mut self, engine: &Engine) {
-        for flight in self.flights.values_mut() {
+        for flight in self.in_flight.values_mut() {
             flight.source.take_if(|it| it.address == engine.address);
         }
     }
@@ -124,7 +124,7 @@
     /// Notes that a request was answered whole.
     pub(super) fn acquit(&mut self, signature: Signature) {
         if self.quarantine.acquit(signature, self.now) {
-            self.note(Note::Released { signature, how: "answered" });
+            self.log(LogEvent::Released { signature, outcome: "answered" });
         }
     }
 
@@ -132,7 +132,7 @@
     pub(super) fn lift(&mut self, short: &str) {
         for signature in self.quarantine.find(short) {
             self.quarantine.acquit(signature, self.now);
-            self.note(Note::Released { signature, how: "lifted" });
+            self.log(LogEvent::Released { signature, outcome: "lifted" });
         }
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// Tells whether a request may be sent now; one that may not waits or is refused.
-    pub(super) fn may_run(&mut self, key: FlightKey) -> bool {
-        let Some(flight) = self.flights.get(&key) else { return false };
+    pub(super) fn may_run(&mut self, key: RequestKey) -> bool {
+        let Some(flight) = self.in_flight.get(&key) else { return false };
         let signature = flight.signature;
         let verdict = self.quarantine.verdict(signature);
         if verdict == Verdict::Clear {
@@ -171,7 +171,9 @@
             Verdict::Clear | Verdict::Suspect => return true,
             Verdict::Trial if !self.is_tried(key, signature) => return true,
             Verdict::Trial => self.wait_for_trial(key),
-            Verdict::Doubted => self.give_up_until(key, NotRunReason::Doubted, DOUBTED_RETRY),
+            Verdict::Doubted => {
+                self.give_up_until(key, NotRunReason::UnderSuspicion, DOUBTED_RETRY)
+            }
             Verdict::Held => self.hold_back(key),
         }
         false
@@ -179,25 +181,25 @@
 
     /// Gives an answer to a request that is held back that does not ask the client to come again. One
     /// that has run at an engine can't be told that it has not.
-    fn hold_back(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(&key) else { return };
+    fn hold_back(&mut self, key: RequestKey) {
+        let Some(flight) = self.in_flight.get(&key) else { return };
         let Some(proof) = flight.trace.not_run().filter(|_| !flight.has_begun) else {
-            return self.give_up(key, NotRunReason::Doubted);
+            return self.give_up(key, NotRunReason::UnderSuspicion);
         };
         self.give_units_back(key);
-        self.effects.push(Effect::Refuse(key, Refusal::Harmful(proof)));
+        self.effects.push(Effect::Refuse(key, Refusal::Quarantined(proof)));
         self.end(key, "held back");
     }
 
     /// Tells whether another try of the same request is under way.
-    fn is_tried(&self, key: FlightKey, signature: Signature) -> bool {
-        let of = |it: &Call| self.flights.get(&it.flight).map(|it| it.signature);
-        self.calls.values().any(|it| it.flight != key && of(it) == Some(signature))
+    fn is_tried(&self, key: RequestKey, signature: Signature) -> bool {
+        let of = |it: &Call| self.in_flight.get(&it.request).map(|it| it.signature);
+        self.calls.values().any(|it| it.request != key && of(it) == Some(signature))
     }
 
     /// Has a request wait until the same one was tried.
-    fn wait_for_trial(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
+    fn wait_for_trial(&mut self, key: RequestKey) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return };
         if flight.waits_until.is_some() {
             return;
         }
@@ -223,7 +225,7 @@
                 self.note_held(&[word.signature]);
             }
         }
-        self.may_have_room = true;
+        self.may_have_capacity = true;
     }
 
     /// Tells all boxes of the cases that have changed.
@@ -267,7 +269,7 @@
             let Some(case) = self.quarantine.case(signature) else { continue };
             let engines: Vec<_> = case.crashes().map(|it| self.engine_name(it.engine)).collect();
             let (about, until) = (case.about.clone(), case.at + HELD_FOR.as_secs());
-            self.note(Note::Held { signature, about, engines: engines.join(" "), until });
+            self.log(LogEvent::Quarantined { signature, about, engines: engines.join(" "), until });
         }
     }
 
@@ -280,7 +282,7 @@
 }
 
 /// Gives what operators see of a request.
-fn about(flight: &Flight) -> About {
+fn about(flight: &InFlight) -> About {
     About {
         customer: flight.customer.as_ref().map(|it| it.name.clone()),
         path: flight.request.path.as_str().into(),
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -18,7 +18,7 @@
 use super::{Gateway, Settings};
 use crate::demand::MEMORY;
 use crate::directory::Known;
-use crate::effect::{Effect, Note};
+use crate::effect::{Effect, LogEvent};
 use crate::engine::{EngineKey, Stage};
 use crate::message::{Demand, Switching};
 use crate::ratio::{self, Capacity, Change, Split};
@@ -166,7 +166,7 @@
     pub(super) fn meter(&mut self, service: &Service, request: &Request) {
         if service.staged.is_some() {
             let meter = self.meters.entry(service.name.clone()).or_default();
-            meter.arrive(request.tokens_in(), request.tokens_held(), self.now);
+            meter.arrive(request.prompt_tokens_or_estimate(), request.mean_held_tokens(), self.now);
         }
     }
 
@@ -324,8 +324,8 @@
         self.stages.last = Some((change, planned));
         if let Some(known) = self.directory.get(engine) {
             let known = known.engine.clone();
-            self.note(Note::Switch { id: known.id.clone(), stage, engines, demand });
-            self.effects.push(Effect::Inspect(known));
+            self.log(LogEvent::Switch { id: known.id.clone(), stage, engines, demand });
+            self.effects.push(Effect::QueryOrderCount(known));
         }
         self.announce(&step);
     }
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -7,7 +7,7 @@
 
 use super::super::Gateway;
 use super::{Move, PLANNED_SPAN, Phase};
-use crate::effect::{Effect, LONGEST_ORDER, Note, Order};
+use crate::effect::{Effect, LogEvent, ORDER_TIMEOUT, Order};
 use crate::engine::EngineKey;
 use crate::event::OrderAnswer;
 
@@ -96,7 +96,7 @@
     fn note_lease(&mut self) {
         let token = self.stages.lease.held(self.now).map(|it| it.token);
         if token.is_some() != self.stages.noted.is_some() {
-            self.note(Note::Lease(token));
+            self.log(LogEvent::Lease(token));
         }
         self.stages.noted = token;
     }
@@ -108,7 +108,7 @@
         let Some(held) = self.stages.lease.held(now) else { return false };
         let pause = self.settings.order_pause;
         let must_wait = held.taken_over.is_some_and(|it| now.since(it) < pause);
-        !must_wait && now + LONGEST_ORDER <= held.until
+        !must_wait && now + ORDER_TIMEOUT <= held.until
     }
 
     /// Sends the orders whose engines the boxes have left.
@@ -130,7 +130,7 @@
             self.stages.moves[index].phase = Phase::Sent;
             self.stages.moves[index].tries += 1;
             let (id, stage, token) = (engine.id.clone(), step.stage, held.token);
-            self.note(Note::Ordered { id, stage, token, before: step.tries });
+            self.log(LogEvent::Ordered { id, stage, token, before: step.tries });
             let holder = self.stages.holder.clone();
             let order = Order { engine, stage, holder, token, expected_count };
             self.effects.push(Effect::Order(order));
@@ -162,8 +162,8 @@
         }
         let was_sent_before = step.tries > 1;
         match answer {
-            OrderAnswer::Taken => self.under_way(engine, "taken"),
-            OrderAnswer::Held => self.under_way(engine, "held already"),
+            OrderAnswer::Accepted => self.under_way(engine, "taken"),
+            OrderAnswer::AlreadyApplied => self.under_way(engine, "held already"),
             OrderAnswer::Conflict if was_sent_before => self.under_way(engine, "taken before"),
             OrderAnswer::Unknown if step.tries < MOST_TRIES && leads => {
                 step.phase = Phase::Settling;
@@ -176,14 +176,14 @@
     }
 
     /// Notes that an engine carries its order out.
-    fn under_way(&mut self, engine: EngineKey, how: &'static str) {
+    fn under_way(&mut self, engine: EngineKey, outcome: &'static str) {
         let Some(known) = self.directory.get(engine) else { return };
         let id = known.engine.id.clone();
         let until = self.now + self.switch_span(&known.engine.service.clone()) + LONGEST_DRAIN;
         let Some(step) = self.stages.of(engine) else { return };
         step.phase = Phase::UnderWay(until);
         let step = *step;
-        self.note(Note::OrderEnded { id, how });
+        self.log(LogEvent::OrderEnded { id, outcome });
         self.announce(&step);
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// Gives a change up, and decides nothing new for a while.
-    fn cancel_move(&mut self, engine: EngineKey, how: &'static str) {
+    fn cancel_move(&mut self, engine: EngineKey, outcome: &'static str) {
         let Some(step) = self.stages.of(engine).copied() else { return };
         self.stages.moves.retain(|it| it.engine != engine);
         self.stages.rests_until = self.now + REST;
         if let Some(known) = self.directory.get(engine) {
             let id = known.engine.id.clone();
-            self.note(Note::OrderEnded { id, how });
+            self.log(LogEvent::OrderEnded { id, outcome });
         }
         self.release(&step);
     }
@@ -213,9 +213,9 @@
     }
 
     /// Gives up the change of an engine that was not ordered yet.
-    pub(in crate::gateway) fn drop_unordered(&mut self, engine: EngineKey, how: &'static str) {
+    pub(in crate::gateway) fn drop_unordered(&mut self, engine: EngineKey, outcome: &'static str) {
         if self.stages.of(engine).is_some_and(|it| it.phase == Phase::Settling) {
-            self.cancel_move(engine, how);
+            self.cancel_move(engine, outcome);
         }
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -7,15 +7,15 @@
 
 use super::Gateway;
 use crate::customer::Customer;
-use crate::effect::{Effect, NotRunReason, Note, Prompt, Refusal, Send, Task};
+use crate::effect::{Effect, LogEvent, NotRunReason, Prompt, Refusal, Send, Task};
 use crate::engine::EngineKey;
-use crate::flight::{Call, Flight, task_name};
 use crate::gateway::customer::identify;
 use crate::gateway::permits::Leave;
+use crate::in_flight::{Call, InFlight, task_name};
 use crate::message::Load;
 use crate::placement::{Choice, View};
 use crate::quarantine::Verdict;
-use crate::request::{CallKey, FlightKey, Request};
+use crate::request::{CallKey, Request, RequestKey};
 use crate::route::{Route, Staged};
 use crate::signature::Signature;
 
@@ -27,58 +27,59 @@
 
 /// The share of the target that reading for another engine may take before an engine that reads
 /// and generates is considered.
-const ALONE_SHARE: f64 = 0.4;
+const SINGLE_ENGINE_SHARE: f64 = 0.4;
 
 /// The share of the target within which the first event must be expected.
-const LATEST_SHARE: f64 = 0.95;
+const LATEST_START_SHARE: f64 = 0.95;
 
 /// The share of the longest deadline on a route below which a request is taken for a repeated one.
-const REPEATED_SHARE: f64 = 0.97;
+const CLIENT_RETRY_SHARE: f64 = 0.97;
 
 /// The bounds of the time after which a client may come back.
-const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(6));
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(400), Duration::from_secs(6));
 
 /// The questions for permits of readers after which those of engines that read and generate are asked
 /// for: where all are in need, the readers' are gone first, and the generators' were left unused by 44
 /// in 100.
-const READER_ASKS: u32 = 2;
+const PREFILL_PERMIT_REQUEST_COUNT: u32 = 2;
 
 /// The next call of a request.
-pub(super) struct Next {
+pub(super) struct NextCall {
     /// What the engine is asked to do.
     pub(super) task: Task,
     /// The engine.
     pub(super) choice: Choice,
     /// The engine that is to generate, if another reads the prompt for it.
-    pub(super) generator: Option<EngineKey>,
+    pub(super) decode_engine: Option<EngineKey>,
 }
 
 impl Gateway {
     /// Takes a request that came whole.
-    pub(super) fn arrive(&mut self, key: FlightKey, request: Request) {
+    pub(super) fn arrive(&mut self, key: RequestKey, request: Request) {
         let knows_rest = self.knows_cases() && self.knows_evacuation();
         let configuration = self.configuration.clone().filter(|_| knows_rest);
         let Some(configuration) = configuration else {
             let reason = NotRunReason::NoConfiguration;
-            return self.refuse_unsent(key, &request, reason, NO_CONFIGURATION_RETRY);
+            return self.refuse_on_arrival(key, &request, reason, NO_CONFIGURATION_RETRY);
         };
         if self.is_closing(self.now) {
-            return self.refuse_unsent(key, &request, NotRunReason::Stopping, STOPPING_RETRY);
+            return self.refuse_on_arrival(key, &request, NotRunReason::Stopping, STOPPING_RETRY);
         }
         let Some(route) = configuration.route(&request.host, &request.path).cloned() else {
-            self.note_refusal(&request, "no route", None);
+            self.log_refusal(&request, "no route", None);
             return self.effects.push(Effect::Refuse(key, Refusal::NoRoute));
         };
         let Ok(identity) = identify(&configuration, &route, &request) else {
             return self.refuse_unknown_key(key, &request);
         };
         let held = request.deadline.map_or(route.timeout, |it| it.min(route.timeout));
-        if self.outlives_stop(held) {
-            return self.refuse_unsent(key, &request, NotRunReason::Stopping, STOPPING_RETRY);
+        if self.exceeds_grace(held) {
+            return self.refuse_on_arrival(key, &request, NotRunReason::Stopping, STOPPING_RETRY);
         }
         let draw = self.draw();
         let Some(service) = configuration.service(route.service(draw)).cloned() else {
-            return self.refuse_unsent(
+            return self.refuse_on_arrival(
                 key,
                 &request,
                 NotRunReason::NoEngine,
@@ -88,10 +89,10 @@
         let Some(units) = self.take_units(key, &request, identity.customer.as_ref()) else {
             return;
         };
-        self.earn_repeats(&service);
-        let is_repeated = self.is_repeated(&route, &request);
+        self.earn_retries(&service);
+        let is_client_retry = self.is_client_retry(&route, &request);
         self.meter(&service, &request);
-        let flight = Flight {
+        let in_flight = InFlight {
             ends: self.now + held,
             signature: Signature::of(
                 request.content,
@@ -101,78 +102,78 @@
             customer: identity.customer,
             caller: identity.caller,
             units,
-            checked: configuration.version,
+            checked_version: configuration.version,
             arrived: self.now,
             request,
             route,
             service,
             call: None,
-            patience: None,
+            silence_deadline: None,
             trace: Trace::clean(),
             tried: Vec::new(),
             runs: 0,
             arrivals: 0,
             rejections: 0,
-            sends: 0,
-            reading_failed: false,
+            call_count: 0,
+            prefill_failed: false,
             source: None,
-            handle_refused: false,
-            read_at: self.now,
+            handle_rejected: false,
+            prefilled_at: self.now,
             reserved: None,
             waits_until: None,
             waits_for_permit: false,
-            asked: None,
-            asks: 0,
-            kept_from: Vec::new(),
-            is_repeated,
+            permit_request: None,
+            permit_request_count: 0,
+            exclusions: Vec::new(),
+            is_client_retry,
             has_begun: false,
             last_event: None,
         };
-        self.due.insert((flight.ends, key));
-        self.flights.insert(key, flight);
+        self.due.insert((in_flight.ends, key));
+        self.in_flight.insert(key, in_flight);
         self.proceed(key);
     }
 
     /// Sends the next call of a request, has it wait for room, or gives it up.
-    pub(super) fn proceed(&mut self, key: FlightKey) {
+    pub(super) fn proceed(&mut self, key: RequestKey) {
         if !self.check_again(key) {
             return;
         }
         if !self.may_run(key) {
             return;
         }
-        let Some(flight) = self.flights.get(&key) else { return };
-        if !flight.may_run_again() {
-            return self.give_up(key, NotRunReason::TurnedAway);
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        if !in_flight.may_run_again() {
+            return self.give_up(key, NotRunReason::Rejected);
         }
-        if let Some(until) = self.waits_for_survey(flight) {
+        if let Some(until) = self.waits_for_survey(in_flight) {
             return self.wait_for_survey(key, until);
         }
         self.note_kept_away(key);
         let Some(next) = self.next_permitted(key) else { return };
-        let Some(flight) = self.flights.get(&key) else { return };
-        let is_repeat = flight.arrivals > 0;
-        if is_repeat && !self.take_repeat(key) {
-            return self.give_up(key, NotRunReason::TurnedAway);
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        let is_retry = in_flight.arrivals > 0;
+        if is_retry && !self.take_retry(key) {
+            return self.give_up(key, NotRunReason::Rejected);
         }
-        self.send(key, next, is_repeat);
+        self.send(key, next, is_retry);
     }
 
     /// Chooses the next call of a request, with a permit if its engine is in need; none if the request
     /// waits or was refused.
-    fn next_permitted(&mut self, key: FlightKey) -> Option<Next> {
+    fn next_permitted(&mut self, key: RequestKey) -> Option<NextCall> {
         loop {
             let draw = self.draw();
             let Some(next) = self.next_call(key, draw) else {
-                self.wait_for_room(key);
+                self.wait_for_capacity(key);
                 return None;
             };
-            let flight = &self.flights[&key];
-            let latest = flight.route.target.mul_f64(LATEST_SHARE);
+            let in_flight = &self.in_flight[&key];
+            let latest = in_flight.route.target.mul_f64(LATEST_START_SHARE);
             // A prompt that is late for its own length would be late at any time.
-            let has_queue = next.choice.ahead > flight.request.tokens_in();
+            let has_queue = next.choice.ahead > in_flight.request.prompt_tokens_or_estimate();
             let is_late = next.choice.expected > latest && has_queue;
-            if is_late && flight.sends == 0 && !flight.is_repeated {
+            if is_late && in_flight.call_count == 0 && !in_flight.is_client_retry {
                 let wait = next.choice.expected.saturating_sub(latest / 2);
                 self.refuse_overloaded(key, wait);
                 return None;
@@ -186,152 +187,155 @@
     }
 
     /// Chooses the next call of a request.
-    pub(super) fn next_call(&self, key: FlightKey, draw: u64) -> Option<Next> {
-        let flight = self.flights.get(&key)?;
-        let verdict = self.quarantine.verdict(flight.signature);
+    pub(super) fn next_call(&self, key: RequestKey, draw: u64) -> Option<NextCall> {
+        let in_flight = self.in_flight.get(&key)?;
+        let verdict = self.quarantine.verdict(in_flight.signature);
         let trials = self.trials();
         let view = View {
             directory: &self.directory,
             ledger: &self.ledger,
-            service: &flight.service,
+            service: &in_flight.service,
             data_centre: &self.settings.data_centre,
             knows_far: !self.members.is_large(),
-            tried: &flight.tried,
-            homes: flight.homes(),
+            tried: &in_flight.tried,
+            homes: in_flight.homes(),
             regions: &self.settings.regions,
             turns: &self.turns,
             part: self.cold_part(),
             terms: &self.terms,
             permits: &self.permits.held,
-            asking: self.asking(flight),
-            leaving_for: self.leaving_for(flight),
+            asking: self.asking(in_flight),
+            leaving_for: self.leaving_for(in_flight),
             is_suspect: verdict != Verdict::Clear,
             trials: &trials,
             now: self.now,
             draw,
         };
-        match flight.service.staged {
+        match in_flight.service.staged {
             None => {
                 let choice = view.plain()?;
-                Some(Next { task: Task::Plain, choice, generator: None })
+                Some(NextCall { task: Task::Plain, choice, decode_engine: None })
+            }
+            Some(staged) if verdict == Verdict::Trial => {
+                next_on_one_engine(in_flight, &view, &staged)
             }
-            Some(staged) if verdict == Verdict::Trial => next_alone(flight, &view, &staged),
             Some(staged) => self
-                .next_kept(flight, &view, &staged)
-                .or_else(|| next_staged(flight, &view, &staged)),
+                .next_cached(in_flight, &view, &staged)
+                .or_else(|| next_staged(in_flight, &view, &staged)),
         }
     }
 
     /// Sends a call, for which a repeat was taken from the budget or not.
-    pub(super) fn send(&mut self, key: FlightKey, next: Next, is_repeat: bool) {
+    pub(super) fn send(&mut self, key: RequestKey, next: NextCall, is_retry: bool) {
         let call = CallKey(self.next_call);
         self.next_call += 1;
         let now = self.now;
         self.unreserve(key);
-        self.reserve(key, next.generator);
-        let Some(flight) = self.flights.get_mut(&key) else { return };
-        let stand = self.quarantine.stand(flight.signature);
-        let Next { task, choice, .. } = next;
-        flight.waits_until = None;
-        flight.waits_for_permit = false;
-        flight.asked = None;
-        flight.asks = 0;
-        let load = load_of(flight, &task);
-        flight.call = Some(call);
-        flight.tried.push(choice.engine.key);
-        flight.sends += 1;
-        if task != Task::Read {
-            flight.arrivals += 1;
+        self.reserve(key, next.decode_engine);
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        let stand = self.quarantine.stand(in_flight.signature);
+        let NextCall { task, choice, .. } = next;
+        in_flight.waits_until = None;
+        in_flight.waits_for_permit = false;
+        in_flight.permit_request = None;
+        in_flight.permit_request_count = 0;
+        let load = call_load(in_flight, &task);
+        in_flight.call = Some(call);
+        in_flight.tried.push(choice.engine.key);
+        in_flight.call_count += 1;
+        if task != Task::Prefill {
+            in_flight.arrivals += 1;
         }
-        flight.patience = flight.patience_for(&task, choice.expected).map(|it| now + it);
-        if let Some(patience) = flight.patience {
-            self.due.insert((patience, key));
+        in_flight.silence_deadline =
+            in_flight.silence_timeout(&task, choice.expected).map(|it| now + it);
+        if let Some(silence_deadline) = in_flight.silence_deadline {
+            self.due.insert((silence_deadline, key));
         }
-        let last_event = flight.resume_point();
-        let deadline = flight.ends.since(now);
-        let caller = flight.caller.clone();
-        let note = Note::Sent {
-            request: flight.request.id.clone(),
+        let last_event = in_flight.resume_point();
+        let deadline = in_flight.ends.since(now);
+        let caller = in_flight.caller.clone();
+        let note = LogEvent::Sent {
+            request: in_flight.request.id.clone(),
             engine: choice.engine.id.clone(),
             task: task_name(&task),
             source: task.source(),
             expected: choice.expected,
-            tokens: flight.request.tokens_in(),
-            held: flight.request.tokens_held(),
-            before: flight.sends - 1,
+            tokens: in_flight.request.prompt_tokens_or_estimate(),
+            held: in_flight.request.mean_held_tokens(),
+            before: in_flight.call_count - 1,
         };
         let engine = choice.engine.clone();
         self.note_cold(engine.key);
         self.permits.held.take(engine.key, now);
         self.terms.rests.send(engine.key);
         self.ledger.add(engine.key, load);
-        if matches!(task, Task::Generate(_)) {
+        if matches!(task, Task::Decode(_)) {
             self.runs.begin(now);
         }
         self.calls.insert(
             call,
             Call {
-                flight: key,
+                request: key,
                 engine: engine.clone(),
                 task: task.clone(),
                 stand,
-                is_repeat,
+                is_retry,
                 sent: now,
                 load,
-                ahead: choice.ahead,
+                queued_tokens: choice.ahead,
                 last_event_at: now,
                 has_begun: false,
             },
         );
-        self.note(note);
-        let send = Send { flight: key, call, engine, caller, task, deadline, last_event };
+        self.log(note);
+        let send = Send { request: key, call, engine, caller, task, deadline, last_event };
         self.effects.push(Effect::Send(send));
     }
 
     /// Tells whether a client has come back with a request: it goes on behind an event, or less
     /// time is left than others give.
-    fn is_repeated(&mut self, route: &Arc<Route>, request: &Request) -> bool {
+    fn is_client_retry(&mut self, route: &Arc<Route>, request: &Request) -> bool {
         if request.last_event.is_some() {
             return true;
         }
         let Some(deadline) = request.deadline else { return false };
         let longest = self.deadlines.entry(route.name.clone()).or_insert(deadline);
         *longest = (*longest).max(deadline);
-        deadline < longest.mul_f64(REPEATED_SHARE)
+        deadline < longest.mul_f64(CLIENT_RETRY_SHARE)
     }
 
     /// Refuses a request that would be served too late.
-    pub(super) fn refuse_overloaded(&mut self, key: FlightKey, wait: Duration) {
-        let (least, most) = RETRY_BOUNDS;
+    pub(super) fn refuse_overloaded(&mut self, key: RequestKey, wait: Duration) {
+        let (least, most) = RETRY_AFTER_RANGE;
         self.give_up_until(key, NotRunReason::Overloaded, wait.clamp(least, most));
     }
 
     /// Refuses a request that was never taken up.
-    pub(super) fn refuse_unsent(
+    pub(super) fn refuse_on_arrival(
         &mut self,
-        key: FlightKey,
+        key: RequestKey,
         request: &Request,
         reason: NotRunReason,
         retry: Duration,
     ) {
         let Some(proof) = Trace::clean().not_run() else { return };
-        self.note_refusal(request, reason.name(), None);
+        self.log_refusal(request, reason.name(), None);
         self.effects.push(Effect::Refuse(key, Refusal::NotRun(proof, reason, retry)));
     }
 
     /// Adds the refusal of a request that was never taken up to the log.
-    pub(super) fn note_refusal(
+    pub(super) fn log_refusal(
         &mut self,
         request: &Request,
-        how: &'static str,
+        outcome: &'static str,
         customer: Option<&Arc<Customer>>,
     ) {
-        self.note(Note::Ended {
+        self.log(LogEvent::Ended {
             request: request.id.clone(),
             customer: customer.map(|it| it.name.clone()),
             units: 0,
-            kept_from: Vec::new(),
-            how,
+            exclusions: Vec::new(),
+            outcome,
             after: Duration::ZERO,
         });
     }
@@ -339,45 +343,52 @@
 
 /// Chooses the next call at a service with stages. A prompt is read for another engine only if that
 /// engine has room for it.
-fn next_staged(flight: &Flight, view: &View<'_>, staged: &Staged) -> Option<Next> {
-    let tokens = flight.request.tokens_in();
-    let held = flight.request.tokens_held();
-    if let Some(source) = &flight.source {
-        let reader = flight.tried.last().copied();
-        let data_centre = reader
+fn next_staged(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
+    let tokens = in_flight.request.prompt_tokens_or_estimate();
+    let held = in_flight.request.mean_held_tokens();
+    if let Some(source) = &in_flight.source {
+        let prefill_engine = in_flight.tried.last().copied();
+        let data_centre = prefill_engine
             .and_then(|it| data_centre_of(view, it))
             .unwrap_or_else(|| view.data_centre.into());
-        let preferred = flight.reserved.map(|(engine, _)| engine);
+        let preferred = in_flight.reserved.map(|(engine, _)| engine);
         let choice = view.generating(staged, held, &data_centre, preferred)?;
-        return Some(Next {
-            task: Task::Generate(Prompt::Read(source.clone())),
+        return Some(NextCall {
+            task: Task::Decode(Prompt::Prefilled(source.clone())),
             choice,
-            generator: None,
+            decode_engine: None,
         });
     }
     let alone = view.alone(staged, tokens, held);
     // A request that waits for a permit of a reader asks for those of generators later.
     let later = view.unasked();
-    let generates = alone.clone().or_else(|| later.alone(staged, tokens, held))?;
-    let reads_alone = flight.reading_failed || flight.asked.is_none() && flight.asks >= READER_ASKS;
-    let reading = if reads_alone { None } else { view.reading(staged, tokens) };
-    let is_slow = |reading: &Choice| {
-        let is_slow = reading.expected > flight.route.target.mul_f64(ALONE_SHARE);
-        is_slow && generates.expected < reading.expected
+    let decode = alone.clone().or_else(|| later.alone(staged, tokens, held))?;
+    let uses_one_engine = in_flight.prefill_failed
+        || in_flight.permit_request.is_none()
+            && in_flight.permit_request_count >= PREFILL_PERMIT_REQUEST_COUNT;
+    let prefill = if uses_one_engine { None } else { view.reading(staged, tokens) };
+    let is_slow = |prefill: &Choice| {
+        let is_slow = prefill.expected > in_flight.route.target.mul_f64(SINGLE_ENGINE_SHARE);
+        is_slow && decode.expected < prefill.expected
     };
-    let Some(reading) = reading.filter(|it| !is_slow(it)) else {
-        let task = Task::Generate(Prompt::Unread);
-        return Some(Next { task, choice: alone?, generator: None });
+    let Some(prefill) = prefill.filter(|it| !is_slow(it)) else {
+        let task = Task::Decode(Prompt::NotPrefilled);
+        return Some(NextCall { task, choice: alone?, decode_engine: None });
     };
-    let generator = later.generating(staged, held, &reading.engine.data_centre, None)?;
-    Some(Next { task: Task::Read, choice: reading, generator: Some(generator.engine.key) })
+    let decode_engine = later.generating(staged, held, &prefill.engine.data_centre, None)?;
+    Some(NextCall {
+        task: Task::Prefill,
+        choice: prefill,
+        decode_engine: Some(decode_engine.engine.key),
+    })
 }
 
 /// Chooses the next call of a request that may crash its engine: one engine does it all.
-fn next_alone(flight: &Flight, view: &View<'_>, staged: &Staged) -> Option<Next> {
-    let (tokens, held) = (flight.request.tokens_in(), flight.request.tokens_held());
+fn next_on_one_engine(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
+    let (tokens, held) =
+        (in_flight.request.prompt_tokens_or_estimate(), in_flight.request.mean_held_tokens());
     let choice = view.alone(staged, tokens, held)?;
-    Some(Next { task: Task::Generate(Prompt::Unread), choice, generator: None })
+    Some(NextCall { task: Task::Decode(Prompt::NotPrefilled), choice, decode_engine: None })
 }
 
 /// Gives the data centre of an engine, if it is still known.
@@ -386,14 +397,14 @@
 }
 
 /// Gives the work that a call is at its engine.
-fn load_of(flight: &Flight, task: &Task) -> Load {
+fn call_load(in_flight: &InFlight, task: &Task) -> Load {
     let narrow = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX / 4);
-    let tokens = narrow(flight.request.tokens_in());
-    let held = narrow(flight.request.tokens_held());
+    let tokens = narrow(in_flight.request.prompt_tokens_or_estimate());
+    let held = narrow(in_flight.request.mean_held_tokens());
     match task {
         Task::Plain => Load { reading: 0, calls: 1, held: 0 },
-        Task::Read => Load { reading: tokens, calls: 1, held: tokens },
-        Task::Generate(Prompt::Unread) => Load { reading: tokens, calls: 1, held },
-        Task::Generate(_) => Load { reading: 0, calls: 1, held },
+        Task::Prefill => Load { reading: tokens, calls: 1, held: tokens },
+        Task::Decode(Prompt::NotPrefilled) => Load { reading: tokens, calls: 1, held },
+        Task::Decode(_) => Load { reading: 0, calls: 1, held },
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -11,7 +11,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::effect::{Effect, Note};
+use crate::effect::{Effect, LogEvent};
 use crate::engine::{Engine, EngineChange};
 use crate::event::Kind;
 use crate::member::number;
@@ -180,7 +180,7 @@
             return;
         }
         let routes = configuration.route_count();
-        self.note(Note::Configured { version: configuration.version, routes });
+        self.log(LogEvent::Configured { version: configuration.version, routes });
         self.configuration = Some(configuration);
         self.take_customers();
         self.beat_with_news();
@@ -195,12 +195,12 @@
         let missing_until = self.missing_until();
         match self.directory.list(engines, revision, missing_until, self.now) {
             Some(changes) => {
-                self.note(Note::Listed { engines: self.directory.len(), revision });
+                self.log(LogEvent::Listed { engines: self.directory.len(), revision });
                 if self.is_listed && self.store.follows {
                     self.pass_on(since, changes);
                 }
             }
-            None => self.note(Note::ListDropped { revision, known }),
+            None => self.log(LogEvent::ListDropped { revision, known }),
         }
         if enters {
             self.beat_with_news();
@@ -280,13 +280,13 @@
 
     /// Adds changes of engines to the log: the first between two heartbeats one by one, the others
     /// by their number.
-    fn note_engines(&mut self, notes: Vec<Note>) {
+    fn note_engines(&mut self, notes: Vec<LogEvent>) {
         for note in notes {
             let changes = &mut self.engine_changes;
             if changes.noted < MOST_NOTED {
                 changes.noted += 1;
-                self.note(note);
-            } else if matches!(note, Note::EngineLeft { .. }) {
+                self.log(note);
+            } else if matches!(note, LogEvent::EngineRemoved { .. }) {
                 changes.left += 1;
             } else {
                 changes.put += 1;
@@ -298,26 +298,26 @@
     pub(super) fn note_engine_count(&mut self) {
         let EngineChanges { put, left, .. } = std::mem::take(&mut self.engine_changes);
         if put + left > 0 {
-            self.note(Note::ManyEngines { put, left });
+            self.log(LogEvent::ManyEngines { put, left });
         }
     }
 
     /// Takes one engine's change.
-    fn put(&mut self, engine: &Engine, revision: Revision) -> Option<Note> {
+    fn put(&mut self, engine: &Engine, revision: Revision) -> Option<LogEvent> {
         let old = self.directory.get(engine.key).map(|it| it.engine.is_draining);
         let is_news = old != Some(engine.is_draining);
         let is_taken = self.directory.change(engine.clone(), revision, self.now);
         (is_taken && is_news).then(|| {
             let (id, address) = (engine.id.clone(), engine.address);
-            Note::Engine { id, address, is_draining: engine.is_draining }
+            LogEvent::Engine { id, address, is_draining: engine.is_draining }
         })
     }
 
     /// Takes one engine's leaving.
-    fn leave(&mut self, id: &Arc<str>, revision: Revision) -> Option<Note> {
+    fn leave(&mut self, id: &Arc<str>, revision: Revision) -> Option<LogEvent> {
         let missing_until = self.missing_until();
         let has_left = self.directory.leave(id, revision, missing_until, self.now);
-        (has_left && missing_until.is_none()).then(|| Note::EngineLeft { id: id.clone() })
+        (has_left && missing_until.is_none()).then(|| LogEvent::EngineRemoved { id: id.clone() })
     }
 
     /// Notes that the store answered.
@@ -351,7 +351,7 @@
     /// Takes the engines as gone that did not come back after an outage of the store.
     pub(super) fn remove_missing(&mut self) {
         for engine in self.directory.remove_missing(self.now) {
-            self.note(Note::EngineLeft { id: engine.id.clone() });
+            self.log(LogEvent::EngineRemoved { id: engine.id.clone() });
         }
     }
 
@@ -376,8 +376,8 @@
         if follows != self.store.follows {
             self.store.follows = follows;
             self.store.since = self.now;
-            self.note(Note::Follows(follows));
-            self.effects.push(Effect::Follow(follows));
+            self.log(LogEvent::WatchesStore(follows));
+            self.effects.push(Effect::WatchStore(follows));
         }
         let newest = self.members.newest();
         let behind = self.version().unwrap_or(0) < newest.version;
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -12,10 +12,10 @@
 use super::Gateway;
 use crate::effect::Effect;
 use crate::engine::{EngineKey, Stage};
-use crate::flight::Flight;
+use crate::in_flight::InFlight;
 use crate::member::number;
 use crate::prompt::{Kept, PromptKey};
-use crate::request::FlightKey;
+use crate::request::RequestKey;
 
 /// The least time after a box can serve in which it hears which others have started.
 const ASKS_AFTER: Duration = Duration::from_millis(100);
@@ -97,7 +97,7 @@
             |engine: EngineKey| rank::first(engine.0, nodes.iter().map(number)) == Some(own);
         let chosen = generators.filter(|it| falls_here(it.engine.key));
         let chosen: Vec<_> = chosen.take(MOST_ASKED).map(|it| it.engine.clone()).collect();
-        self.effects.extend(chosen.into_iter().map(Effect::Survey));
+        self.effects.extend(chosen.into_iter().map(Effect::QueryCachedPrompts));
     }
 
     /// Has the requests that wait for the answers looked at when these have come.
@@ -119,18 +119,18 @@
 
     /// Gives until when a request waits for word of its prompt: one that goes on behind an event
     /// has run before, and is late already.
-    pub(super) fn waits_for_survey(&self, flight: &Flight) -> Option<Time> {
+    pub(super) fn waits_for_survey(&self, flight: &InFlight) -> Option<Time> {
         flight.request.last_event?;
         let prompt = flight.request.prompt?;
         let end = self.survey.end()?;
         let is_known = self.prompts.keepers(prompt).next().is_some();
-        let is_first = flight.sends == 0 && flight.service.staged.is_some();
+        let is_first = flight.call_count == 0 && flight.service.staged.is_some();
         (is_first && !is_known && self.now < end).then_some(end)
     }
 
     /// Has a request wait until the engines have been asked.
-    pub(super) fn wait_for_survey(&mut self, key: FlightKey, until: Time) {
-        let Some(flight) = self.flights.get_mut(&key) else { return };
+    pub(super) fn wait_for_survey(&mut self, key: RequestKey, until: Time) {
+        let Some(flight) = self.in_flight.get_mut(&key) else { return };
         if flight.waits_until.is_some() {
             return;
         }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -6,11 +6,11 @@
 use super::Gateway;
 use crate::departure;
 use crate::directory::Known;
-use crate::effect::{NotRunReason, Note};
+use crate::effect::{LogEvent, NotRunReason};
 use crate::engine::{Engine, EngineKey, Stage};
-use crate::flight::{Call, Flight, KeptFrom};
+use crate::in_flight::{Call, Exclusion, InFlight};
 use crate::message::{Extension, Message};
-use crate::request::FlightKey;
+use crate::request::RequestKey;
 use crate::rest;
 use crate::statement::Statement;
 use crate::terms::{Bar, Terms};
@@ -81,7 +81,7 @@
     /// Learns whether a life of an engine is about to leave.
     fn learn_departure(&mut self, engine: EngineKey, life: Option<u64>, says: &Statement) {
         if says.is_leaving && self.terms.departures.learn(engine, life, self.now) {
-            self.untold.departures.push(engine);
+            self.unannounced.departures.push(engine);
             self.leaves(engine, None, Duration::ZERO);
         }
     }
@@ -97,16 +97,16 @@
     }
 
     /// Goes by the news that an engine leaves: it is sent nothing that is not sent yet.
-    fn leaves(&mut self, engine: EngineKey, told_by: Option<SocketAddr>, age: Duration) {
+    fn leaves(&mut self, engine: EngineKey, announced_by: Option<SocketAddr>, age: Duration) {
         let id = self.engine_name(engine).into();
-        self.note(Note::Leaving { id, told_by, age });
+        self.log(LogEvent::ShuttingDown { id, announced_by, age });
         self.drop_unordered(engine, "engine leaves");
-        self.may_have_room = true;
+        self.may_have_capacity = true;
     }
 
     /// Tells all boxes at once of the engines that have told this one that they leave.
     pub(super) fn tell_departures(&mut self) {
-        let told = std::mem::take(&mut self.untold.departures);
+        let told = std::mem::take(&mut self.unannounced.departures);
         let departures = self.words_of(told);
         if !departures.is_empty() {
             let extension = Extension { departures, ..Extension::default() }.filled();
@@ -148,11 +148,11 @@
     /// Gives for how long an engine may be known to leave that is used for a request all the same; none
     /// if another engine can serve it. An engine that leaves goes on serving for the time of its drain
     /// from its entry on, which this box may not have seen: half of that is counted on.
-    pub(super) fn leaving_for(&self, flight: &Flight) -> Option<Duration> {
+    pub(super) fn leaving_for(&self, flight: &InFlight) -> Option<Duration> {
         if self.terms.departures.is_empty() {
             return None;
         }
-        let is_able = |it: &&Known| is_able(it) && self.is_home(flight, it);
+        let is_able = |it: &&Known| is_able(it) && self.is_allowed_at(flight, it);
         let mut open = self.directory.open(&flight.service.name, self.now).filter(is_able);
         let is_last = open.all(|it| self.terms.is_leaving(&it.engine));
         is_last.then(|| self.settings.drain.mul_f64(USED_OF_DRAIN))
@@ -167,21 +167,21 @@
     }
 
     /// Notes which engines a request is kept from by what they have said, for the log.
-    pub(super) fn note_kept_away(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(&key) else { return };
+    pub(super) fn note_kept_away(&mut self, key: RequestKey) {
+        let Some(flight) = self.in_flight.get(&key) else { return };
         let leaving = self.terms.departures.engines();
-        let leaving = leaving.map(|engine| KeptFrom { engine, by: Bar::Leaving });
+        let leaving = leaving.map(|engine| Exclusion { engine, reason: Bar::Leaving });
         let resting = self.terms.rests.engines(self.now);
-        let resting = resting.map(|engine| KeptFrom { engine, by: Bar::Rest });
+        let resting = resting.map(|engine| Exclusion { engine, reason: Bar::Rest });
         let kept = leaving.chain(resting);
-        let is_concerned = |it: &KeptFrom| {
+        let is_concerned = |it: &Exclusion| {
             let known = self.directory.get(it.engine);
             let known = known.filter(|it| it.engine.service == flight.service.name);
-            known.is_some_and(|it| it.is_open(self.now) && self.is_home(flight, it))
+            known.is_some_and(|it| it.is_open(self.now) && self.is_allowed_at(flight, it))
         };
         let kept: Vec<_> = kept.filter(is_concerned).take(MOST_NOTED).collect();
-        if let Some(flight) = self.flights.get_mut(&key) {
-            kept.into_iter().for_each(|it| flight.keep_from(it));
+        if let Some(flight) = self.in_flight.get_mut(&key) {
+            kept.into_iter().for_each(|it| flight.exclude(it));
         }
     }
 
@@ -206,7 +206,7 @@
         let Some(known) = self.directory.get(engine) else { return };
         if let Some(change) = self.terms.rests.learn(&known.engine, told, spread, self.now) {
             let id = known.engine.id.clone();
-            self.note(Note::Rest { id, change });
+            self.log(LogEvent::BackOff { id, change });
             if matches!(change, rest::Change::Begun(_)) {
                 self.drop_unordered(engine, "engine rests");
             }
@@ -222,7 +222,7 @@
 
     /// Gives for how long a request is kept from all engines that could take it, and by what; none if
     /// one of them takes it as far as its own word goes.
-    pub(super) fn kept_for(&self, flight: &Flight) -> Option<Wait> {
+    pub(super) fn kept_for(&self, flight: &InFlight) -> Option<Wait> {
         let Terms { limits, rests, .. } = &self.terms;
         if limits.is_empty() && rests.is_empty() {
             return None;
@@ -230,7 +230,7 @@
         let leaving_for = self.leaving_for(flight);
         let is_able = |it: &&Known| {
             let stays = self.terms.stays(&it.engine, leaving_for, self.now);
-            is_able(it) && self.is_home(flight, it) && stays
+            is_able(it) && self.is_allowed_at(flight, it) && stays
         };
         let engines = self.directory.open(&flight.service.name, self.now).filter(is_able);
         let mut least: Option<Wait> = None;
@@ -257,8 +257,8 @@
     }
 
     /// Has a request wait for the end of a rest that comes in time, or refuses it.
-    pub(super) fn wait_or_refuse(&mut self, key: FlightKey, wait: Wait) {
-        let Some(flight) = self.flights.get(&key) else { return };
+    pub(super) fn wait_or_refuse(&mut self, key: RequestKey, wait: Wait) {
+        let Some(flight) = self.in_flight.get(&key) else { return };
         let until = flight.waits_until.unwrap_or_else(|| self.permit_end(flight));
         if wait.by == Bar::Rest && self.now + wait.span < until {
             return self.wait_until(key, until);
@@ -267,13 +267,13 @@
     }
 
     /// Refuses a request that all engines are closed to by their own word.
-    pub(super) fn refuse_kept(&mut self, key: FlightKey, wait: Wait) {
+    pub(super) fn refuse_kept(&mut self, key: RequestKey, wait: Wait) {
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let retry = wait.span.max(LEAST_RETRY).mul_f64(1.0 + RETRY_SPREAD * spread);
         let reason = match wait.by {
-            Bar::Rest => NotRunReason::Resting,
-            Bar::Leaving => NotRunReason::Leaving,
-            Bar::Limit => NotRunReason::Limited,
+            Bar::Rest => NotRunReason::BackingOff,
+            Bar::Leaving => NotRunReason::ShuttingDown,
+            Bar::Limit => NotRunReason::RateLimited,
         };
         self.give_up_until(key, reason, retry);
     }
@@ -286,11 +286,11 @@
         let rested = self.terms.rests.sweep(now, listed);
         for ended in left {
             let id = self.engine_name(ended.engine).into();
-            self.note(Note::HasLeft { id, end: ended.end, age: ended.age });
+            self.log(LogEvent::ShutDown { id, end: ended.end, age: ended.age });
         }
         for ended in rested {
             let id = self.engine_name(ended.engine).into();
-            self.note(Note::Rest { id, change: rest::Change::Ended(ended.after) });
+            self.log(LogEvent::BackOff { id, change: rest::Change::Ended(ended.after) });
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -14,7 +14,7 @@
 use crate::permit::{Ask, Reply};
 use crate::prompt::Kept;
 use crate::quarantine::Word;
-use crate::{departure, intake};
+use crate::{departure, rate_limit};
 
 /// The short name of a data centre: a hash of its name, the same on all boxes.
 #[derive(
@@ -237,7 +237,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Extension {
     /// What engines in need take.
-    pub limits: Vec<intake::Word>,
+    pub limits: Vec<rate_limit::Announcement>,
     /// Questions for permits that the receiver issues.
     pub asks: Vec<Ask>,
     /// Answers to the receiver's questions for permits.
--- a/crates/hollyspoke-gateway/src/permit.rs
+++ b/crates/hollyspoke-gateway/src/permit.rs
@@ -22,7 +22,7 @@
 use hollyspoke::time::Time;
 
 use crate::engine::EngineKey;
-use crate::intake::Word;
+use crate::rate_limit::Announcement;
 
 /// The share of a limit that is issued by a side with most boxes. The rest is for calls that are held
 /// up on the way and come together.
@@ -61,7 +61,7 @@
     /// The number of the question at the box that asks.
     pub number: u64,
     /// What that box knows of the engine's limit.
-    pub word: Word,
+    pub word: Announcement,
     /// For how long the request may wait for its turn, in milliseconds.
     pub patience_ms: u32,
 }
--- a/crates/hollyspoke-gateway/src/intake.rs
+++ b/crates/hollyspoke-gateway/src/rate_limit.rs
@@ -19,19 +19,19 @@
 
 /// The lowest limit that is kept, in requests a second. An engine that names less, or none at all,
 /// still gets a request now and then: only an answer can tell that it is no longer in need.
-pub const LEAST_RATE: f64 = 0.05;
+pub const MIN_RATE_PER_S: f64 = 0.05;
 
 /// The highest limit that is kept, in requests a second. The whole fleet gets 34,000 at its peak
 /// (`docs/CAPACITY.md`); an engine that takes a tenth of them alone is in no need.
-pub const MOST_RATE: f64 = 3400.0;
+pub const MAX_RATE_PER_S: f64 = 3400.0;
 
 /// How long it is kept that a limit was lifted, so that older words do not bring it back: longer than
 /// word of it takes to come to all boxes, also over some lost datagrams.
-const LIFTED_KEPT_FOR: Duration = Duration::from_secs(10);
+const LIFTED_RETENTION: Duration = Duration::from_secs(10);
 
 /// What an answer says of the requests that its engine takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Told {
+pub enum Reported {
     /// Nothing: it is not in need.
     #[default]
     Nothing,
@@ -49,12 +49,12 @@
     /// The life of the engine that named it, if it tells.
     born: Option<u64>,
     /// When it was last named.
-    named: Time,
+    named_at: Time,
 }
 
 /// What a box tells of an engine's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word {
+pub struct Announcement {
     /// The engine.
     pub engine: EngineKey,
     /// The life of the engine that is spoken of, if it tells.
@@ -103,29 +103,29 @@
     pub fn learn(
         &mut self,
         engine: &Engine,
-        told: Told,
+        told: Reported,
         sent: Time,
         may_lift: bool,
         now: Time,
     ) -> Option<Change> {
         match told {
-            Told::Rate(rate) if rate.is_finite() => self.name(engine, rate, now),
-            Told::Rate(_) | Told::Unreadable => {
+            Reported::Rate(rate) if rate.is_finite() => self.name(engine, rate, now),
+            Reported::Rate(_) | Reported::Unreadable => {
                 self.unreadable.insert(engine.key).then_some(Change::Unreadable)
             }
-            Told::Nothing if may_lift => self.lift(engine.key, sent),
-            Told::Nothing => None,
+            Reported::Nothing if may_lift => self.lift(engine.key, sent),
+            Reported::Nothing => None,
         }
     }
 
     /// Takes a limit that an engine names.
     fn name(&mut self, engine: &Engine, told: f64, now: Time) -> Option<Change> {
         self.unreadable.remove(&engine.key);
-        if told > MOST_RATE {
+        if told > MAX_RATE_PER_S {
             return self.lift(engine.key, now);
         }
-        let rate = told.max(LEAST_RATE);
-        let is_new = self.set(engine.key, Limit { rate, born: engine.born, named: now });
+        let rate = told.max(MIN_RATE_PER_S);
+        let is_new = self.set(engine.key, Limit { rate, born: engine.born, named_at: now });
         is_new.then_some(Change::Named(told, rate))
     }
 
@@ -138,7 +138,7 @@
 
     /// Takes word that an engine had no limit any more when it answered something sent at a time.
     fn lift(&mut self, engine: EngineKey, sent: Time) -> Option<Change> {
-        let limit = *self.limits.get(&engine).filter(|it| it.named <= sent)?;
+        let limit = *self.limits.get(&engine).filter(|it| it.named_at <= sent)?;
         self.limits.remove(&engine);
         self.unreadable.remove(&engine);
         self.lifted.insert(engine, (limit.born, sent));
@@ -147,20 +147,20 @@
 
     /// Takes what another box tells, if it is newer than what is known; gives what has changed. The
     /// life of the engine that is listed is given, if it tells.
-    pub fn hear(&mut self, word: &Word, listed: Option<u64>, now: Time) -> Option<Change> {
+    pub fn hear(&mut self, word: &Announcement, listed: Option<u64>, now: Time) -> Option<Change> {
         if word.born < listed {
             return None;
         }
         let at = now - Duration::from_millis(u64::from(word.age_ms));
-        let known = self.limits.get(&word.engine).map(|it| (it.born, it.named));
+        let known = self.limits.get(&word.engine).map(|it| (it.born, it.named_at));
         let known = known.or_else(|| self.lifted.get(&word.engine).copied());
         if known.is_some_and(|known| (word.born, at) <= known) {
             return None;
         }
         match word.rate.filter(|it| it.is_finite()) {
             Some(rate) => {
-                let kept = rate.clamp(LEAST_RATE, MOST_RATE);
-                let limit = Limit { rate: kept, born: word.born, named: at };
+                let kept = rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S);
+                let limit = Limit { rate: kept, born: word.born, named_at: at };
                 self.set(word.engine, limit).then_some(Change::Named(rate, kept))
             }
             None => {
@@ -171,14 +171,14 @@
     }
 
     /// Gives what there is to tell of an engine.
-    pub fn word(&self, engine: EngineKey, now: Time) -> Option<Word> {
+    pub fn word(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         if let Some(limit) = self.limits.get(&engine) {
             let (born, rate) = (limit.born, Some(limit.rate));
-            return Some(Word { engine, born, rate, age_ms: age(limit.named) });
+            return Some(Announcement { engine, born, rate, age_ms: age(limit.named_at) });
         }
         let &(born, at) = self.lifted.get(&engine)?;
-        Some(Word { engine, born, rate: None, age_ms: age(at) })
+        Some(Announcement { engine, born, rate: None, age_ms: age(at) })
     }
 
     /// Gives some engines that have a limit, behind one in their order or from the first on.
@@ -196,7 +196,7 @@
     pub fn sweep(&mut self, now: Time, is_listed: impl Fn(EngineKey, Option<u64>) -> bool) {
         self.limits.retain(|&engine, it| is_listed(engine, it.born));
         self.unreadable.retain(|&engine| is_listed(engine, None));
-        self.lifted.retain(|_, (_, at)| now.since(*at) < LIFTED_KEPT_FOR);
+        self.lifted.retain(|_, (_, at)| now.since(*at) < LIFTED_RETENTION);
     }
 
     /// Forgets what an engine has said, since that life of it has ended.
--- a/crates/hollyspoke-gateway/src/request.rs
+++ b/crates/hollyspoke-gateway/src/request.rs
@@ -9,7 +9,7 @@
 
 /// The number of a request at one box; never used twice in one life of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FlightKey(pub u64);
+pub struct RequestKey(pub u64);
 
 /// The number of a call to an engine; never used twice in one life of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,9 +29,9 @@
     /// The tokens of the prompt, if the client tells.
     pub prompt_tokens: Option<u64>,
     /// The most tokens of the answer, if the client tells.
-    pub answer_tokens: Option<u64>,
+    pub max_answer_tokens: Option<u64>,
     /// The tokens of the answer as the client guesses them.
-    pub guessed_tokens: Option<u64>,
+    pub expected_answer_tokens: Option<u64>,
     /// The prompt's name, if the client tells.
     pub prompt: Option<PromptKey>,
     /// The last event that the client has, if it resumes a stream.
@@ -45,23 +45,23 @@
 }
 
 /// How many bytes of a body make one token where the client does not tell.
-const BYTES_A_TOKEN: u64 = 4;
+const BYTES_PER_TOKEN: u64 = 4;
 
 /// The tokens of an answer where the client does not tell.
-const USUAL_ANSWER_TOKENS: u64 = 256;
+const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
 impl Request {
     /// Gives the tokens to read, guessed from the body if the client does not tell.
-    pub fn tokens_in(&self) -> u64 {
-        self.prompt_tokens.unwrap_or(self.body_bytes / BYTES_A_TOKEN).max(1)
+    pub fn prompt_tokens_or_estimate(&self) -> u64 {
+        self.prompt_tokens.unwrap_or(self.body_bytes / BYTES_PER_TOKEN).max(1)
     }
 
     /// Gives the tokens that the request is expected to hold in an engine's memory, in the mean
     /// over its run: the prompt and half of the answer as guessed. The requests at an engine are at
     /// all ages, so that the mean is what they hold together.
-    pub fn tokens_held(&self) -> u64 {
-        let most = self.answer_tokens.unwrap_or(USUAL_ANSWER_TOKENS);
-        let guess = self.guessed_tokens.map_or(most, |it| it.min(most));
-        self.tokens_in() + guess / 2
+    pub fn mean_held_tokens(&self) -> u64 {
+        let most = self.max_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
+        let guess = self.expected_answer_tokens.map_or(most, |it| it.min(most));
+        self.prompt_tokens_or_estimate() + guess / 2
     }
 }
--- a/crates/hollyspoke-gateway/src/statement.rs
+++ b/crates/hollyspoke-gateway/src/statement.rs
@@ -1,6 +1,6 @@
 //! What an engine says of itself, whichever call or question brought the answer.
 
-use crate::intake;
+use crate::rate_limit;
 use crate::rest;
 
 /// What an engine tells of its load with an answer.
@@ -22,7 +22,7 @@
     /// The engine's load, if it tells.
     pub load: Option<ToldLoad>,
     /// The requests that it takes.
-    pub limit: intake::Told,
+    pub limit: rate_limit::Reported,
     /// Whether it is about to leave.
     pub is_leaving: bool,
     /// For how long it wants nothing from the box that had asked.
--- a/crates/hollyspoke-gateway/src/terms.rs
+++ b/crates/hollyspoke-gateway/src/terms.rs
@@ -5,13 +5,13 @@
 use hollyspoke::time::Time;
 
 use crate::engine::Engine;
-use crate::{departure, intake, rest};
+use crate::{departure, rate_limit, rest};
 
 /// The terms of all engines that have set any.
 #[derive(Debug, Clone, Default)]
 pub struct Terms {
     /// How many requests a second they take from all boxes together.
-    pub limits: intake::Table,
+    pub limits: rate_limit::Table,
     /// Those that are about to leave.
     pub departures: departure::Table,
     /// Those that want nothing from this box for a time.
--- a/crates/hollyspoke-server/src/datagram.rs
+++ b/crates/hollyspoke-server/src/datagram.rs
@@ -14,9 +14,9 @@
 use eyre::{WrapErr, ensure};
 use hollyspoke_gateway::departure;
 use hollyspoke_gateway::engine::EngineKey;
-use hollyspoke_gateway::intake::Word;
 use hollyspoke_gateway::message::{Demand, Eras, Extension, Format, Message};
 use hollyspoke_gateway::permit::{Ask, Outcome, Reply};
+use hollyspoke_gateway::rate_limit::Announcement;
 use minicbor::{Decode, Encode};
 
 /// The first byte of a datagram in a later format. The first format begins with a number in as few
@@ -235,15 +235,15 @@
 
 impl LimitField {
     /// Makes the field of what a box tells.
-    fn of(word: &Word) -> LimitField {
-        let &Word { engine, born, rate, age_ms } = word;
+    fn of(word: &Announcement) -> LimitField {
+        let &Announcement { engine, born, rate, age_ms } = word;
         LimitField { engine: engine.0, born, rate, age_ms }
     }
 
     /// Gives what a box tells.
-    fn word(&self) -> Word {
+    fn word(&self) -> Announcement {
         let &LimitField { engine, born, rate, age_ms } = self;
-        Word { engine: EngineKey(engine), born, rate, age_ms }
+        Announcement { engine: EngineKey(engine), born, rate, age_ms }
     }
 }
 
--- a/crates/hollyspoke-server/src/front.rs
+++ b/crates/hollyspoke-server/src/front.rs
@@ -211,10 +211,10 @@
             response
         }
         // Says nothing of coming again, and callers take it for final.
-        Refusal::Harmful(_) => status(StatusCode::BAD_REQUEST),
+        Refusal::Quarantined(_) => status(StatusCode::BAD_REQUEST),
         Refusal::NoRoute => status(StatusCode::NOT_FOUND),
-        Refusal::Broken => status(StatusCode::BAD_GATEWAY),
-        Refusal::Late => status(StatusCode::GATEWAY_TIMEOUT),
+        Refusal::Failed => status(StatusCode::BAD_GATEWAY),
+        Refusal::TimedOut => status(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/crates/hollyspoke-server/src/handover.rs
+++ b/crates/hollyspoke-server/src/handover.rs
@@ -94,7 +94,7 @@
         Ok(Ok(snapshot)) => {
             let engines = engine_count(&snapshot);
             info!(node.log, "snapshot fetched"; "from" => %provider, "engines" => engines);
-            node.dispatch(Event::Fetched(provider, Box::new(snapshot)));
+            node.dispatch(Event::SnapshotReceived(provider, Box::new(snapshot)));
         }
         Ok(Err(error)) => {
             info!(node.log, "snapshot not fetched"; "from" => %provider, "error" => %error);
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollyspoke_gateway::effect::Note;
+use hollyspoke_gateway::effect::LogEvent;
 use hollyspoke_gateway::engine::Stage;
-use hollyspoke_gateway::intake::Change;
+use hollyspoke_gateway::rate_limit::Change;
 use hollyspoke_gateway::rest;
 use hollyspoke_metrics::Exporter;
 use opentelemetry::KeyValue;
@@ -115,33 +115,35 @@
     }
 
     /// Counts one decision.
-    pub fn record(&self, note: &Note) {
+    pub fn record(&self, note: &LogEvent) {
         match note {
-            Note::Ended { customer, units, how, after, .. } => {
-                self.record_end(how, *after);
+            LogEvent::Ended { customer, units, outcome, after, .. } => {
+                self.record_end(outcome, *after);
                 if let Some(customer) = customer {
-                    self.record_customer(customer, *units, how);
+                    self.record_customer(customer, *units, outcome);
                 }
             }
-            Note::Sent { task, tokens, .. } => {
+            LogEvent::Sent { task, tokens, .. } => {
                 self.calls.add(1, &[KeyValue::new("task", *task)]);
                 if matches!(*task, "read" | "read and generate") {
                     self.tokens.add(*tokens, &[]);
                 }
             }
-            Note::Repeat { service, is_sent, .. } => {
+            LogEvent::Retry { service, is_sent, .. } => {
                 let service = KeyValue::new("service", service.clone());
                 self.repeats.add(1, &[service, KeyValue::new("sent", *is_sent)]);
             }
-            Note::Failed { how, .. } => self.failures.add(1, &[KeyValue::new("how", *how)]),
-            Note::Configured { version, .. } => self.version.record(*version, &[]),
-            Note::Engine { .. } | Note::EngineLeft { .. } => self.engines.add(1, &[]),
-            Note::ManyEngines { put, left } => self.engines.add((put + left) as u64, &[]),
-            Note::Peers { heard, silent, .. } => {
+            LogEvent::Failed { outcome, .. } => {
+                self.failures.add(1, &[KeyValue::new("how", *outcome)])
+            }
+            LogEvent::Configured { version, .. } => self.version.record(*version, &[]),
+            LogEvent::Engine { .. } | LogEvent::EngineRemoved { .. } => self.engines.add(1, &[]),
+            LogEvent::ManyEngines { put, left } => self.engines.add((put + left) as u64, &[]),
+            LogEvent::Peers { heard, silent, .. } => {
                 self.peers.add(heard.len() as u64, &[KeyValue::new("alive", true)]);
                 self.peers.add(silent.len() as u64, &[KeyValue::new("alive", false)]);
             }
-            Note::Switch { stage, engines, demand, .. } => {
+            LogEvent::Switch { stage, engines, demand, .. } => {
                 self.split.record(u64::from(engines.readers), &[KeyValue::new("stage", "reads")]);
                 let generators = u64::from(engines.generators);
                 self.split.record(generators, &[KeyValue::new("stage", "generates")]);
@@ -150,31 +152,33 @@
                 let to = if *stage == Stage::Prefill { "reads" } else { "generates" };
                 self.switches.add(1, &[KeyValue::new("to", to)]);
             }
-            Note::OrderEnded { how, .. } => self.orders.add(1, &[KeyValue::new("how", *how)]),
-            Note::Lease(token) => self.lease.record(u64::from(token.is_some()), &[]),
-            Note::Held { .. } => self.held.add(1, &[]),
-            Note::Evacuated { data_centre, is_lifted } => {
+            LogEvent::OrderEnded { outcome, .. } => {
+                self.orders.add(1, &[KeyValue::new("how", *outcome)])
+            }
+            LogEvent::Lease(token) => self.lease.record(u64::from(token.is_some()), &[]),
+            LogEvent::Quarantined { .. } => self.held.add(1, &[]),
+            LogEvent::Evacuated { data_centre, is_lifted } => {
                 let data_centre = KeyValue::new("data_centre", data_centre.clone());
                 self.evacuated.record(u64::from(!is_lifted), &[data_centre]);
             }
-            Note::Limited { id, change, .. } => self.record_limit(id, change),
-            Note::StoreReturned { era, .. } => self.record_era(*era),
-            Note::Leaving { id, .. } => self.leaving.record(1, &[engine(id)]),
-            Note::HasLeft { id, .. } => self.leaving.record(0, &[engine(id)]),
-            Note::Rest { id, change: rest::Change::Begun(_) } => {
+            LogEvent::Limited { id, change, .. } => self.record_limit(id, change),
+            LogEvent::StoreReturned { era, .. } => self.record_era(*era),
+            LogEvent::ShuttingDown { id, .. } => self.leaving.record(1, &[engine(id)]),
+            LogEvent::ShutDown { id, .. } => self.leaving.record(0, &[engine(id)]),
+            LogEvent::BackOff { id, change: rest::Change::Begun(_) } => {
                 self.resting.record(1, &[engine(id)]);
             }
-            Note::Rest { id, change: rest::Change::Ended(_) } => {
+            LogEvent::BackOff { id, change: rest::Change::Ended(_) } => {
                 self.resting.record(0, &[engine(id)]);
             }
-            Note::Rest { change: rest::Change::Unreadable, .. } => {}
-            Note::Ordered { .. } | Note::Census { .. } | Note::CasesRead { .. } => {}
-            Note::Released { .. } | Note::Suspended(_) => {}
-            Note::Listed { .. }
-            | Note::ListDropped { .. }
-            | Note::Avoided { .. }
-            | Note::Follows(_)
-            | Note::Stopping => {}
+            LogEvent::BackOff { change: rest::Change::Unreadable, .. } => {}
+            LogEvent::Ordered { .. } | LogEvent::Census { .. } | LogEvent::CasesRead { .. } => {}
+            LogEvent::Released { .. } | LogEvent::Suspended(_) => {}
+            LogEvent::Listed { .. }
+            | LogEvent::ListDropped { .. }
+            | LogEvent::Avoided { .. }
+            | LogEvent::WatchesStore(_)
+            | LogEvent::Stopping => {}
         }
     }
 
--- a/crates/hollyspoke-server/src/node.rs
+++ b/crates/hollyspoke-server/src/node.rs
@@ -16,7 +16,7 @@
 use hollyspoke_gateway::event::Event;
 use hollyspoke_gateway::gateway::Gateway;
 use hollyspoke_gateway::message::{Format, Message};
-use hollyspoke_gateway::request::{CallKey, FlightKey};
+use hollyspoke_gateway::request::{CallKey, RequestKey};
 use hollyspoke_gateway::signature::Content;
 use http::{HeaderMap, request, response};
 use slog::{Logger, info};
@@ -95,7 +95,7 @@
     /// What makes calls to engines and to the store.
     upstream: Upstream,
     /// Where answers go.
-    outlets: RefCell<HashMap<FlightKey, Outlet>>,
+    outlets: RefCell<HashMap<RequestKey, Outlet>>,
     /// The tasks of calls.
     calls: RefCell<HashMap<CallKey, AbortHandle>>,
     /// Answers that wait for a decision.
@@ -231,7 +231,7 @@
         self: &Rc<Node>,
         request: ReceivedRequest,
     ) -> (DropHook, oneshot::Receiver<ClientAnswer>) {
-        let flight = FlightKey(self.next_flight.get());
+        let flight = RequestKey(self.next_flight.get());
         self.next_flight.set(flight.0 + 1);
         let (sender, receiver) = oneshot::channel();
         let mut read = (self.dialect.read_request)(&request.head, request.body.len());
@@ -245,8 +245,8 @@
     }
 
     /// Notes that nobody waits for a request's answer any more.
-    fn client_left(self: &Rc<Node>, flight: FlightKey) {
-        self.dispatch(Event::ClientLeft(flight));
+    fn client_left(self: &Rc<Node>, flight: RequestKey) {
+        self.dispatch(Event::ClientDisconnected(flight));
         self.outlets.borrow_mut().remove(&flight);
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Gives where a stream's events go.
-    pub fn pieces(&self, flight: FlightKey) -> Option<mpsc::Sender<Bytes>> {
+    pub fn pieces(&self, flight: RequestKey) -> Option<mpsc::Sender<Bytes>> {
         self.outlets.borrow().get(&flight)?.pieces.clone()
     }
 
@@ -316,21 +316,21 @@
             Effect::Send(send) => self.send(send),
             Effect::Cancel(call) => self.cancel(call),
             Effect::Deliver(flight, call) => self.deliver(flight, call),
-            Effect::Join(_, call) => self.drop_kept(call),
+            Effect::Resume(_, call) => self.drop_kept(call),
             Effect::Refuse(flight, refusal) => self.refuse(flight, refusal),
-            Effect::Break(flight) => self.close(flight, true),
+            Effect::Abort(flight) => self.close(flight, true),
             Effect::Finish(flight) => self.close(flight, false),
             Effect::Free(source) => {
                 (self.upstream.free)(self.clone(), source);
             }
-            Effect::Survey(engine) => (self.upstream.survey)(self.clone(), engine),
-            Effect::Inspect(engine) => (self.upstream.inspect)(self.clone(), engine),
+            Effect::QueryCachedPrompts(engine) => (self.upstream.survey)(self.clone(), engine),
+            Effect::QueryOrderCount(engine) => (self.upstream.inspect)(self.clone(), engine),
             Effect::Probe(engine) => (self.upstream.probe)(self.clone(), engine),
             Effect::Order(order) => (self.upstream.order)(self.clone(), order),
             Effect::Store(number, operation) => {
                 (self.upstream.store)(self.clone(), number, operation);
             }
-            Effect::Follow(follows) => {
+            Effect::WatchStore(follows) => {
                 self.follows.set(follows);
                 self.configuration_wanted.notify_one();
                 self.engines_wanted.notify_one();
@@ -338,8 +338,8 @@
             }
             Effect::Read(kind) => self.wanted(kind).notify_one(),
             Effect::Fetch(provider) => (self.upstream.fetch)(self.clone(), provider),
-            Effect::Tell(nodes, message) => self.tell(nodes, &message),
-            Effect::Note(note) => {
+            Effect::Announce(nodes, message) => self.tell(nodes, &message),
+            Effect::Log(note) => {
                 self.metrics.record(&note);
                 notes::write(&self.log, &note);
             }
@@ -361,7 +361,7 @@
     /// Starts a call.
     fn send(self: &Rc<Node>, send: Send) {
         let outlets = self.outlets.borrow();
-        let Some(request) = outlets.get(&send.flight).map(|it| it.request.clone()) else { return };
+        let Some(request) = outlets.get(&send.request).map(|it| it.request.clone()) else { return };
         drop(outlets);
         let call = send.call;
         let task = (self.upstream.call)(self.clone(), send, request);
@@ -378,7 +378,7 @@
     }
 
     /// Gives the client an engine's answer.
-    fn deliver(&self, flight: FlightKey, call: CallKey) {
+    fn deliver(&self, flight: RequestKey, call: CallKey) {
         let Some(kept) = self.waiting.borrow_mut().remove(&call) else { return };
         let mut outlets = self.outlets.borrow_mut();
         let Some(outlet) = outlets.get_mut(&flight) else { return };
@@ -397,7 +397,7 @@
     }
 
     /// Gives the client an answer of the gateway's own.
-    fn refuse(&self, flight: FlightKey, refusal: Refusal) {
+    fn refuse(&self, flight: RequestKey, refusal: Refusal) {
         let sender = self.outlets.borrow_mut().get_mut(&flight).and_then(|it| it.head.take());
         if let Some(sender) = sender {
             // An error says that the client has left, which its guard tells.
@@ -406,7 +406,7 @@
     }
 
     /// Ends a stream, whole or broken off.
-    fn close(&self, flight: FlightKey, is_broken: bool) {
+    fn close(&self, flight: RequestKey, is_broken: bool) {
         if let Some(outlet) = self.outlets.borrow_mut().get_mut(&flight) {
             outlet.is_broken.set(is_broken);
             outlet.pieces = None;
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -2,100 +2,108 @@
 
 use std::net::SocketAddr;
 
-use hollyspoke_gateway::effect::{KeptFrom, Note};
+use hollyspoke_gateway::effect::{Exclusion, LogEvent};
 use hollyspoke_gateway::engine::Stage;
-use hollyspoke_gateway::intake::Change;
+use hollyspoke_gateway::rate_limit::Change;
 use hollyspoke_gateway::terms::Bar;
 use hollyspoke_gateway::{departure, rest};
 use slog::{Logger, info, o, warn};
 
 /// Writes a line.
-pub fn write(log: &Logger, note: &Note) {
+pub fn write(log: &Logger, note: &LogEvent) {
     match note {
-        Note::Configured { version, routes } => {
+        LogEvent::Configured { version, routes } => {
             info!(log, "configuration in force"; "version" => version, "routes" => routes);
         }
-        Note::Evacuated { data_centre, is_lifted } => {
+        LogEvent::Evacuated { data_centre, is_lifted } => {
             let message = if *is_lifted { "evacuation lifted" } else { "evacuated" };
             warn!(log, "{}", message; "data_centre" => %data_centre);
         }
-        Note::Listed { engines, revision } => {
+        LogEvent::Listed { engines, revision } => {
             info!(log, "engines listed"; "engines" => engines,
                 "era" => revision.era, "revision" => revision.number);
         }
-        Note::ListDropped { revision, known } => warn!(log, "list of engines not taken";
+        LogEvent::ListDropped { revision, known } => warn!(log, "list of engines not taken";
             "era" => revision.era, "revision" => revision.number, "known" => %known),
-        Note::StoreReturned { era, revision, told_by } => warn!(log, "store came back from a copy";
+        LogEvent::StoreReturned { era, revision, announced_by } => {
+            warn!(log, "store came back from a copy";
             "era" => era, "era_before" => revision.era, "revision_before" => revision.number,
-            "told_by" => told_by.map(|it| it.to_string())),
-        Note::Engine { id, address, is_draining } => info!(log, "engine";
+            "told_by" => announced_by.map(|it| it.to_string()))
+        }
+        LogEvent::Engine { id, address, is_draining } => info!(log, "engine";
             "engine" => %id, "address" => %address, "draining" => is_draining),
-        Note::EngineLeft { id } => info!(log, "engine left"; "engine" => %id),
-        Note::Avoided { id, span } => info!(log, "engine avoided";
+        LogEvent::EngineRemoved { id } => info!(log, "engine left"; "engine" => %id),
+        LogEvent::Avoided { id, span } => info!(log, "engine avoided";
             "engine" => %id, "span_ms" => millis(span)),
-        Note::Limited { id, change, told_by, age } => {
-            let told_by = told_by.map(|it| it.to_string());
-            let log = log.new(o!("told_by" => told_by, "age_ms" => millis(age)));
+        LogEvent::Limited { id, change, announced_by, age } => {
+            let announced_by = announced_by.map(|it| it.to_string());
+            let log = log.new(o!("told_by" => announced_by, "age_ms" => millis(age)));
             write_limit(&log, id, change);
         }
-        Note::Leaving { id, told_by, age } => warn!(log, "engine leaving"; "engine" => %id,
-            "told_by" => told_by.map(|it| it.to_string()), "age_ms" => millis(age)),
-        Note::HasLeft { id, end, age } => info!(log, "engine has left";
+        LogEvent::ShuttingDown { id, announced_by, age } => {
+            warn!(log, "engine leaving"; "engine" => %id,
+            "told_by" => announced_by.map(|it| it.to_string()), "age_ms" => millis(age))
+        }
+        LogEvent::ShutDown { id, end, age } => info!(log, "engine has left";
             "engine" => %id, "how" => end_name(*end), "age_ms" => millis(age)),
-        Note::Rest { id, change } => write_rest(log, id, change),
-        Note::Sent { request, engine, task, source, expected, tokens, held, before } => {
+        LogEvent::BackOff { id, change } => write_rest(log, id, change),
+        LogEvent::Sent { request, engine, task, source, expected, tokens, held, before } => {
             info!(log, "call sent";
             "request" => %request, "engine" => %engine, "task" => task,
             "source" => source.map(|it| it.to_string()),
             "expected_ms" => millis(expected), "tokens" => tokens, "held" => held, "before" => before)
         }
-        Note::Repeat { request, service, is_sent, saved, boxes } => {
+        LogEvent::Retry { request, service, is_sent, available, boxes } => {
             let message = if *is_sent { "repeat sent" } else { "repeat not allowed" };
             info!(log, "{}", message;
                 "request" => %request, "service" => %service,
-                "left" => saved, "boxes" => boxes)
+                "left" => available, "boxes" => boxes)
         }
-        Note::Failed { request, signature, path, engine, how, status, told, known } => {
+        LogEvent::Failed { request, signature, path, engine, outcome, status, told, known } => {
             info!(log, "call failed";
-            "request" => %request, "signature" => signature.short(), "path" => %path, "engine" => %engine, "how" => how, "status" => status,
+            "request" => %request, "signature" => signature.short(), "path" => %path, "engine" => %engine, "how" => outcome, "status" => status,
             "told" => told.map(|it| format!("{},{},{}", it.running, it.waiting, it.slots)),
             "held" => known.held, "calls" => known.calls)
         }
-        Note::Ended { request, customer, units, kept_from, how, after } => {
+        LogEvent::Ended { request, customer, units, exclusions, outcome, after } => {
             info!(log, "request ended";
             "request" => %request, "customer" => customer.as_deref(), "units" => units,
-            "limited" => kept_by(kept_from, Bar::Limit),
-            "leaving" => kept_by(kept_from, Bar::Leaving),
-            "resting" => kept_by(kept_from, Bar::Rest),
-            "how" => how, "after_ms" => millis(after))
+            "limited" => kept_by(exclusions, Bar::Limit),
+            "leaving" => kept_by(exclusions, Bar::Leaving),
+            "resting" => kept_by(exclusions, Bar::Rest),
+            "how" => outcome, "after_ms" => millis(after))
         }
-        Note::Peers { heard, silent, alive } => info!(log, "peers changed";
+        LogEvent::Peers { heard, silent, alive } => info!(log, "peers changed";
             "heard" => heard.len(), "silent" => silent.len(), "alive" => alive,
             "heard_first" => some(heard), "silent_first" => some(silent)),
-        Note::Held { signature, about, engines, until } => warn!(log, "request held back";
+        LogEvent::Quarantined { signature, about, engines, until } => {
+            warn!(log, "request held back";
             "signature" => signature.short(),
             "path" => about.as_ref().map(|it| it.path.to_string()),
             "customer" => about.as_ref().and_then(|it| it.customer.as_deref()),
-            "engines" => engines, "until" => until),
-        Note::Released { signature, how } => info!(log, "request released";
-            "signature" => signature.short(), "how" => how),
-        Note::CasesRead { cases } => info!(log, "held requests in the store"; "cases" => cases),
-        Note::Suspended(span) => warn!(log, "machine was suspended"; "span_ms" => millis(span)),
-        Note::Census { boxes, is_written } => info!(log, "boxes in the store";
+            "engines" => engines, "until" => until)
+        }
+        LogEvent::Released { signature, outcome } => info!(log, "request released";
+            "signature" => signature.short(), "how" => outcome),
+        LogEvent::CasesRead { cases } => info!(log, "held requests in the store"; "cases" => cases),
+        LogEvent::Suspended(span) => warn!(log, "machine was suspended"; "span_ms" => millis(span)),
+        LogEvent::Census { boxes, is_written } => info!(log, "boxes in the store";
             "boxes" => boxes, "written" => is_written),
-        Note::ManyEngines { put, left } => info!(log, "engines changed";
+        LogEvent::ManyEngines { put, left } => info!(log, "engines changed";
             "changed" => put, "left" => left),
-        Note::Follows(follows) => info!(log, "follows the store"; "follows" => follows),
-        Note::Lease(token) => info!(log, "lease for orders";
+        LogEvent::WatchesStore(follows) => info!(log, "follows the store"; "follows" => follows),
+        LogEvent::Lease(token) => info!(log, "lease for orders";
             "held" => token.is_some(), "token" => token),
-        Note::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
+        LogEvent::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
             "engine" => %id, "stage" => stage_name(*stage),
             "readers" => engines.readers, "generators" => engines.generators,
             "reading" => demand.reading, "held" => demand.held, "requests" => demand.requests),
-        Note::Ordered { id, stage, token, before } => info!(log, "order sent";
+        LogEvent::Ordered { id, stage, token, before } => info!(log, "order sent";
             "engine" => %id, "stage" => stage_name(*stage), "token" => token, "before" => before),
-        Note::OrderEnded { id, how } => info!(log, "order ended"; "engine" => %id, "how" => how),
-        Note::Stopping => info!(log, "stopping"),
+        LogEvent::OrderEnded { id, outcome } => {
+            info!(log, "order ended"; "engine" => %id, "how" => outcome)
+        }
+        LogEvent::Stopping => info!(log, "stopping"),
     }
 }
 
@@ -129,8 +137,9 @@
 }
 
 /// Gives the engines that a request was kept from for a reason, if there are any.
-fn kept_by(kept_from: &[KeptFrom], by: Bar) -> Option<String> {
-    let engines: Vec<_> = kept_from.iter().filter(|it| it.by == by).map(|it| &*it.engine).collect();
+fn kept_by(exclusions: &[Exclusion], by: Bar) -> Option<String> {
+    let engines: Vec<_> =
+        exclusions.iter().filter(|it| it.reason == by).map(|it| &*it.engine).collect();
     (!engines.is_empty()).then(|| engines.join(" "))
 }
 
--- a/crates/hollyspoke-server/src/run.rs
+++ b/crates/hollyspoke-server/src/run.rs
@@ -98,7 +98,7 @@
         regions: settings.regions.clone(),
         peer: settings.announced.map_or_else(|| peers.address(), Ok)?,
         front: front.local_addr()?,
-        bound: settings.bound,
+        retry_bound: settings.bound,
         grace: settings.grace,
         order_pause: settings.order_pause,
         drain: settings.drain,
@@ -121,7 +121,7 @@
     info!(node.log, "started"; "front" => %running.front, "store" => %settings.store);
     node.dispatch(Event::Seeds(settings.seeds.clone()));
     let hearing = node.clone();
-    let hear = move |message| hearing.dispatch(Event::Heard(message));
+    let hear = move |message| hearing.dispatch(Event::Received(message));
     tokio::task::spawn_local(peers.listen(hear));
     tokio::task::spawn_local(handover::listen(node.clone(), handovers));
     tokio::task::spawn_local(tick(node.clone()));
--- a/crates/hollyspoke-server/src/upstream.rs
+++ b/crates/hollyspoke-server/src/upstream.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollyspoke_gateway::effect::{LONGEST_ORDER, Order, Send, Source, Task};
+use hollyspoke_gateway::effect::{ORDER_TIMEOUT, Order, Send, Source, Task};
 use hollyspoke_gateway::engine::{Engine, EngineKey};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, OrderAnswer, Probe};
 use hollyspoke_gateway::statement::Statement;
@@ -67,7 +67,7 @@
     let call = send.call;
     let event = match exchange(&node, &send, &request).await {
         Ok(answer) => CallEvent::Answered(answer),
-        Err(Failure::Unsent) => CallEvent::Unsent,
+        Err(Failure::Unsent) => CallEvent::NotConnected,
         Err(Failure::Broken) => CallEvent::Broken,
     };
     node.call_ended(call);
@@ -88,16 +88,16 @@
     let answer = (node.dialect.read_answer)(&head, &request.head).map_err(|_| Failure::Broken)?;
     if is_stream(send, &head) {
         // The head may come long before the first event, or no event may follow it.
-        state(node, &send.engine, answer.says);
+        state(node, &send.engine, answer.statement);
         return pass_on(node, send, answer, head, body).await;
     }
     let Some(bytes) = read_whole(body, LONGEST_ANSWER).await else {
         // The head holds whatever became of the rest.
-        state(node, &send.engine, answer.says);
+        state(node, &send.engine, answer.statement);
         return Err(Failure::Broken);
     };
     let handle = match send.task {
-        Task::Read => (node.dialect.read_handle)(&bytes),
+        Task::Prefill => (node.dialect.read_handle)(&bytes),
         _ => None,
     };
     node.keep(send.call, head, Some(bytes));
@@ -144,9 +144,9 @@
     bytes: Bytes,
     last_id: Option<u64>,
 ) -> Result<(), Failure> {
-    let pieces = node.pieces(send.flight).ok_or(Failure::Broken)?;
+    let pieces = node.pieces(send.request).ok_or(Failure::Broken)?;
     pieces.send(bytes).await.map_err(|_| Failure::Broken)?;
-    node.dispatch(Event::Call(send.call, CallEvent::Passed(last_id)));
+    node.dispatch(Event::Call(send.call, CallEvent::Forwarded(last_id)));
     Ok(())
 }
 
@@ -154,7 +154,7 @@
 fn is_stream(send: &Send, head: &response::Parts) -> bool {
     let media = head.headers.get(http::header::CONTENT_TYPE);
     let is_events = media.is_some_and(|it| it.as_bytes().starts_with(EVENT_STREAM.as_bytes()));
-    head.status == StatusCode::OK && is_events && send.task != Task::Read
+    head.status == StatusCode::OK && is_events && send.task != Task::Prefill
 }
 
 /// Frees a prompt that nobody takes. It lapses by itself if this fails.
@@ -179,13 +179,13 @@
     if let Some(bytes) = ask(&node, &engine, question).await
         && let Some(prompts) = (node.dialect.read_survey)(&bytes)
     {
-        node.dispatch(Event::Surveyed(engine.key, prompts));
+        node.dispatch(Event::CachedPrompts(engine.key, prompts));
     }
 }
 
 /// Gives an engine an order and tells the reducer what it answered.
 async fn order(node: Rc<Node>, order: Order) {
-    let answer = tokio::time::timeout(LONGEST_ORDER, send_order(&node, &order)).await;
+    let answer = tokio::time::timeout(ORDER_TIMEOUT, send_order(&node, &order)).await;
     let answer = answer.unwrap_or(OrderAnswer::Unknown);
     node.dispatch(Event::Ordered(order.engine.key, answer));
 }
@@ -198,7 +198,7 @@
     };
     // A machine that was suspended meanwhile would send it when the lease is over.
     node.notice_suspension();
-    if node.now().since(begun) >= LONGEST_ORDER {
+    if node.now().since(begun) >= ORDER_TIMEOUT {
         return OrderAnswer::Refused;
     }
     let (head, body) = (node.dialect.order)(order);
@@ -218,7 +218,7 @@
 async fn inspect(node: Rc<Node>, engine: Arc<Engine>) {
     let report = ask(&node, &engine, (node.dialect.report)(&engine)).await;
     let report = report.and_then(|it| read_report(&node, &engine, &it));
-    node.dispatch(Event::Inspected(engine.key, report.map(|it| it.order_count)));
+    node.dispatch(Event::OrderCount(engine.key, report.map(|it| it.order_count)));
 }
 
 /// Asks an engine whether it lives, and tells the reducer.
@@ -239,9 +239,9 @@
         StatusCode::MISDIRECTED_REQUEST => Some(Probe::Replaced),
         StatusCode::OK => {
             let bytes = read_whole(body, LONGEST_ANSWER).await?;
-            Some(Probe::Lives(read_report(node, engine, &bytes).and_then(|it| it.born)))
+            Some(Probe::Alive(read_report(node, engine, &bytes).and_then(|it| it.born)))
         }
-        _ => Some(Probe::Lives(None)),
+        _ => Some(Probe::Alive(None)),
     }
 }
 
@@ -294,6 +294,6 @@
 fn dispatch_statement(node: &Rc<Node>, engine: EngineKey, says: Statement) {
     let binding = Statement { load: None, ..says };
     if binding != (Statement { born: says.born, ..Statement::default() }) {
-        node.dispatch(Event::Stated(engine, binding));
+        node.dispatch(Event::Statement(engine, binding));
     }
 }
