--- a/tests/benches/boxes.rs
+++ b/tests/benches/boxes.rs
@@ -12,10 +12,10 @@
 use hollyspoke_gateway::engine::{Engine, EngineKey, Stage};
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
-use hollyspoke_gateway::intake::{Told, Word};
 use hollyspoke_gateway::message::{DataCentreKey, Extension, Knowledge, Load, Message};
 use hollyspoke_gateway::permit::Ask;
-use hollyspoke_gateway::request::FlightKey;
+use hollyspoke_gateway::rate_limit::{Announcement, Reported};
+use hollyspoke_gateway::request::RequestKey;
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::gateway::{
     MODEL, PLAIN, configuration, engine, heartbeat, only_send, ran, read, request, settings,
@@ -48,7 +48,7 @@
         site.step(Event::Listed(engines(), 10.into()));
         for number in 1..boxes {
             let message = site.message(number);
-            site.step(Event::Heard(message));
+            site.step(Event::Received(message));
         }
         site
     }
@@ -75,9 +75,9 @@
     /// Has all engines name a limit.
     fn limit_all(&mut self) {
         for engine in engines() {
-            self.step(Event::Stated(
+            self.step(Event::Statement(
                 engine.key,
-                Statement { limit: Told::Rate(100.0), ..Statement::default() },
+                Statement { limit: Reported::Rate(100.0), ..Statement::default() },
             ));
         }
     }
@@ -85,7 +85,7 @@
     /// Makes another box's question for a permit.
     fn question(&mut self, number: usize) -> Message {
         let engine = key((self.sequence % u64::from(ENGINES)) as u8);
-        let word = Word { engine, born: None, rate: Some(100.0), age_ms: 0 };
+        let word = Announcement { engine, born: None, rate: Some(100.0), age_ms: 0 };
         let asks = vec![Ask { number: self.sequence, word, patience_ms: 60 }];
         let extension = Extension { asks, ..Extension::default() }.filled();
         let loads = Vec::new();
@@ -94,13 +94,13 @@
 
     /// Serves a stream; gives how many boxes were told of it, each time counted.
     fn stream(&mut self) -> usize {
-        let flight = FlightKey(self.flight);
+        let flight = RequestKey(self.flight);
         self.flight += 1;
         let mut told = 0;
         let mut step = |site: &mut Site, event: Event| {
             let effects = site.step(event);
             let audiences = effects.iter().filter_map(|it| match it {
-                Effect::Tell(boxes, message) if !message.is_whole => Some(boxes.len()),
+                Effect::Announce(boxes, message) if !message.is_whole => Some(boxes.len()),
                 _ => None,
             });
             told += audiences.sum::<usize>();
@@ -153,7 +153,7 @@
         criterion.bench_function(&format!("heartbeat heard, {boxes} boxes"), |bench| {
             bench.iter(|| {
                 let message = site.message(1 + site.sequence as usize % (boxes - 1));
-                site.step(Event::Heard(message))
+                site.step(Event::Received(message))
             });
         });
         let mut site = Site::new(boxes);
@@ -161,7 +161,7 @@
             bench.iter(|| {
                 let number = 1 + site.sequence as usize % (boxes - 1);
                 let message = Message { is_whole: false, ..site.message(number) };
-                site.step(Event::Heard(message))
+                site.step(Event::Received(message))
             });
         });
         let mut site = Site::new(boxes);
@@ -169,7 +169,7 @@
         criterion.bench_function(&format!("question for a permit, {boxes} boxes"), |bench| {
             bench.iter(|| {
                 let message = site.question(1 + site.sequence as usize % (boxes - 1));
-                site.step(Event::Heard(message))
+                site.step(Event::Received(message))
             });
         });
     }
--- a/tests/src/crashes.rs
+++ b/tests/src/crashes.rs
@@ -7,7 +7,7 @@
 use hollyspoke::time::Time;
 use hollyspoke_gateway::effect::{NotRunReason, Refusal};
 use hollyspoke_gateway::engine::EngineKey;
-use hollyspoke_gateway::request::FlightKey;
+use hollyspoke_gateway::request::RequestKey;
 
 /// How long a harmful request runs before its engine crashes.
 pub const CRASHES_AFTER: Duration = Duration::from_millis(60);
@@ -44,7 +44,7 @@
     /// The engines that have crashed.
     pub states: BTreeMap<EngineKey, State>,
     /// The requests that are harmful.
-    pub harmful: BTreeSet<FlightKey>,
+    pub harmful: BTreeSet<RequestKey>,
     /// When engines crashed under a harmful request.
     pub caused: Vec<Time>,
     /// When harmful requests came to engines.
@@ -64,7 +64,7 @@
     }
 
     /// Notes what a request was told by its box.
-    pub fn answered(&mut self, flight: FlightKey, refusal: Refusal, at: Time) {
+    pub fn answered(&mut self, flight: RequestKey, refusal: Refusal, at: Time) {
         if self.harmful.contains(&flight) {
             self.answers.push((at, refusal));
         } else {
@@ -73,7 +73,7 @@
     }
 
     /// Notes that an answer was broken off.
-    pub fn broke_off(&mut self, flight: FlightKey, at: Time) {
+    pub fn broke_off(&mut self, flight: RequestKey, at: Time) {
         if !self.harmful.contains(&flight) {
             self.broken_off.push(at);
         }
@@ -82,7 +82,10 @@
     /// Counts the harmless requests that were refused as if they were harmful.
     pub fn wrongly_held(&self) -> usize {
         let is_wrong = |refusal: &Refusal| {
-            matches!(refusal, Refusal::Harmful(_) | Refusal::NotRun(_, NotRunReason::Doubted, _))
+            matches!(
+                refusal,
+                Refusal::Quarantined(_) | Refusal::NotRun(_, NotRunReason::UnderSuspicion, _)
+            )
         };
         self.refused.iter().filter(|(_, it)| is_wrong(it)).count()
     }
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -13,12 +13,12 @@
 use hollyspoke::store::Answer;
 use hollyspoke::time::Time;
 use hollyspoke_gateway::budget::Bound;
-use hollyspoke_gateway::effect::{Effect, Note, Send};
+use hollyspoke_gateway::effect::{Effect, LogEvent, Send};
 use hollyspoke_gateway::engine::{EngineChange, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event, Kind, Probe};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
 use hollyspoke_gateway::message::Message;
-use hollyspoke_gateway::request::{CallKey, FlightKey, Request};
+use hollyspoke_gateway::request::{CallKey, Request, RequestKey};
 use hollyspoke_gateway::signature::Content;
 use hollyspoke_gateway::snapshot::Snapshot;
 use rand::seq::IndexedRandom;
@@ -377,12 +377,12 @@
         }
         match due {
             Due::Request(number, request) => self.ask(number, request),
-            Due::Datagram(number, message) => self.step(number, Event::Heard(*message)),
+            Due::Datagram(number, message) => self.step(number, Event::Received(*message)),
             Due::Answer(Caller { life, call, .. }, engine, event)
                 if self.members[number].life == life =>
             {
                 if let CallEvent::Began(answer) | CallEvent::Answered(answer) = &event {
-                    self.terms.tell((number, life), engine, &answer.says, self.now);
+                    self.terms.tell((number, life), engine, &answer.statement, self.now);
                 }
                 self.step(number, Event::Call(call, event));
             }
@@ -402,7 +402,7 @@
                 self.step(number, Event::Listed(self.engines(), self.store.revision));
             }
             Due::Fetched(_, life, provider, snapshot) if self.members[number].life == life => {
-                self.step(number, Event::Fetched(provider, snapshot));
+                self.step(number, Event::SnapshotReceived(provider, snapshot));
             }
             Due::Stored(number, life, operation, answer) if self.members[number].life == life => {
                 self.tell_era(number);
@@ -426,12 +426,12 @@
         let Some(number) = number else { return };
         self.next += 1;
         if request.path.ends_with(HARMFUL) {
-            self.crashes.harmful.insert(FlightKey(self.next));
+            self.crashes.harmful.insert(RequestKey(self.next));
         }
         let is_plain = ["/safe/", "/unsafe/"].iter().any(|it| request.path.starts_with(it));
         let service = if is_plain { PLAIN } else { MODEL };
         self.records.asked.push(Asked { service, at: self.now });
-        self.step(number, Event::Arrived(FlightKey(self.next), request));
+        self.step(number, Event::Arrived(RequestKey(self.next), request));
     }
 
     /// Gives a box an event and carries out what it does.
@@ -446,7 +446,7 @@
                 Effect::Send(send) => {
                     self.plan(calls_leave + TRANSIT, Due::Call(number, life, Box::new(send)));
                 }
-                Effect::Tell(audience, message) => self.tell(side, &audience, &message),
+                Effect::Announce(audience, message) => self.tell(side, &audience, &message),
                 Effect::Store(operation, what) => {
                     let answer = self.store.carry_out(what);
                     let at = self.now + STORE_ANSWERS_IN;
@@ -463,7 +463,7 @@
                     self.ask_engine(number, engine.key);
                     self.probe(number, engine.key);
                 }
-                Effect::Survey(engine) | Effect::Inspect(engine) => {
+                Effect::QueryCachedPrompts(engine) | Effect::QueryOrderCount(engine) => {
                     self.ask_engine(number, engine.key);
                 }
                 Effect::Order(order) => self.ask_engine(number, order.engine.key),
@@ -471,8 +471,8 @@
                 Effect::Refuse(flight, refusal) => {
                     self.crashes.answered(flight, refusal, self.now);
                 }
-                Effect::Break(flight) => self.crashes.broke_off(flight, self.now),
-                Effect::Note(Note::Repeat { service, is_sent: false, .. }) => {
+                Effect::Abort(flight) => self.crashes.broke_off(flight, self.now),
+                Effect::Log(LogEvent::Retry { service, is_sent: false, .. }) => {
                     let service = if *service == *PLAIN { PLAIN } else { MODEL };
                     self.records.refused.push(Refused { service, at: self.now });
                 }
@@ -558,5 +558,5 @@
 /// Gives the settings of a box.
 fn settings_of(number: usize) -> Settings {
     let number = u8::try_from(number + 1).expect("at most 255 boxes");
-    Settings { bound: BOUND, ..settings(number) }
+    Settings { retry_bound: BOUND, ..settings(number) }
 }
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -21,15 +21,15 @@
         let engine = send.engine.key;
         let State { crashes, down_until } = self.crashes.state(engine);
         if self.now < down_until {
-            let unsent = Due::Answer(caller, engine, CallEvent::Unsent);
+            let unsent = Due::Answer(caller, engine, CallEvent::NotConnected);
             return self.plan(self.now + TRANSIT, unsent);
         }
         let limit = self.needs.arrive((number, life), engine, self.now);
         let terms = self.terms.arrive((number, life), engine, self.now);
         let says = Statement { limit, ..terms };
-        if self.crashes.harmful.contains(&send.flight) {
+        if self.crashes.harmful.contains(&send.request) {
             let when_read = self.harmful.is_some_and(|it| it.when_read);
-            if when_read || send.task != Task::Read {
+            if when_read || send.task != Task::Prefill {
                 self.crashes.arrivals.push(self.now);
                 return self.plan(self.now + CRASHES_AFTER, Due::Crash(caller, engine, crashes));
             }
@@ -37,12 +37,12 @@
         let turns_away = self.random.random_bool(self.behaviour.turns_away);
         let is_turned_away = turns_away || says.rest != rest::Told::Nothing;
         let is_failed = self.random.random_bool(self.behaviour.fails);
-        let is_reading = send.task == Task::Read;
+        let is_reading = send.task == Task::Prefill;
         let is_free = is_reading && !is_turned_away;
         let service = if send.engine.stage.is_some() { MODEL } else { PLAIN };
         self.records.arrivals.push(Arrival {
             service,
-            flight: (number, life, send.flight.0),
+            flight: (number, life, send.request.0),
             at: self.now,
             is_free,
         });
@@ -139,15 +139,15 @@
     /// Has a box hear whether an engine lives.
     pub(super) fn probe(&mut self, number: usize, engine: EngineKey) {
         let State { crashes, down_until } = self.crashes.state(engine);
-        let probe = if self.now < down_until { Probe::Silent } else { Probe::Lives(Some(crashes)) };
+        let probe = if self.now < down_until { Probe::Silent } else { Probe::Alive(Some(crashes)) };
         let life = self.members[number].life;
         self.plan(self.now + TRANSIT * 2, Due::Probed(number, life, engine, probe));
     }
 }
 
 /// Adds to an event what the engine says of itself.
-fn saying(event: &CallEvent, says: Statement) -> CallEvent {
-    let add = |answer: &Answer| Answer { says, ..answer.clone() };
+fn saying(event: &CallEvent, statement: Statement) -> CallEvent {
+    let add = |answer: &Answer| Answer { statement, ..answer.clone() };
     match event {
         CallEvent::Began(answer) => CallEvent::Began(add(answer)),
         CallEvent::Answered(answer) => CallEvent::Answered(add(answer)),
--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -15,7 +15,7 @@
 use hollyspoke_gateway::gateway::{CASES, Gateway, Settings, Sharing};
 use hollyspoke_gateway::message::{DataCentreKey, Format, Knowledge, Message, Standing, Usage};
 use hollyspoke_gateway::region::{Homes, Regions};
-use hollyspoke_gateway::request::{CallKey, FlightKey, Request};
+use hollyspoke_gateway::request::{CallKey, Request, RequestKey};
 use hollyspoke_gateway::route::{Configuration, Limits, Route, RouteKind, Service, Split, Staged};
 use hollyspoke_gateway::signature::Content;
 use hollyspoke_gateway::statement::Statement;
@@ -50,7 +50,7 @@
         regions: Regions::default(),
         peer: SocketAddr::from(([10, 0, 0, number], 7000)),
         front: SocketAddr::from(([10, 0, 0, number], 8000)),
-        bound: Bound { ratio: 0.2, allowance: 50.0, window: Duration::from_secs(10) },
+        retry_bound: Bound { ratio: 0.2, allowance: 50.0, window: Duration::from_secs(10) },
         tolerance: Tolerance { window: Duration::from_secs(8), overrun: 0.1, slack: 0.0 },
         sharing: Sharing::Totals,
         boxes: None,
@@ -154,8 +154,8 @@
         path: format!("/{route}/x"),
         deadline: Some(Duration::from_secs(14)),
         prompt_tokens: Some(5000),
-        answer_tokens: Some(1000),
-        guessed_tokens: Some(800),
+        max_answer_tokens: Some(1000),
+        expected_answer_tokens: Some(800),
         prompt: None,
         last_event: None,
         credential: None,
@@ -166,7 +166,7 @@
 
 /// Gives an answer that proves that the request ran.
 pub fn ran(status: u16) -> Answer {
-    Answer { status, execution: Execution::Ran, says: Statement::default(), handle: None }
+    Answer { status, execution: Execution::Ran, statement: Statement::default(), handle: None }
 }
 
 /// Gives an answer that proves that the request did not run.
@@ -210,12 +210,15 @@
     pub fn event(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = self.gateway.step(self.now, event);
         effects.retain(|it| {
-            let is_note = matches!(it, Effect::Note(_));
+            let is_note = matches!(it, Effect::Log(_));
             let is_aside = match it {
                 Effect::Store(_, Operation::Get { kind, .. } | Operation::Put { kind, .. }) => {
                     kind == CASES
                 }
-                Effect::Tell(..) | Effect::Follow(_) | Effect::Survey(_) | Effect::Probe(_) => true,
+                Effect::Announce(..)
+                | Effect::WatchStore(_)
+                | Effect::QueryCachedPrompts(_)
+                | Effect::Probe(_) => true,
                 _ => false,
             };
             !is_note && !is_aside
@@ -224,14 +227,14 @@
     }
 
     /// Has a request arrive.
-    pub fn arrive(&mut self, request: Request) -> (FlightKey, Vec<Effect>) {
-        let flight = FlightKey(self.next_flight);
+    pub fn arrive(&mut self, request: Request) -> (RequestKey, Vec<Effect>) {
+        let flight = RequestKey(self.next_flight);
         self.next_flight += 1;
         (flight, self.event(Event::Arrived(flight, request)))
     }
 
     /// Has a request arrive and gives its first call.
-    pub fn sent(&mut self, request: Request) -> (FlightKey, Send) {
+    pub fn sent(&mut self, request: Request) -> (RequestKey, Send) {
         let (flight, effects) = self.arrive(request);
         (flight, only_send(&effects))
     }
@@ -242,9 +245,9 @@
     }
 
     /// Has a stream's prompt read and its first event come; gives the call that generates.
-    pub fn streaming(&mut self, request: Request) -> (FlightKey, Send) {
+    pub fn streaming(&mut self, request: Request) -> (RequestKey, Send) {
         let (flight, reading) = self.sent(request);
-        assert_eq!(reading.task, Task::Read);
+        assert_eq!(reading.task, Task::Prefill);
         let effects = self.call(reading.call, CallEvent::Answered(read("h")));
         let generating = only_send(&effects);
         let effects = self.call(generating.call, CallEvent::Began(ran(200)));
--- a/tests/src/needs.rs
+++ b/tests/src/needs.rs
@@ -6,7 +6,7 @@
 
 use hollyspoke::time::Time;
 use hollyspoke_gateway::engine::EngineKey;
-use hollyspoke_gateway::intake::Told;
+use hollyspoke_gateway::rate_limit::Reported;
 
 /// The span over which what comes to an engine is counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
@@ -85,15 +85,15 @@
     }
 
     /// Notes that something of a box comes to an engine; gives what its answer says.
-    pub fn arrive(&mut self, sender: Sender, engine: EngineKey, now: Time) -> Told {
-        let Some(need) = self.engines.get_mut(&engine) else { return Told::Nothing };
+    pub fn arrive(&mut self, sender: Sender, engine: EngineKey, now: Time) -> Reported {
+        let Some(need) = self.engines.get_mut(&engine) else { return Reported::Nothing };
         need.arrivals.push(Arrival { sender, at: now });
         match need.named.last().and_then(|it| it.rate) {
             Some(rate) => {
                 need.told.entry(sender).or_insert(now);
-                Told::Rate(rate)
+                Reported::Rate(rate)
             }
-            None => Told::Nothing,
+            None => Reported::Nothing,
         }
     }
 
--- a/tests/src/stages.rs
+++ b/tests/src/stages.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::effect::{Effect, Order, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer as Answered, CallEvent, Event, Kind, OrderAnswer};
-use hollyspoke_gateway::intake::Told;
+use hollyspoke_gateway::rate_limit::Reported;
 use hollyspoke_gateway::request::CallKey;
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind, Service, Staged};
 use hollyspoke_gateway::statement::Statement;
@@ -201,8 +201,8 @@
                 next = next + every;
                 let mut asked = request("once");
                 asked.prompt_tokens = Some(tokens);
-                asked.answer_tokens = Some(160);
-                asked.guessed_tokens = Some(80);
+                asked.max_answer_tokens = Some(160);
+                asked.expected_answer_tokens = Some(80);
                 let (_, effects) = self.world.arrive(asked);
                 self.follow(effects);
             }
@@ -226,7 +226,7 @@
         for effect in effects {
             let now = self.world.now;
             match effect {
-                Effect::Send(send) if send.task == Task::Read => {
+                Effect::Send(send) if send.task == Task::Prefill => {
                     self.calls.insert(send.call, send.engine.key);
                     let took = Duration::from_millis(self.tokens / READ_A_MS);
                     self.due.push((now + took, Due::Read(send.call)));
@@ -243,9 +243,9 @@
                     let next = self.world.event(Event::Stored(number, answer));
                     self.follow(next);
                 }
-                Effect::Inspect(engine) => {
+                Effect::QueryOrderCount(engine) => {
                     let count = self.counts.get(&engine.key).copied().unwrap_or(0);
-                    let next = self.world.event(Event::Inspected(engine.key, Some(count)));
+                    let next = self.world.event(Event::OrderCount(engine.key, Some(count)));
                     self.follow(next);
                 }
                 Effect::Order(order) => self.take(order),
@@ -267,7 +267,7 @@
                 let done = self.world.now + SWITCH;
                 self.due.push((done, Due::Changed(key, order.stage)));
                 let is_told = self.obedience == Obedience::Takes;
-                if is_told { OrderAnswer::Taken } else { OrderAnswer::Unknown }
+                if is_told { OrderAnswer::Accepted } else { OrderAnswer::Unknown }
             }
         };
         self.orders.push(order);
@@ -325,8 +325,8 @@
     fn says(&self, call: CallKey, answer: Answered) -> Answered {
         let engine = self.calls.get(&call);
         let rate = engine.and_then(|it| self.limits.get(it));
-        let limit = rate.map_or(Told::Nothing, |&it| Told::Rate(it));
-        Answered { says: Statement { limit, ..answer.says }, ..answer }
+        let limit = rate.map_or(Reported::Nothing, |&it| Reported::Rate(it));
+        Answered { statement: Statement { limit, ..answer.statement }, ..answer }
     }
 
     /// Lists an engine with another stage.
--- a/tests/tests/data_centres.rs
+++ b/tests/tests/data_centres.rs
@@ -11,7 +11,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event, Kind};
 use hollyspoke_gateway::message::{DataCentreKey, Knowledge, Load, Message};
 use hollyspoke_gateway::prompt::PromptKey;
-use hollyspoke_gateway::request::{FlightKey, Request};
+use hollyspoke_gateway::request::{Request, RequestKey};
 use hollyspoke_tests::gateway::{
     MEMORY, MODEL, PLAIN, World, configuration, engine, heartbeat, only_send, ran, request,
 };
@@ -48,7 +48,7 @@
     world.event(Event::Configured(Arc::new(configuration(1))));
     for data_centre in 0..DATA_CENTRES.len() {
         for number in 1..=nodes {
-            world.event(Event::Heard(beat(data_centre, number, 1)));
+            world.event(Event::Received(beat(data_centre, number, 1)));
         }
     }
     world
@@ -70,10 +70,10 @@
 
 /// Gives the data centres whose boxes a change of work is told to, when a stream goes to an engine.
 fn zones_told(world: &mut World) -> BTreeSet<usize> {
-    let arrival = Event::Arrived(FlightKey(900), request("once"));
+    let arrival = Event::Arrived(RequestKey(900), request("once"));
     let effects = world.gateway.step(world.now, arrival);
     let told = effects.iter().filter_map(|it| match it {
-        Effect::Tell(nodes, message) if !message.is_whole => Some(nodes),
+        Effect::Announce(nodes, message) if !message.is_whole => Some(nodes),
         _ => None,
     });
     told.flatten().map(data_centre_of).collect()
@@ -111,7 +111,7 @@
     let held = (MEMORY as f64 * 0.5) as u32;
     let full = Load { reading: 0, calls: 4, held };
     let message = Message { loads: vec![(EngineKey::of("engine-3"), full)], ..beat(0, 1, 2) };
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     assert_eq!(zones_told(&mut world), BTreeSet::from([0, 1, 2]));
 }
 
@@ -133,7 +133,7 @@
     assert_eq!(&*send.engine.data_centre, DATA_CENTRES[0]);
     let mut elsewhere = 0;
     for number in 0..40 {
-        let arrival = Event::Arrived(FlightKey(500 + number), request("once"));
+        let arrival = Event::Arrived(RequestKey(500 + number), request("once"));
         let send = only_send(&world.event(arrival));
         elsewhere += usize::from(*send.engine.data_centre != *DATA_CENTRES[0]);
         if elsewhere > 0 {
@@ -158,14 +158,14 @@
     /// Takes what one step led to.
     fn take(&mut self, effects: &[Effect]) {
         let told = effects.iter().filter_map(|it| match it {
-            Effect::Tell(nodes, message) if message.is_whole => Some(nodes),
+            Effect::Announce(nodes, message) if message.is_whole => Some(nodes),
             _ => None,
         });
         let told: BTreeSet<usize> = told.flatten().map(data_centre_of).collect();
         self.heartbeats += usize::from(!told.is_empty());
         self.far += usize::from(told.len() > 1);
         for effect in effects {
-            if let Effect::Follow(follows) = effect {
+            if let Effect::WatchStore(follows) = effect {
                 self.follows = Some(*follows);
             }
         }
@@ -182,7 +182,7 @@
         for data_centre in 0..DATA_CENTRES.len() {
             for number in 1..=50 {
                 let message = Message { knowledge, ..beat(data_centre, number, sequence) };
-                doings.take(&world.gateway.step(world.now, Event::Heard(message)));
+                doings.take(&world.gateway.step(world.now, Event::Received(message)));
             }
         }
         doings.take(&world.gateway.step(world.now, Event::Tick));
@@ -223,7 +223,7 @@
     world.pass(Duration::from_millis(3500));
     let effects = world.gateway.step(world.now, Event::Stop);
     let told = effects.iter().filter_map(|it| match it {
-        Effect::Tell(nodes, message) if message.is_whole => Some(nodes),
+        Effect::Announce(nodes, message) if message.is_whole => Some(nodes),
         _ => None,
     });
     let told: BTreeSet<usize> = told.flatten().map(data_centre_of).collect();
@@ -242,16 +242,16 @@
     few.event(Event::Listed(engines_in(0), 10.into()));
     for data_centre in 1..DATA_CENTRES.len() {
         for number in 1..=60 {
-            few.event(Event::Heard(beat(data_centre, number, 1)));
+            few.event(Event::Received(beat(data_centre, number, 1)));
         }
     }
-    few.event(Event::Heard(beat(0, 1, 1)));
+    few.event(Event::Received(beat(0, 1, 1)));
     assert_eq!(few.gateway.fronts(None).len(), 122, "too few near by: all are named");
 }
 
 /// Gives the work that a step told of, in datagrams that are no heartbeats.
 fn changes_told(effects: &[Effect]) -> usize {
-    let is_change = |it: &&Effect| matches!(it, Effect::Tell(_, it) if !it.is_whole);
+    let is_change = |it: &&Effect| matches!(it, Effect::Announce(_, it) if !it.is_whole);
     effects.iter().filter(is_change).count()
 }
 
@@ -271,7 +271,9 @@
     world.now = now + Duration::from_millis(900);
     effects.extend(world.gateway.step(world.now, Event::Tick));
     let is_told = effects.iter().any(|it| match it {
-        Effect::Tell(_, it) => it.is_whole && it.kept.iter().any(|it| it.prompt == PromptKey(7)),
+        Effect::Announce(_, it) => {
+            it.is_whole && it.kept.iter().any(|it| it.prompt == PromptKey(7))
+        }
         _ => false,
     });
     assert!(is_told, "{effects:?}");
@@ -302,14 +304,14 @@
         for number in 0..600u16 {
             let [high, low] = number.to_be_bytes();
             let sender = SocketAddr::from(([10, 9, high, low], 7000));
-            world.event(Event::Heard(Message { sender, ..heartbeat(2, 1, knowledge) }));
+            world.event(Event::Received(Message { sender, ..heartbeat(2, 1, knowledge) }));
         }
         // It has heard the others when it next decides whether it follows the store itself.
         world.pass(Duration::from_secs(2));
         let newer = Knowledge { version: 2, ..Knowledge::default() };
         let sender = SocketAddr::from(([10, 9, 0, 0], 7000));
         let message = Message { sender, ..heartbeat(2, 2, newer) };
-        let effects = world.event(Event::Heard(message));
+        let effects = world.event(Event::Received(message));
         let is_read = effects.contains(&Effect::Read(Kind::Configuration));
         readers += usize::from(is_read);
         // The next heartbeat: 600 boxes of one data centre beat every 4.8 s.
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -14,9 +14,9 @@
 use hollyspoke_gateway::departure;
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::evacuation::Evacuation;
-use hollyspoke_gateway::intake::Word;
 use hollyspoke_gateway::message::{Eras, Extension, Format, Message};
 use hollyspoke_gateway::permit::{Ask, Outcome, Reply};
+use hollyspoke_gateway::rate_limit::Announcement;
 use hollyspoke_gateway::snapshot::{Question, Snapshot};
 use hollyspoke_server::datagram::{read, write};
 use hollyspoke_server::handover::format::{
@@ -64,7 +64,7 @@
 
 /// Gives all that the first version of the later format tells.
 fn first_extension() -> Extension {
-    let word = |rate| Word { engine: EngineKey(u64::MAX), born: Some(1), rate, age_ms: 40 };
+    let word = |rate| Announcement { engine: EngineKey(u64::MAX), born: Some(1), rate, age_ms: 40 };
     let reply = |outcome| Reply { number: 3, engine: EngineKey(9), outcome };
     Extension {
         limits: vec![word(Some(3.5)), word(None)],
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -152,13 +152,13 @@
         world.event(Event::Configured(Arc::new(configuration(1))));
         world.event(Event::Listed(engines(), 10.into()));
         for message in messages {
-            world.event(Event::Heard(message));
+            world.event(Event::Received(message));
             world.arrive(request("safe"));
             world.arrive(request("resumed"));
             world.pass(Duration::from_millis(400));
         }
         world.pass(Duration::from_secs(16));
-        prop_assert_eq!(world.gateway.flight_count(), 0);
+        prop_assert_eq!(world.gateway.in_flight_count(), 0);
     }
 
     /// Bytes that are no message are no message; a message with a byte changed may be another one.
--- a/tests/tests/gateway_census.rs
+++ b/tests/tests/gateway_census.rs
@@ -55,7 +55,7 @@
             effects.clear();
             for &number in &self.others {
                 let beat = heartbeat(number, self.sequence, Knowledge::default());
-                effects.extend(self.world.event(Event::Heard(beat)));
+                effects.extend(self.world.event(Event::Received(beat)));
             }
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Configuration)));
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Engines)));
@@ -96,7 +96,7 @@
         while self.world.now < end {
             self.world.now = self.world.now + Duration::from_millis(10);
             for effect in self.world.gateway.step(self.world.now, Event::Tick) {
-                if let Effect::Tell(_, message) = effect {
+                if let Effect::Announce(_, message) = effect {
                     boxes = Some(message.usage.boxes);
                 }
             }
@@ -153,7 +153,7 @@
     assert_eq!(site.told(), 3);
     site.sequence += 1;
     let stopping = heartbeat(3, site.sequence, Knowledge::default());
-    site.world.event(Event::Heard(Message { standing: Standing::Stopping, ..stopping }));
+    site.world.event(Event::Received(Message { standing: Standing::Stopping, ..stopping }));
     site.others = vec![2];
     site.pass(Duration::from_secs(3));
     assert_eq!(site.told(), 2);
@@ -166,7 +166,7 @@
     let stopped = site.others.pop().expect("there are two");
     site.sequence += 1;
     let stopping = heartbeat(stopped, site.sequence, Knowledge::default());
-    site.world.event(Event::Heard(Message { standing: Standing::Stopping, ..stopping }));
+    site.world.event(Event::Received(Message { standing: Standing::Stopping, ..stopping }));
     site.pass(Duration::from_secs(50));
     assert_eq!(site.object.1, "3");
     site.pass(Duration::from_secs(20));
--- a/tests/tests/gateway_crashes.rs
+++ b/tests/tests/gateway_crashes.rs
@@ -189,7 +189,7 @@
     assert_eq!(fleet.crashes.arrivals.len(), arrivals);
     let answers = &fleet.crashes.answers;
     assert!(answers.len() >= 39, "{}", answers.len());
-    assert!(answers.iter().all(|(_, it)| matches!(it, Refusal::Harmful(_))), "{answers:?}");
+    assert!(answers.iter().all(|(_, it)| matches!(it, Refusal::Quarantined(_))), "{answers:?}");
 }
 
 /// Boxes that missed one of them read the cases in the store every four seconds, each of them, and
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -7,11 +7,11 @@
 use hollyspoke::quota::{Account, Limit};
 use hollyspoke_gateway::credential::KeyDigest;
 use hollyspoke_gateway::customer::{Caller, Customer, CustomerKey, Customers, Unit};
-use hollyspoke_gateway::effect::{Effect, NotRunReason, Note, Refusal};
+use hollyspoke_gateway::effect::{Effect, LogEvent, NotRunReason, Refusal};
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Knowledge, Message, Usage};
 use hollyspoke_gateway::region::Homes;
-use hollyspoke_gateway::request::{FlightKey, Request};
+use hollyspoke_gateway::request::{Request, RequestKey};
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind};
 use hollyspoke_tests::gateway::{
     MEMORY, PLAIN, World, configuration, configuration_of, engines, heartbeat, only_refusal,
@@ -171,8 +171,8 @@
     assert!(effects.is_empty(), "it waits: {effects:?}");
     let (high, effects) = world.arrive(filling(b"first-key"));
     assert!(effects.is_empty(), "it waits: {effects:?}");
-    let effects = world.event(Event::ClientLeft(running.flight));
-    assert!(only_send(&effects).flight == high && high != low, "{effects:?}");
+    let effects = world.event(Event::ClientDisconnected(running.request));
+    assert!(only_send(&effects).request == high && high != low, "{effects:?}");
 }
 
 /// A box that has heard of a newer configuration can't say that a key is unknown.
@@ -180,10 +180,10 @@
 fn behind() {
     let mut world = world(0.0);
     let knowledge = Knowledge { version: 2, ..Knowledge::default() };
-    world.event(Event::Heard(heartbeat(2, 1, knowledge)));
+    world.event(Event::Received(heartbeat(2, 1, knowledge)));
     let (_, effects) = world.arrive(keyed("safe", b"newer"));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
-    assert_eq!(reason, NotRunReason::Behind);
+    assert_eq!(reason, NotRunReason::StaleConfiguration);
 }
 
 #[test]
@@ -201,7 +201,7 @@
 #[test]
 fn plain_tokens() {
     let mut world = world(1000.0);
-    let plain = || Request { prompt_tokens: None, answer_tokens: None, ..keyed("safe", KEY) };
+    let plain = || Request { prompt_tokens: None, max_answer_tokens: None, ..keyed("safe", KEY) };
     for _ in 0..5 {
         answer(&mut world, plain());
     }
@@ -227,7 +227,7 @@
     let mut world = world(6000.0);
     let (flight, _) = world.sent(keyed("once", KEY));
     // Its prompt is being read, which is no run.
-    world.event(Event::ClientLeft(flight));
+    world.event(Event::ClientDisconnected(flight));
     world.sent(keyed("once", KEY));
 }
 
@@ -239,7 +239,8 @@
     let customers = vec![customer("press", KEY, 1000.0), customer("town", b"town-key", 1000.0)];
     world.event(with_customers(1, customers));
     world.pass(Duration::from_secs(2));
-    let plain = |key| Request { prompt_tokens: None, answer_tokens: None, ..keyed("safe", key) };
+    let plain =
+        |key| Request { prompt_tokens: None, max_answer_tokens: None, ..keyed("safe", key) };
     let refused = (0..50)
         .filter(|_| {
             let (_, effects) = world.arrive(plain(KEY));
@@ -268,11 +269,11 @@
 #[test]
 fn others_count() {
     let mut world = world(6000.0);
-    world.event(Event::Heard(told(2, 1, 0, true)));
+    world.event(Event::Received(told(2, 1, 0, true)));
     world.pass(Duration::from_secs(3));
-    world.event(Event::Heard(told(2, 2, 0, false)));
-    world.event(Event::Heard(told(2, 3, 9000, false)));
-    world.event(Event::Heard(told(2, 4, 9000, false)));
+    world.event(Event::Received(told(2, 2, 0, false)));
+    world.event(Event::Received(told(2, 3, 9000, false)));
+    world.event(Event::Received(told(2, 4, 9000, false)));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
     // 3,000 tokens of debt at 6,000 a second, and a spread.
     assert!((500..=800).contains(&wait.as_millis()), "{wait:?}");
@@ -282,9 +283,9 @@
 #[test]
 fn part_of_the_silent() {
     let mut world = world(6000.0);
-    world.event(Event::Heard(told(2, 1, 0, true)));
+    world.event(Event::Received(told(2, 1, 0, true)));
     world.pass(Duration::from_secs(3));
-    world.event(Event::Heard(told(2, 2, 9000, false)));
+    world.event(Event::Received(told(2, 2, 9000, false)));
     world.sent(keyed("once", KEY));
 }
 
@@ -293,7 +294,7 @@
 fn first_total_is_no_change() {
     let mut world = world(6000.0);
     world.pass(Duration::from_secs(5));
-    world.event(Event::Heard(told(2, 900, 4_000_000, false)));
+    world.event(Event::Received(told(2, 900, 4_000_000, false)));
     world.sent(keyed("once", KEY));
 }
 
@@ -324,9 +325,11 @@
     let mut world = world(6000.0);
     world.sent(keyed("once", KEY));
     let now = world.now;
-    let effects = world.gateway.step(now, Event::Arrived(FlightKey(99), keyed("once", KEY)));
+    let effects = world.gateway.step(now, Event::Arrived(RequestKey(99), keyed("once", KEY)));
     let logged = effects.iter().find_map(|it| match it {
-        Effect::Note(Note::Ended { customer, how, .. }) => Some((customer.clone(), *how)),
+        Effect::Log(LogEvent::Ended { customer, outcome, .. }) => {
+            Some((customer.clone(), *outcome))
+        }
         _ => None,
     });
     assert_eq!(logged, Some((Some("press".into()), "over limit")));
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollyspoke::store::Revision;
-use hollyspoke_gateway::effect::{Effect, Note};
+use hollyspoke_gateway::effect::{Effect, LogEvent};
 use hollyspoke_gateway::engine::{Engine, EngineChange};
 use hollyspoke_gateway::evacuation::{Change, Evacuation};
 use hollyspoke_gateway::event::{Event, Kind};
@@ -74,7 +74,7 @@
         let used = effects.iter().any(
             |it| matches!(it, Effect::Send(send) if send.engine.key == engine(1, PLAIN, None).key),
         );
-        world.event(Event::ClientLeft(flight));
+        world.event(Event::ClientDisconnected(flight));
         used
     })
 }
@@ -97,7 +97,7 @@
     let mut world = world(both(first(100)));
     come_back(&mut world, both(leaving(100)));
     let effects = step(&mut world, Event::Listed(both(first(100)), Revision::new(1, 90)));
-    let is_dropped = |it: &Effect| matches!(it, Effect::Note(Note::ListDropped { .. }));
+    let is_dropped = |it: &Effect| matches!(it, Effect::Log(LogEvent::ListDropped { .. }));
     assert!(effects.iter().any(is_dropped));
     put(&mut world, first(100), Revision::new(1, 91));
     world.event(Event::StoreEra(1));
@@ -168,7 +168,7 @@
 fn news(since: Revision, changes: Vec<EngineChange>) -> Event {
     let knowledge = Knowledge { version: 1, revision: COPY, is_blind: false };
     let news = Some(Box::new(EngineNews { since, changes }));
-    Event::Heard(Message { news, era: COPY.era, ..heartbeat(2, 1000, knowledge) })
+    Event::Received(Message { news, era: COPY.era, ..heartbeat(2, 1000, knowledge) })
 }
 
 /// Whether changes to another era's list are taken that were told by a box which knew as much as this
@@ -251,7 +251,7 @@
 #[test]
 fn a_return_is_noticed_once() {
     let returned = |effects: &[Effect]| {
-        effects.iter().any(|it| matches!(it, Effect::Note(Note::StoreReturned { .. })))
+        effects.iter().any(|it| matches!(it, Effect::Log(LogEvent::StoreReturned { .. })))
     };
     let mut world = world(engines());
     world.pass(Duration::from_secs(1));
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -60,7 +60,9 @@
 fn reached(effects: &[Effect]) -> BTreeSet<String> {
     let engines = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(&send.engine),
-        Effect::Survey(engine) | Effect::Inspect(engine) | Effect::Probe(engine) => Some(engine),
+        Effect::QueryCachedPrompts(engine)
+        | Effect::QueryOrderCount(engine)
+        | Effect::Probe(engine) => Some(engine),
         Effect::Order(order) => Some(&order.engine),
         _ => None,
     });
@@ -115,7 +117,7 @@
     let from = generating.engine.data_centre.clone();
     world.event(Event::Evacuated(evacuated(20, &[&*from])));
     // What runs goes on; only when it breaks the stream moves.
-    let effects = world.call(generating.call, CallEvent::Passed(Some(3)));
+    let effects = world.call(generating.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.call(generating.call, CallEvent::Broken);
     assert_eq!(reached(&effects).len(), 1, "{effects:?}");
@@ -127,12 +129,12 @@
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["south"])));
     let (flight, reading) = world.sent(request("once"));
-    assert_eq!((&*reading.engine.data_centre, &reading.task), ("north", &Task::Read));
+    assert_eq!((&*reading.engine.data_centre, &reading.task), ("north", &Task::Prefill));
     let effects = world.call(reading.call, CallEvent::Answered(read("h")));
     let generating = only_send(&effects);
     world.event(Event::Evacuated(evacuated(30, &["north", "south"])));
     let mut effects = world.call(generating.call, CallEvent::Answered(turned_away()));
-    effects.extend(world.event(Event::ClientLeft(flight)));
+    effects.extend(world.event(Event::ClientDisconnected(flight)));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
 
@@ -164,21 +166,21 @@
 fn told_to_a_box_without_the_store() {
     let mut world = world();
     world.event(Event::StoreFailed(Kind::Evacuations));
-    world.event(Event::Heard(heard(1, evacuated(20, &["north"]))));
+    world.event(Event::Received(heard(1, evacuated(20, &["north"]))));
     assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
-    world.event(Event::Heard(heard(2, evacuated(40, &[]))));
+    world.event(Event::Received(heard(2, evacuated(40, &[]))));
     assert!(plain_go_to(&mut world).contains("north"));
     // A box that is behind brings nothing back.
-    world.event(Event::Heard(heard(3, evacuated(20, &["south"]))));
+    world.event(Event::Received(heard(3, evacuated(20, &["south"]))));
     assert!(plain_go_to(&mut world).contains("south"));
 }
 
 #[test]
 fn a_change_is_told_to_all_at_once() {
     let mut world = world();
-    world.event(Event::Heard(heard(1, Evacuation::default())));
+    world.event(Event::Received(heard(1, Evacuation::default())));
     let effects = world.gateway.step(world.now, Event::Evacuated(evacuated(20, &["north"])));
-    let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.evacuation == evacuated(20, &["north"]));
+    let is_told = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.evacuation == evacuated(20, &["north"]));
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
@@ -187,7 +189,7 @@
     let mut provider = world();
     provider.event(Event::Evacuated(evacuated(20, &["north"])));
     let mut world = World::numbered(2);
-    world.event(Event::Fetched(
+    world.event(Event::SnapshotReceived(
         settings(2).peer,
         Box::new(provider.gateway.snapshot(Question::default())),
     ));
@@ -231,7 +233,7 @@
             let event = if is_read {
                 Event::Evacuated(state)
             } else {
-                Event::Heard(heard(1 + place as u64, state))
+                Event::Received(heard(1 + place as u64, state))
             };
             world.event(event);
         }
--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -19,7 +19,7 @@
     for step in 0..4 {
         for number in 2..=9 {
             let message = heartbeat(number, sequence * 4 + step, knowledge);
-            effects.extend(world.gateway.step(world.now, Event::Heard(message)));
+            effects.extend(world.gateway.step(world.now, Event::Received(message)));
         }
         world.now = world.now + Duration::from_millis(250);
         effects.extend(world.gateway.step(world.now, Event::Tick));
@@ -30,7 +30,7 @@
 /// Gives the last word on following among effects.
 fn follows(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|it| match it {
-        Effect::Follow(follows) => Some(*follows),
+        Effect::WatchStore(follows) => Some(*follows),
         _ => None,
     })
 }
@@ -74,7 +74,7 @@
     let change = EngineChange::Left("engine-1".into(), 12.into());
     let news = EngineNews { since: 10.into(), changes: vec![change] };
     let message = Message { news: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     for _ in 0..6 {
         let (_, send) = world.sent(request("safe"));
         assert_eq!(&*send.engine.id, "engine-2");
@@ -88,7 +88,7 @@
     let change = EngineChange::Put(engine(3, PLAIN, None), 14.into());
     let news = EngineNews { since: 12.into(), changes: vec![change] };
     let message = Message { news: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     for _ in 0..12 {
         let (_, send) = world.sent(request("safe"));
         assert_ne!(&*send.engine.id, "engine-3");
@@ -113,9 +113,9 @@
     let mut world = spared();
     let ahead = Knowledge { version: 2, ..SEEING };
     let now = world.now;
-    let first = world.gateway.step(now, Event::Heard(heartbeat(2, 1000, ahead)));
+    let first = world.gateway.step(now, Event::Received(heartbeat(2, 1000, ahead)));
     assert!(first.contains(&Effect::Read(Kind::Configuration)));
-    let second = world.gateway.step(now, Event::Heard(heartbeat(3, 1000, ahead)));
+    let second = world.gateway.step(now, Event::Received(heartbeat(3, 1000, ahead)));
     assert!(!second.contains(&Effect::Read(Kind::Configuration)));
 }
 
@@ -123,12 +123,12 @@
 #[test]
 fn changes_are_passed_on() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    world.event(Event::Received(heartbeat(2, 1, SEEING)));
     let change = EngineChange::Left("engine-1".into(), 12.into());
     let now = world.now;
     let effects = world.gateway.step(now, Event::Changed(vec![change.clone()]));
     let passed = effects.iter().any(|it| match it {
-        Effect::Tell(_, message) => {
+        Effect::Announce(_, message) => {
             let news = EngineNews { since: 10.into(), changes: vec![change.clone()] };
             message.news == Some(Box::new(news))
         }
@@ -140,7 +140,7 @@
 /// Gives the changes of engines that were passed on.
 fn passed_on(effects: &[Effect]) -> Vec<EngineNews> {
     let news = effects.iter().filter_map(|it| match it {
-        Effect::Tell(_, message) => message.news.as_deref().cloned(),
+        Effect::Announce(_, message) => message.news.as_deref().cloned(),
         _ => None,
     });
     news.collect()
@@ -151,7 +151,7 @@
 #[test]
 fn new_in_a_list_is_passed_on() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    world.event(Event::Received(heartbeat(2, 1, SEEING)));
     let mut listed = engines();
     let gone = listed.remove(0);
     let now = world.now;
@@ -171,7 +171,7 @@
 fn hears(world: &mut World, news: impl IntoIterator<Item = EngineNews>) {
     for (sequence, news) in (2000..).zip(news) {
         let message = Message { news: Some(Box::new(news)), ..heartbeat(2, sequence, SEEING) };
-        world.event(Event::Heard(message));
+        world.event(Event::Received(message));
     }
 }
 
@@ -179,7 +179,7 @@
 #[test]
 fn many_changes_are_passed_on() {
     let mut follower = World::new();
-    follower.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    follower.event(Event::Received(heartbeat(2, 1, SEEING)));
     let now = follower.now;
     let effects = follower.gateway.step(now, Event::Changed(many_changes()));
     let news = passed_on(&effects);
@@ -195,7 +195,7 @@
 #[test]
 fn lost_part_is_read() {
     let mut follower = World::new();
-    follower.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    follower.event(Event::Received(heartbeat(2, 1, SEEING)));
     let now = follower.now;
     let effects = follower.gateway.step(now, Event::Changed(many_changes()));
     let mut news = passed_on(&effects);
@@ -212,14 +212,14 @@
 #[test]
 fn nothing_new_in_a_list() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    world.event(Event::Received(heartbeat(2, 1, SEEING)));
     let now = world.now;
     let mut effects = world.gateway.step(now, Event::Listed(engines(), 30.into()));
     world.now = now + Duration::from_millis(400);
     effects.extend(world.gateway.step(world.now, Event::Tick));
     assert_eq!(passed_on(&effects), []);
     let told = effects.iter().filter_map(|it| match it {
-        Effect::Tell(_, message) => Some(message.knowledge.revision),
+        Effect::Announce(_, message) => Some(message.knowledge.revision),
         _ => None,
     });
     assert_eq!(told.max(), Some(Revision::default()), "no change of an engine is known");
@@ -231,7 +231,7 @@
         let mut world = World::numbered(*own);
         for number in (1..=9).filter(|it| it != own) {
             let knowledge = Knowledge { is_blind: blind.contains(&number), ..SEEING };
-            world.event(Event::Heard(heartbeat(number, 1, knowledge)));
+            world.event(Event::Received(heartbeat(number, 1, knowledge)));
         }
         follows(&tick_for(&mut world, Duration::from_millis(400))) != Some(false)
     };
@@ -264,7 +264,7 @@
 /// Gives whether the last heartbeat called the box blind.
 fn is_blind(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|it| match it {
-        Effect::Tell(_, message) if message.is_whole => Some(message.knowledge.is_blind),
+        Effect::Announce(_, message) if message.is_whole => Some(message.knowledge.is_blind),
         _ => None,
     })
 }
@@ -276,15 +276,15 @@
     for kind in [Kind::Configuration, Kind::Engines, Kind::Evacuations] {
         world.event(Event::StoreAnswered(kind));
     }
-    world.event(Event::Heard(heartbeat(2, 1, SEEING)));
+    world.event(Event::Received(heartbeat(2, 1, SEEING)));
     assert_eq!(is_blind(&tick_for(&mut world, Duration::from_millis(400))), Some(false));
-    world.event(Event::Heard(heartbeat(2, 2, SEEING)));
+    world.event(Event::Received(heartbeat(2, 2, SEEING)));
     world.event(Event::StoreFailed(Kind::Configuration));
     assert_eq!(is_blind(&tick_for(&mut world, Duration::from_millis(1200))), Some(true));
     world.event(Event::StoreAnswered(Kind::Configuration));
     world.event(Event::StoreAnswered(Kind::Engines));
     world.event(Event::StoreAnswered(Kind::Evacuations));
-    world.event(Event::Heard(heartbeat(2, 3, SEEING)));
+    world.event(Event::Received(heartbeat(2, 3, SEEING)));
     assert_eq!(is_blind(&tick_for(&mut world, Duration::from_millis(400))), Some(false));
 }
 
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -12,7 +12,7 @@
 /// Gives the word of another box that both engines that generate had no room.
 fn both_full(held: u32) -> Event {
     let full = ["engine-21", "engine-22"].map(|it| Full { engine: EngineKey::of(it), held });
-    Event::Heard(Message { full: full.to_vec(), ..heartbeat(2, 1, Knowledge::default()) })
+    Event::Received(Message { full: full.to_vec(), ..heartbeat(2, 1, Knowledge::default()) })
 }
 
 /// Gives a request with a prompt of some tokens.
@@ -36,19 +36,19 @@
     let mut world = World::new();
     world.event(both_full(9000));
     let (_, send) = world.sent(sized(2000));
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
 }
 
 #[test]
 fn own_refusal_is_told() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     let (_, reading) = world.sent(sized(5000));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     let refused = Event::Call(generating.call, CallEvent::Answered(turned_away()));
     let effects = world.gateway.step(world.now, refused);
     let is_told = effects.iter().any(|it| match it {
-        Effect::Tell(_, message) => {
+        Effect::Announce(_, message) => {
             message.full.iter().any(|it| it.engine == generating.engine.key && it.held > 5000)
         }
         _ => false,
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -52,14 +52,14 @@
         bincode::DefaultOptions::new().serialize(&provider.gateway.snapshot(Question::default()));
     let bytes = bytes.expect("it can be written");
     let snapshot: Snapshot = bincode::DefaultOptions::new().deserialize(&bytes).expect("whole");
-    Event::Fetched(settings(2).peer, Box::new(snapshot))
+    Event::SnapshotReceived(settings(2).peer, Box::new(snapshot))
 }
 
 /// Lets time pass while another box tells with each heartbeat what it knows; gives the boxes asked.
 fn asked(world: &mut World, knowledge: Knowledge, beats: u64) -> usize {
     let mut asked = 0;
     for beat in 0..beats {
-        world.event(Event::Heard(heartbeat(2, 1000 + beat, knowledge)));
+        world.event(Event::Received(heartbeat(2, 1000 + beat, knowledge)));
         let effects = world.pass(Duration::from_millis(350));
         let provider = settings(2).peer;
         asked += effects.iter().filter(|it| **it == Effect::Fetch(provider)).count();
@@ -128,7 +128,7 @@
             if number != 5 {
                 message.data_centre = DataCentreKey::of("south");
             }
-            world.event(Event::Heard(message));
+            world.event(Event::Received(message));
         }
         let effects = world.pass(Duration::from_millis(350));
         asked.extend(effects.into_iter().filter(|it| matches!(it, Effect::Fetch(_))));
@@ -145,7 +145,7 @@
     let starting = Knowledge::default();
     let mut message = heartbeat(2, 1000, starting);
     message.standing = hollyspoke_gateway::message::Standing::Starting;
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     let effects = world.pass(Duration::from_secs(1));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Fetch(_))));
 }
@@ -177,7 +177,7 @@
         panic!("changes up to 55 in {snapshot:?}");
     };
     assert_eq!(changes.len(), 4);
-    behind.event(Event::Fetched(settings(2).peer, Box::new(snapshot)));
+    behind.event(Event::SnapshotReceived(settings(2).peer, Box::new(snapshot)));
     assert_eq!(behind.gateway.engine_count(), provider.gateway.engine_count());
     assert_eq!(behind.gateway.engine_revision(), 55.into());
     let nothing = provider.gateway.snapshot(behind.gateway.question());
@@ -196,7 +196,7 @@
     provider.event(Event::Listed(listed, 40.into()));
     let snapshot = provider.gateway.snapshot(behind.gateway.question());
     assert!(matches!(snapshot.listing, Some(Listing::Changes { .. })), "{snapshot:?}");
-    behind.event(Event::Fetched(settings(2).peer, Box::new(snapshot)));
+    behind.event(Event::SnapshotReceived(settings(2).peer, Box::new(snapshot)));
     let list = |world: &World| match world.gateway.snapshot(Question::default()).listing {
         Some(Listing::Whole { mut engines, revision }) => {
             engines.sort_by_key(|it| it.key);
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -109,7 +109,7 @@
     let mut world = world();
     let (_, generating) = world.streaming(request("warm-stream"));
     assert!(generating.engine.data_centre.starts_with("south"));
-    let effects = world.call(generating.call, CallEvent::Passed(Some(3)));
+    let effects = world.call(generating.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty());
     let effects = world.call(generating.call, CallEvent::Broken);
     assert!(goes_to(&effects).starts_with("south"), "{effects:?}");
@@ -130,7 +130,7 @@
     for request in [of_customer("warm"), of_customer("warm-stream"), request("nowhere")] {
         let (_, effects) = world.arrive(request);
         let refusal = only_refusal(&effects);
-        let is_told = matches!(refusal, Refusal::NotRun(_, NotRunReason::NoHome, _));
+        let is_told = matches!(refusal, Refusal::NotRun(_, NotRunReason::NoEngineInRegion, _));
         assert!(is_told, "{refusal:?}");
     }
 }
@@ -169,7 +169,7 @@
 fn clients_are_told_of_boxes_in_their_region() {
     let mut world = world();
     for (number, data_centre) in [(2, "north"), (3, "south"), (4, "south-2")] {
-        world.event(Event::Heard(heartbeat_in(number, data_centre)));
+        world.event(Event::Received(heartbeat_in(number, data_centre)));
     }
     assert_eq!(told(&world, Some("cold")), [1, 2]);
     assert_eq!(told(&world, Some("warm")), [3, 4]);
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -11,9 +11,9 @@
 use hollyspoke_gateway::effect::{Effect, NotRunReason, Prompt, Refusal, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
-use hollyspoke_gateway::intake;
 use hollyspoke_gateway::message::{Extension, Format, Knowledge, Message};
 use hollyspoke_gateway::prompt::PromptKey;
+use hollyspoke_gateway::rate_limit;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::snapshot::Question;
 use hollyspoke_gateway::statement::Statement;
@@ -131,7 +131,7 @@
 
 /// Gives an answer whose engine leaves.
 fn ran_leaving(status: u16) -> Answer {
-    Answer { says: leaving(), ..ran(status) }
+    Answer { statement: leaving(), ..ran(status) }
 }
 
 /// Has plain requests arrive, each answered at once; gives the engines that they were sent to.
@@ -157,7 +157,7 @@
 fn one_leaves() -> World {
     let mut world = World::new();
     world.event(Event::Listed(vec![first(Some(100)), engine(2, PLAIN, None)], 20.into()));
-    world.event(Event::Stated(first(None).key, leaving()));
+    world.event(Event::Statement(first(None).key, leaving()));
     assert!(!plain_go_to(&mut world).contains(&first(None).key));
     world
 }
@@ -180,8 +180,8 @@
         Event::Listed(vec![ready(), engine(2, PLAIN, None)], 25.into()),
         Event::Changed(vec![EngineChange::Left(ready().id, 26.into())]),
         put(ready(), 27),
-        Event::Stated(key, Statement { born: Some(100), ..Statement::default() }),
-        Event::Stated(key, Statement { born: Some(50), ..leaving() }),
+        Event::Statement(key, Statement { born: Some(100), ..Statement::default() }),
+        Event::Statement(key, Statement { born: Some(50), ..leaving() }),
     ];
     for event in events {
         world.event(event.clone());
@@ -212,7 +212,7 @@
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(200)), 21.into())]));
     world.call(early.call, CallEvent::Answered(ran_leaving(200)));
     let (_, moved) = world.sent(request("safe"));
-    let answer = Answer { execution: Execution::Moved, ..ran_leaving(421) };
+    let answer = Answer { execution: Execution::Replaced, ..ran_leaving(421) };
     world.call(moved.call, CallEvent::Answered(answer));
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(300)), 22.into())]));
     world.sent(request("safe"));
@@ -224,10 +224,10 @@
     let kinds: [(&str, CallEvent); 6] = [
         ("safe", CallEvent::Answered(ran_leaving(200))),
         ("safe", CallEvent::Answered(ran_leaving(500))),
-        ("safe", CallEvent::Answered(Answer { says: leaving(), ..turned_away() })),
+        ("safe", CallEvent::Answered(Answer { statement: leaving(), ..turned_away() })),
         ("safe", CallEvent::Answered(ran_leaving(503))),
-        ("resumed", CallEvent::Answered(Answer { says: leaving(), ..read("h") })),
-        ("resumed", CallEvent::Answered(Answer { says: leaving(), ..turned_away() })),
+        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..read("h") })),
+        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..turned_away() })),
     ];
     for (route, event) in kinds {
         let mut world = World::new();
@@ -271,11 +271,11 @@
     let mut world = World::new();
     let (flight, running) = world.streaming(request("resumed"));
     let (_, reading) = world.sent(Request { id: "second".into(), ..request("resumed") });
-    world.event(Event::Stated(running.engine.key, leaving()));
+    world.event(Event::Statement(running.engine.key, leaving()));
     let effects = world.call(reading.call, CallEvent::Answered(read("h")));
     let generating = only_send(&effects);
     assert_ne!(generating.engine.key, running.engine.key);
-    assert!(matches!(generating.task, Task::Generate(Prompt::Read(_))));
+    assert!(matches!(generating.task, Task::Decode(Prompt::Prefilled(_))));
     let effects = world.call(running.call, CallEvent::Answered(ran(200)));
     assert!(effects.contains(&Effect::Finish(flight)), "{effects:?}");
 }
@@ -285,7 +285,7 @@
 fn repeats_and_resumed_streams_go_elsewhere() {
     let mut world = World::new();
     let (_, running) = world.streaming(request("resumed"));
-    world.event(Event::Stated(running.engine.key, leaving()));
+    world.event(Event::Statement(running.engine.key, leaving()));
     let effects = world.call(running.call, CallEvent::Broken);
     assert!(!reached(&effects).contains(&running.engine.key), "{effects:?}");
     let (_, send) = world.sent(request("safe"));
@@ -299,13 +299,13 @@
     let mut world = World::new();
     let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
     let (_, generating) = world.streaming(asked());
-    world.call(generating.call, CallEvent::Passed(Some(1)));
+    world.call(generating.call, CallEvent::Forwarded(Some(1)));
     world.call(generating.call, CallEvent::Answered(ran_leaving(200)));
-    world.event(Event::Stated(generating.engine.key, leaving()));
+    world.event(Event::Statement(generating.engine.key, leaving()));
     let (_, effects) = world.arrive(asked());
     let again = only_send(&effects);
     assert_ne!(again.engine.key, generating.engine.key);
-    assert_eq!(again.task, Task::Generate(Prompt::KeptAt(generating.engine.address)));
+    assert_eq!(again.task, Task::Decode(Prompt::CachedAt(generating.engine.address)));
 }
 
 /// An engine that leaves is not asked what it keeps or whether it lives, and no prompt is freed there.
@@ -313,11 +313,11 @@
 fn nothing_aside() {
     let mut world = World::new();
     for engine in engines() {
-        world.event(Event::Stated(engine.key, leaving()));
+        world.event(Event::Statement(engine.key, leaving()));
     }
     let (flight, reading) = world.sent(request("once"));
     let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
-    effects.extend(world.event(Event::ClientLeft(flight)));
+    effects.extend(world.event(Event::ClientDisconnected(flight)));
     let (_, send) = world.sent(request("unsafe"));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
@@ -325,7 +325,13 @@
         effects.extend(world.gateway.step(world.now, Event::Tick));
     }
     let is_aside = |it: &&Effect| {
-        matches!(it, Effect::Free(_) | Effect::Probe(_) | Effect::Survey(_) | Effect::Inspect(_))
+        matches!(
+            it,
+            Effect::Free(_)
+                | Effect::Probe(_)
+                | Effect::QueryCachedPrompts(_)
+                | Effect::QueryOrderCount(_)
+        )
     };
     assert!(!effects.iter().any(|it| is_aside(&it)), "{effects:?}");
 }
@@ -336,7 +342,7 @@
     for route in ["safe", "unsafe", "once", "resumed"] {
         let mut world = World::new();
         engines().iter().for_each(|it| {
-            world.event(Event::Stated(it.key, leaving()));
+            world.event(Event::Statement(it.key, leaving()));
         });
         world.pass(DRAIN / 2 - Duration::from_millis(1));
         let (_, effects) = world.arrive(request(route));
@@ -344,7 +350,7 @@
         world.pass(Duration::from_millis(2));
         let (_, effects) = world.arrive(Request { id: "late".into(), ..request(route) });
         let refusal = only_refusal(&effects);
-        let is_leaving = matches!(refusal, Refusal::NotRun(_, NotRunReason::Leaving, _));
+        let is_leaving = matches!(refusal, Refusal::NotRun(_, NotRunReason::ShuttingDown, _));
         assert!(is_leaving, "{route}: {refusal:?}");
     }
 }
@@ -353,8 +359,8 @@
 #[test]
 fn leaving_and_limited() {
     let mut world = one_leaves();
-    let limit = intake::Told::Rate(1.0);
-    world.event(Event::Stated(first(None).key, Statement { limit, ..Statement::default() }));
+    let limit = rate_limit::Reported::Rate(1.0);
+    world.event(Event::Statement(first(None).key, Statement { limit, ..Statement::default() }));
     world.pass(Duration::from_secs(3));
     assert!(!plain_go_to(&mut world).contains(&first(None).key));
 }
@@ -362,7 +368,7 @@
 /// Gives the datagrams that tell of an engine that leaves, and to how many boxes.
 fn told(effects: &[Effect], engine: EngineKey) -> usize {
     let tells = effects.iter().map(|it| match it {
-        Effect::Tell(audience, message) => {
+        Effect::Announce(audience, message) => {
             let words = message.extension.iter().flat_map(|it| &it.departures);
             words.filter(|it| it.engine == engine).count() * audience.len()
         }
@@ -382,16 +388,16 @@
 #[test]
 fn told_to_the_others() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     let key = first(None).key;
-    let effects = world.gateway.step(world.now, Event::Stated(key, leaving()));
+    let effects = world.gateway.step(world.now, Event::Statement(key, leaving()));
     assert_eq!(told(&effects, key), 1);
     world.now = world.now + Duration::from_secs(1);
     let effects = world.gateway.step(world.now, Event::Tick);
     assert_eq!(told(&effects, key), 1);
     let greeting =
         Message { format: Some(Format::Permits), ..heartbeat(3, 1, Knowledge::default()) };
-    let effects = world.gateway.step(world.now, Event::Heard(greeting));
+    let effects = world.gateway.step(world.now, Event::Received(greeting));
     assert!(told(&effects, key) >= 1, "{effects:?}");
 }
 
@@ -405,16 +411,16 @@
         world
     };
     let mut world = only(100);
-    world.event(Event::Heard(word(100, 500)));
+    world.event(Event::Received(word(100, 500)));
     world.sent(request("safe"));
     let mut world = only(100);
-    world.event(Event::Heard(word(100, 1500)));
+    world.event(Event::Received(word(100, 1500)));
     only_refusal(&world.arrive(request("safe")).1);
     let mut world = only(200);
-    world.event(Event::Heard(word(100, 1500)));
+    world.event(Event::Received(word(100, 1500)));
     world.sent(request("safe"));
     let mut known = World::new();
-    known.event(Event::Heard(word(100, 5)));
+    known.event(Event::Received(word(100, 5)));
     known.event(Event::Listed(vec![first(Some(100)), engine(2, PLAIN, None)], 20.into()));
     assert!(!plain_go_to(&mut known).contains(&first(None).key));
 }
@@ -427,7 +433,7 @@
     provider.pass(Duration::from_secs(3));
     let mut world = World::numbered(2);
     let snapshot = provider.gateway.snapshot(Question::default());
-    world.event(Event::Fetched(settings(1).peer, Box::new(snapshot)));
+    world.event(Event::SnapshotReceived(settings(1).peer, Box::new(snapshot)));
     let served = plain_go_to(&mut world);
     assert!(!served.is_empty() && !served.contains(&first(None).key), "{served:?}");
 }
@@ -439,8 +445,8 @@
     let readers: Vec<_> =
         engines().into_iter().filter(|it| it.stage == Some(Stage::Prefill)).collect();
     readers.iter().for_each(|it| {
-        world.event(Event::Stated(it.key, leaving()));
+        world.event(Event::Statement(it.key, leaving()));
     });
     let (_, send) = world.sent(request("resumed"));
-    assert_eq!(send.task, Task::Generate(Prompt::Unread));
+    assert_eq!(send.task, Task::Decode(Prompt::NotPrefilled));
 }
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -13,9 +13,9 @@
 use hollyspoke_gateway::effect::{Effect, NotRunReason, Refusal, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event};
-use hollyspoke_gateway::intake::Told;
 use hollyspoke_gateway::message::{Knowledge, Load, Message};
 use hollyspoke_gateway::prompt::PromptKey;
+use hollyspoke_gateway::rate_limit::Reported;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind, Service};
 use hollyspoke_gateway::statement::Statement;
@@ -137,12 +137,12 @@
 
 /// Gives an answer of an engine that takes so many requests a second.
 fn limited(rate: f64) -> Answer {
-    Answer { says: takes(rate), ..ran(200) }
+    Answer { statement: takes(rate), ..ran(200) }
 }
 
 /// Says that an engine takes so many requests a second.
 fn takes(rate: f64) -> Statement {
-    Statement { limit: Told::Rate(rate), ..Statement::default() }
+    Statement { limit: Reported::Rate(rate), ..Statement::default() }
 }
 
 /// Has a plain engine of a box name a limit, by the answer to a request.
@@ -190,7 +190,7 @@
     let mut world = one_engine(0.5);
     let (_, effects) = world.arrive(request("safe"));
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
-    assert_eq!(reason, NotRunReason::Limited);
+    assert_eq!(reason, NotRunReason::RateLimited);
     assert!(retry >= Duration::from_millis(1500), "{retry:?}");
     world.pass(retry);
     assert!(served(&mut world, &limited(0.5)).is_some());
@@ -255,11 +255,11 @@
 /// Has the reader and the generator of a stream name limits; gives the generator.
 fn name_generator(world: &mut World, asked: Request, rate: f64) -> Send {
     let (_, reading) = world.sent(asked);
-    assert_eq!(reading.task, Task::Read);
+    assert_eq!(reading.task, Task::Prefill);
     let effects = world.call(reading.call, CallEvent::Answered(read("h")));
     let generating = only_send(&effects);
     world.call(generating.call, CallEvent::Began(limited(rate)));
-    world.call(generating.call, CallEvent::Passed(Some(1)));
+    world.call(generating.call, CallEvent::Forwarded(Some(1)));
     world.call(generating.call, CallEvent::Answered(limited(rate)));
     generating
 }
@@ -268,9 +268,9 @@
 fn beside_another(engines: Vec<Engine>) -> World {
     let mut world = World::new();
     world.event(Event::Listed(engines.clone(), 20.into()));
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     for engine in engines {
-        world.event(Event::Stated(engine.key, takes(3.0)));
+        world.event(Event::Statement(engine.key, takes(3.0)));
     }
     world
 }
@@ -283,13 +283,13 @@
         let (flight, mut effects) = world.arrive(Request { id: id.into(), ..request(route) });
         effects.extend(world.pass(span));
         let is_done = effects.iter().any(|it| match it {
-            Effect::Send(send) => send.flight == flight,
+            Effect::Send(send) => send.request == flight,
             Effect::Refuse(refused, _) => *refused == flight,
             _ => false,
         });
         assert!(is_done, "request {number} of {route}: {effects:?}");
-        world.event(Event::ClientLeft(flight));
-        world.event(Event::Heard(heartbeat(2, number + 2, Knowledge::default())));
+        world.event(Event::ClientDisconnected(flight));
+        world.event(Event::Received(heartbeat(2, number + 2, Knowledge::default())));
     }
 }
 
@@ -310,10 +310,10 @@
     let mut asked = 0;
     for other in 2..60 {
         let mut world = World::new();
-        world.event(Event::Heard(heartbeat(other, 1, Knowledge::default())));
+        world.event(Event::Received(heartbeat(other, 1, Knowledge::default())));
         for number in [11, 12] {
             let reader = engine(number, MODEL, None).key;
-            world.event(Event::Stated(reader, takes(3.0)));
+            world.event(Event::Statement(reader, takes(3.0)));
         }
         let (_, effects) = world.arrive(request("resumed"));
         if !effects.is_empty() {
@@ -322,7 +322,7 @@
         asked += 1;
         let loads = taken.to_vec();
         let beat = Message { loads, ..heartbeat(other, 2, Knowledge::default()) };
-        world.event(Event::Heard(beat));
+        world.event(Event::Received(beat));
         let effects = world.pass(Duration::from_millis(400));
         only_refusal(&effects);
     }
@@ -347,7 +347,7 @@
     let (_, generating) = world.streaming(request("resumed"));
     let second = Request { id: "second".into(), ..request("resumed") };
     name_generator(&mut world, second, 0.1);
-    let effects = world.call(generating.call, CallEvent::Passed(Some(1)));
+    let effects = world.call(generating.call, CallEvent::Forwarded(Some(1)));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.call(generating.call, CallEvent::Answered(ran(200)));
     assert!(effects.iter().any(|it| matches!(it, Effect::Finish(_))), "{effects:?}");
@@ -415,5 +415,5 @@
     asked.path = "/urgent/x".to_owned();
     let (flight, mut effects) = world.arrive(asked);
     effects.extend(world.pass(Duration::from_millis(190)));
-    assert_eq!(only_send(&effects).flight, flight);
+    assert_eq!(only_send(&effects).request, flight);
 }
--- a/tests/tests/gateway_lives.rs
+++ b/tests/tests/gateway_lives.rs
@@ -38,7 +38,7 @@
 fn new_life_is_not_avoided() {
     let mut world = world();
     let (_, first) = world.sent(request("safe"));
-    let effects = world.call(first.call, CallEvent::Unsent);
+    let effects = world.call(first.call, CallEvent::NotConnected);
     let other = only_send(&effects);
     world.call(other.call, CallEvent::Answered(ran(200)));
     let avoided = first.engine.clone();
@@ -63,7 +63,7 @@
     let (_, first) = world.sent(request("safe"));
     let reborn = Engine { born: Some(200), ..(*first.engine).clone() };
     put(&mut world, reborn.clone(), 21);
-    let effects = world.call(first.call, CallEvent::Unsent);
+    let effects = world.call(first.call, CallEvent::NotConnected);
     let other = only_send(&effects);
     world.call(other.call, CallEvent::Answered(ran(200)));
     let used = (0..10).any(|_| {
@@ -103,12 +103,12 @@
 fn handle_of_an_earlier_life() {
     let mut world = world();
     let (_, reading) = world.sent(request("once"));
-    assert_eq!(reading.task, Task::Read);
+    assert_eq!(reading.task, Task::Prefill);
     let effects = world.call(reading.call, CallEvent::Answered(read("h")));
     let first = only_send(&effects);
     let effects = world.call(first.call, CallEvent::Answered(turned_away()));
     let second = only_send(&effects);
-    assert!(matches!(second.task, Task::Generate(Prompt::Read(_))), "{second:?}");
+    assert!(matches!(second.task, Task::Decode(Prompt::Prefilled(_))), "{second:?}");
     let reader = Engine { born: Some(200), ..(*reading.engine).clone() };
     put(&mut world, reader, 21);
     let effects = world.call(second.call, CallEvent::Answered(turned_away()));
@@ -122,7 +122,7 @@
     let mut world = world();
     let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
     let (_, generating) = world.streaming(asked());
-    world.call(generating.call, CallEvent::Passed(Some(1)));
+    world.call(generating.call, CallEvent::Forwarded(Some(1)));
     world.call(generating.call, CallEvent::Answered(ran(200)));
     for (number, stage) in
         [(11, Stage::Prefill), (12, Stage::Prefill), (21, Stage::Decode), (22, Stage::Decode)]
@@ -131,7 +131,7 @@
         put(&mut world, reborn, 20 + u64::from(number));
     }
     let (_, call) = world.sent(asked());
-    assert!(!matches!(call.task, Task::Generate(Prompt::Kept | Prompt::KeptAt(_))), "{call:?}");
+    assert!(!matches!(call.task, Task::Decode(Prompt::Cached | Prompt::CachedAt(_))), "{call:?}");
 }
 
 /// An engine that turned a request away as full is not full any more when it has started again.
@@ -154,9 +154,9 @@
     let mut flights = Vec::new();
     for at in [200, 300, 400] {
         let (_, call) = world.sent(request("unsafe"));
-        flights.push(call.flight);
+        flights.push(call.request);
         world.call(call.call, CallEvent::Broken);
-        world.event(Event::Probed(call.engine.key, Probe::Lives(Some(at))));
+        world.event(Event::Probed(call.engine.key, Probe::Alive(Some(at))));
         put(&mut world, Engine { born: Some(at), ..(*call.engine).clone() }, at);
     }
     let (_, effects) = world.arrive(request("unsafe"));
--- a/tests/tests/gateway_peers.rs
+++ b/tests/tests/gateway_peers.rs
@@ -30,10 +30,10 @@
     let effects = first.step(now, Event::Seeds(seeds));
     let told = told(&effects);
     assert_eq!(told.0, [settings(2).peer]);
-    let effects = second.step(now, Event::Heard(told.1));
+    let effects = second.step(now, Event::Received(told.1));
     let (to, answer) = self::told(&effects);
     assert!(to.contains(&settings(1).peer));
-    first.step(now, Event::Heard(answer));
+    first.step(now, Event::Received(answer));
     assert!(first.fronts(None).is_empty(), "neither knows a configuration");
 }
 
@@ -46,10 +46,10 @@
     let mut greetings = 0;
     for step in 1..=40 {
         let effects = node.step(Time::from_millis(1000 + step * 10), Event::Tick);
-        greetings += effects.iter().filter(|it| matches!(it, Effect::Tell(..))).count();
+        greetings += effects.iter().filter(|it| matches!(it, Effect::Announce(..))).count();
     }
     assert!((3..=5).contains(&greetings), "{greetings} within 0.4 s");
-    node.step(Time::from_millis(1410), Event::Heard(heartbeat(2, 1)));
+    node.step(Time::from_millis(1410), Event::Received(heartbeat(2, 1)));
     let due = node.next_due();
     assert!(due > Time::from_millis(1510), "it waits for its own heartbeat: {due:?}");
 }
@@ -61,8 +61,8 @@
     let answers = |pause: u64| {
         let mut node = Gateway::new(settings(1));
         node.step(Time::from_millis(1000), Event::Seeds(vec![other]));
-        let effects = node.step(Time::from_millis(1001 + pause), Event::Heard(heartbeat(2, 1)));
-        effects.iter().any(|it| matches!(it, Effect::Tell(to, _) if *to == [other]))
+        let effects = node.step(Time::from_millis(1001 + pause), Event::Received(heartbeat(2, 1)));
+        effects.iter().any(|it| matches!(it, Effect::Announce(to, _) if *to == [other]))
     };
     assert!(!answers(20));
     assert!(answers(200));
@@ -73,9 +73,9 @@
 fn new_node_is_told_of_many() {
     let mut world = World::new();
     for number in 2..=80 {
-        world.event(Event::Heard(heartbeat(number, 1)));
+        world.event(Event::Received(heartbeat(number, 1)));
     }
-    let effects = world.gateway.step(world.now, Event::Heard(heartbeat(99, 1)));
+    let effects = world.gateway.step(world.now, Event::Received(heartbeat(99, 1)));
     let (to, answer) = told(&effects);
     assert_eq!(to, [settings(99).peer]);
     assert!(answer.peers.len() >= 60, "{} named", answer.peers.len());
@@ -85,12 +85,12 @@
 fn fronts_follow_heartbeats() {
     let mut world = World::new();
     for number in [2, 3, 4] {
-        world.event(Event::Heard(heartbeat(number, 1)));
+        world.event(Event::Received(heartbeat(number, 1)));
     }
     assert_eq!(world.gateway.fronts(None).len(), 4);
     world.pass(Duration::from_millis(700));
     for number in [3, 4] {
-        world.event(Event::Heard(heartbeat(number, 2)));
+        world.event(Event::Received(heartbeat(number, 2)));
     }
     world.pass(Duration::from_millis(1000));
     assert_eq!(world.gateway.fronts(None), [front(1), front(3), front(4)]);
@@ -99,9 +99,9 @@
 #[test]
 fn stopping_peer_leaves_the_answer() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1)));
+    world.event(Event::Received(heartbeat(2, 1)));
     let stopping = Message { standing: Standing::Stopping, ..heartbeat(2, 2) };
-    world.event(Event::Heard(stopping));
+    world.event(Event::Received(stopping));
     assert_eq!(world.gateway.fronts(None), [front(1)]);
 }
 
@@ -110,7 +110,7 @@
 fn silence_of_most() {
     let mut world = World::new();
     for number in [2, 3, 4, 5] {
-        world.event(Event::Heard(heartbeat(number, 1)));
+        world.event(Event::Received(heartbeat(number, 1)));
     }
     world.pass(Duration::from_secs(3));
     assert_eq!(world.gateway.fronts(None).len(), 5);
@@ -119,9 +119,9 @@
 #[test]
 fn late_datagram_is_ignored() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 5)));
+    world.event(Event::Received(heartbeat(2, 5)));
     let stale = Message { standing: Standing::Stopping, ..heartbeat(2, 4) };
-    world.event(Event::Heard(stale));
+    world.event(Event::Received(stale));
     assert_eq!(world.gateway.fronts(None).len(), 2);
 }
 
@@ -131,11 +131,11 @@
     let full = Load { reading: 0, calls: 9, held: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
     let message = Message { loads: loads.to_vec(), ..heartbeat(2, 1) };
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     let (_, effects) = world.arrive(request("once"));
     assert_eq!(effects, [], "it waits");
-    let effects = world.event(Event::Heard(heartbeat(2, 2)));
-    let sent = effects.iter().any(|it| matches!(it, Effect::Send(it) if it.task == Task::Read));
+    let effects = world.event(Event::Received(heartbeat(2, 2)));
+    let sent = effects.iter().any(|it| matches!(it, Effect::Send(it) if it.task == Task::Prefill));
     assert!(sent, "the room is free: {effects:?}");
 }
 
@@ -145,18 +145,18 @@
     let full = Load { reading: 0, calls: 9, held: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
     let message = Message { loads: loads.to_vec(), ..heartbeat(2, 1) };
-    world.event(Event::Heard(message));
+    world.event(Event::Received(message));
     world.pass(Duration::from_secs(2));
     let (_, send) = world.sent(request("once"));
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
 }
 
 #[test]
 fn stream_is_told_at_once() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1)));
+    world.event(Event::Received(heartbeat(2, 1)));
     let now = world.now;
-    let arrived = Event::Arrived(hollyspoke_gateway::request::FlightKey(900), request("once"));
+    let arrived = Event::Arrived(hollyspoke_gateway::request::RequestKey(900), request("once"));
     let effects = world.gateway.step(now, arrived);
     let (to, message) = told(&effects);
     assert_eq!(to, [SocketAddr::from(([10, 0, 0, 2], 7000))]);
@@ -166,7 +166,7 @@
 /// Gives the last datagram among effects and whom it goes to.
 fn told(effects: &[Effect]) -> (Vec<SocketAddr>, Message) {
     let mut found = effects.iter().filter_map(|it| match it {
-        Effect::Tell(to, message) => Some((to.clone(), (**message).clone())),
+        Effect::Announce(to, message) => Some((to.clone(), (**message).clone())),
         _ => None,
     });
     found.next_back().expect("a datagram")
@@ -182,7 +182,7 @@
             front: SocketAddr::from(([10, 9, 0, number], 8000)),
             ..heartbeat(2, 1)
         };
-        world.event(Event::Heard(message));
+        world.event(Event::Received(message));
     }
     assert_eq!(world.gateway.fronts(None).len(), 257);
     let beats = |world: &mut World, span: u64| {
@@ -191,20 +191,20 @@
         while world.now < end {
             world.now = world.now + Duration::from_millis(10);
             let effects = world.gateway.step(world.now, Event::Tick);
-            beats += effects.iter().filter(|it| matches!(it, Effect::Tell(..))).count();
+            beats += effects.iter().filter(|it| matches!(it, Effect::Announce(..))).count();
         }
         beats
     };
     assert!(beats(&mut world, 2700) <= 4, "900 ms each");
     let mut live = heartbeat(3, 2);
     live.front = front(3);
-    world.event(Event::Heard(live));
+    world.event(Event::Received(live));
     assert!(world.gateway.fronts(None).contains(&front(3)));
 }
 
 /// Gives the number of datagrams among effects that tell of changed work.
 fn change_count(effects: &[Effect]) -> usize {
-    let is_change = |it: &&Effect| matches!(it, Effect::Tell(_, it) if !it.is_whole);
+    let is_change = |it: &&Effect| matches!(it, Effect::Announce(_, it) if !it.is_whole);
     effects.iter().filter(is_change).count()
 }
 
@@ -223,11 +223,11 @@
 #[test]
 fn plain_calls_gather() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1)));
+    world.event(Event::Received(heartbeat(2, 1)));
     world.pass(Duration::from_millis(360));
     for number in 1..=5 {
         let request = hollyspoke_tests::gateway::request("safe");
-        let key = hollyspoke_gateway::request::FlightKey(100 + number);
+        let key = hollyspoke_gateway::request::RequestKey(100 + number);
         let effects = world.gateway.step(world.now, Event::Arrived(key, request));
         assert_eq!(change_count(&effects), 0);
     }
--- a/tests/tests/gateway_plain.rs
+++ b/tests/tests/gateway_plain.rs
@@ -24,7 +24,7 @@
     let mut world = World::new();
     let (_, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Broken);
-    assert_eq!(only_refusal(&effects), Refusal::Broken);
+    assert_eq!(only_refusal(&effects), Refusal::Failed);
 }
 
 #[test]
@@ -40,14 +40,14 @@
     let mut world = World::new();
     let (_, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Answered(ran(503)));
-    assert_eq!(only_refusal(&effects), Refusal::Broken);
+    assert_eq!(only_refusal(&effects), Refusal::Failed);
 }
 
 #[test]
 fn not_reached_goes_elsewhere() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
-    let effects = world.call(first.call, CallEvent::Unsent);
+    let effects = world.call(first.call, CallEvent::NotConnected);
     let second = only_send(&effects);
     assert_ne!(first.engine.id, second.engine.id);
 }
@@ -57,8 +57,8 @@
 fn unreachable_gets_nothing() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
-    let second = only_send(&world.call(first.call, CallEvent::Unsent));
-    let effects = world.call(second.call, CallEvent::Unsent);
+    let second = only_send(&world.call(first.call, CallEvent::NotConnected));
+    let effects = world.call(second.call, CallEvent::NotConnected);
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::NoEngine);
     assert!(retry > Duration::ZERO);
@@ -80,7 +80,7 @@
 fn moved_engine_is_not_asked_again() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
-    let moved = Answer { execution: Execution::Moved, ..ran(421) };
+    let moved = Answer { execution: Execution::Replaced, ..ran(421) };
     let second = only_send(&world.call(first.call, CallEvent::Answered(moved)));
     assert_ne!(first.engine.id, second.engine.id);
     for _ in 0..8 {
@@ -121,7 +121,7 @@
         assert_eq!(effects, [], "{name}");
         let effects = world.pass(Duration::from_millis(200));
         assert!(effects.contains(&Effect::Cancel(send.call)));
-        assert_eq!(only_refusal(&effects), Refusal::Late);
+        assert_eq!(only_refusal(&effects), Refusal::TimedOut);
     }
 }
 
@@ -133,16 +133,16 @@
     let (_, send) = world.sent(request);
     assert_eq!(send.deadline, Duration::from_millis(700));
     let effects = world.pass(Duration::from_millis(701));
-    assert_eq!(only_refusal(&effects), Refusal::Late);
+    assert_eq!(only_refusal(&effects), Refusal::TimedOut);
 }
 
 #[test]
 fn client_left() {
     let mut world = World::new();
     let (flight, send) = world.sent(request("safe"));
-    let effects = world.event(Event::ClientLeft(flight));
+    let effects = world.event(Event::ClientDisconnected(flight));
     assert_eq!(effects, [Effect::Cancel(send.call)]);
-    assert_eq!(world.gateway.flight_count(), 0);
+    assert_eq!(world.gateway.in_flight_count(), 0);
     assert_eq!(world.call(send.call, CallEvent::Answered(ran(200))), []);
 }
 
--- a/tests/tests/gateway_promises.rs
+++ b/tests/tests/gateway_promises.rs
@@ -7,7 +7,7 @@
 
 use hollyspoke_gateway::effect::{Effect, Refusal, Send, Task};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
-use hollyspoke_gateway::request::{CallKey, FlightKey};
+use hollyspoke_gateway::request::{CallKey, RequestKey};
 use hollyspoke_tests::gateway::{World, ran, read, request, turned_away};
 use proptest::prelude::*;
 
@@ -62,7 +62,7 @@
     /// The calls under way, in the order in which they were sent, and the events passed.
     calls: Vec<(Send, u64)>,
     /// The requests.
-    seen: HashMap<FlightKey, Seen>,
+    seen: HashMap<RequestKey, Seen>,
 }
 
 /// Draws a step.
@@ -100,9 +100,9 @@
                 self.call(index, fate);
             }
             Step::Leave(index) if !self.calls.is_empty() => {
-                let flight = self.calls[index.index(self.calls.len())].0.flight;
+                let flight = self.calls[index.index(self.calls.len())].0.request;
                 self.seen.get_mut(&flight).expect("it arrived").is_left = true;
-                let effects = self.world.event(Event::ClientLeft(flight));
+                let effects = self.world.event(Event::ClientDisconnected(flight));
                 self.watch(effects);
             }
             Step::Call(..) | Step::Leave(_) => {}
@@ -116,31 +116,31 @@
     /// Has something happen to a call.
     fn call(&mut self, index: usize, fate: Fate) {
         let (send, passed) = self.calls[index].clone();
-        let moved = Answer { execution: Execution::Moved, ..ran(421) };
+        let moved = Answer { execution: Execution::Replaced, ..ran(421) };
         let event = match (fate, passed, &send.task) {
-            (Fate::Unsent, 0, _) => CallEvent::Unsent,
+            (Fate::Unsent, 0, _) => CallEvent::NotConnected,
             (Fate::TurnedAway, 0, _) => CallEvent::Answered(turned_away()),
             (Fate::Moved, 0, _) => CallEvent::Answered(moved),
-            (Fate::Good, _, Task::Read) => CallEvent::Answered(read("h")),
+            (Fate::Good, _, Task::Prefill) => CallEvent::Answered(read("h")),
             (Fate::Failed, 0, _) => CallEvent::Answered(ran(500)),
-            (Fate::Good, 0, Task::Generate(_)) => CallEvent::Began(ran(200)),
-            (Fate::Good, 1..=2, Task::Generate(_)) => CallEvent::Passed(Some(passed)),
+            (Fate::Good, 0, Task::Decode(_)) => CallEvent::Began(ran(200)),
+            (Fate::Good, 1..=2, Task::Decode(_)) => CallEvent::Forwarded(Some(passed)),
             (Fate::Good, _, _) => CallEvent::Answered(ran(200)),
             (_, _, _) => CallEvent::Broken,
         };
         let is_first = passed == 0;
         let may_have_run = !matches!(
             &event,
-            CallEvent::Unsent
+            CallEvent::NotConnected
                 | CallEvent::Answered(Answer {
-                    execution: Execution::Refused | Execution::Moved,
+                    execution: Execution::Refused | Execution::Replaced,
                     ..
                 })
         );
-        if is_first && may_have_run && send.task != Task::Read {
-            self.seen.get_mut(&send.flight).expect("it arrived").runs += 1;
+        if is_first && may_have_run && send.task != Task::Prefill {
+            self.seen.get_mut(&send.request).expect("it arrived").runs += 1;
         }
-        let goes_on = matches!(event, CallEvent::Began(_) | CallEvent::Passed(_));
+        let goes_on = matches!(event, CallEvent::Began(_) | CallEvent::Forwarded(_));
         if goes_on {
             self.calls[index].1 += 1;
         } else {
@@ -169,12 +169,12 @@
                         let is_under_way = self
                             .calls
                             .iter()
-                            .any(|it| it.0.flight == flight && it.0.task != Task::Read);
+                            .any(|it| it.0.request == flight && it.0.task != Task::Prefill);
                         assert!(!is_under_way, "it may run yet: {seen:?}");
                     }
                     self.ended(flight);
                 }
-                Effect::Break(flight) | Effect::Finish(flight) => self.ended(flight),
+                Effect::Abort(flight) | Effect::Finish(flight) => self.ended(flight),
                 _ => {}
             }
         }
@@ -182,11 +182,11 @@
 
     /// Takes note of a call that was sent.
     fn sent(&mut self, send: Send) {
-        let seen = &self.seen[&send.flight];
-        if send.task != Task::Read && matches!(seen.route, "unsafe" | "once") {
+        let seen = &self.seen[&send.request];
+        if send.task != Task::Prefill && matches!(seen.route, "unsafe" | "once") {
             assert_eq!(seen.runs, 0, "it runs again: {seen:?}");
         }
-        let is_doubled = self.calls.iter().any(|it| it.0.flight == send.flight);
+        let is_doubled = self.calls.iter().any(|it| it.0.request == send.request);
         assert!(!is_doubled, "two calls at once: {send:?}");
         self.calls.push((send, 0));
     }
@@ -195,13 +195,13 @@
     fn cancelled(&mut self, call: CallKey) {
         let Some(index) = self.calls.iter().position(|it| it.0.call == call) else { return };
         let (send, passed) = self.calls.remove(index);
-        if passed == 0 && send.task != Task::Read {
-            self.seen.get_mut(&send.flight).expect("it arrived").runs += 1;
+        if passed == 0 && send.task != Task::Prefill {
+            self.seen.get_mut(&send.request).expect("it arrived").runs += 1;
         }
     }
 
     /// Takes note of a final answer.
-    fn ended(&mut self, flight: FlightKey) {
+    fn ended(&mut self, flight: RequestKey) {
         let seen = self.seen.get_mut(&flight).expect("it arrived");
         seen.ends += 1;
         assert_eq!(seen.ends, 1, "it ends again: {seen:?}");
@@ -226,7 +226,7 @@
         for seen in watch.seen.values() {
             prop_assert!(seen.ends == 1 || seen.is_left, "it never ended: {seen:?}");
         }
-        prop_assert_eq!(watch.world.gateway.flight_count(), 0);
+        prop_assert_eq!(watch.world.gateway.in_flight_count(), 0);
         prop_assert!(watch.calls.is_empty());
         prop_assert!(watch.world.gateway.own_work().is_empty());
     }
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -7,7 +7,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Knowledge, Message};
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
-use hollyspoke_gateway::request::{FlightKey, Request};
+use hollyspoke_gateway::request::{Request, RequestKey};
 use hollyspoke_tests::gateway::{
     MEMORY, World, engines, heartbeat, only_send, ran, read, request, turned_away,
 };
@@ -25,7 +25,7 @@
 /// Gives the word of another box that an engine keeps the prompt.
 fn told(sequence: u64, engine: EngineKey) -> Event {
     let kept = vec![Kept { prompt: PromptKey(7), engine }];
-    Event::Heard(Message { kept, ..heartbeat(2, sequence, Knowledge::default()) })
+    Event::Received(Message { kept, ..heartbeat(2, sequence, Knowledge::default()) })
 }
 
 /// Has a stream begin whose client then leaves; gives its engines, the reading one first.
@@ -33,7 +33,7 @@
     let (flight, reading) = world.sent(named("resumed"));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     world.call(generating.call, CallEvent::Began(ran(200)));
-    world.event(Event::ClientLeft(flight));
+    world.event(Event::ClientDisconnected(flight));
     (reading, generating)
 }
 
@@ -48,7 +48,7 @@
     let mut world = World::new();
     let (_, first) = abandoned(&mut world);
     let (_, again) = world.sent(resuming());
-    assert_eq!(again.task, Task::Generate(Prompt::Kept));
+    assert_eq!(again.task, Task::Decode(Prompt::Cached));
     assert_eq!(again.engine.id, first.engine.id);
     assert_eq!(again.last_event, Some(4));
 }
@@ -59,7 +59,7 @@
         let mut world = World::new();
         world.event(told(1, numbered(number).key));
         let (_, again) = world.sent(resuming());
-        assert_eq!(again.task, Task::Generate(Prompt::Kept));
+        assert_eq!(again.task, Task::Decode(Prompt::Cached));
         assert_eq!(again.engine.id, numbered(number).id);
     }
 }
@@ -67,13 +67,14 @@
 #[test]
 fn told_to_other_nodes() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     let (_, reading) = world.sent(named("resumed"));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     let began = Event::Call(generating.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
     let kept = Kept { prompt: PromptKey(7), engine: generating.engine.key };
-    let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.kept == [kept]);
+    let is_told =
+        |it: &Effect| matches!(it, Effect::Announce(_, message) if message.kept == [kept]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
@@ -84,7 +85,7 @@
     let (_, again) = world.sent(resuming());
     let effects = world.call(again.call, CallEvent::Answered(turned_away()));
     let other = only_send(&effects);
-    assert_eq!(other.task, Task::Generate(Prompt::KeptAt(numbered(21).address)));
+    assert_eq!(other.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
     assert_eq!(other.engine.id, numbered(22).id);
 }
 
@@ -98,7 +99,7 @@
     world.event(Event::Listed(all, 20.into()));
     world.event(told(1, numbered(21).key));
     let (_, again) = world.sent(resuming());
-    assert_eq!(again.task, Task::Generate(Prompt::KeptAt(numbered(21).address)));
+    assert_eq!(again.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
 }
 
 /// The engine that generated has crashed; the one that read still has the prompt.
@@ -109,7 +110,7 @@
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     world.call(generating.call, CallEvent::Began(ran(200)));
     let second = only_send(&world.call(generating.call, CallEvent::Broken));
-    assert_eq!(second.task, Task::Generate(Prompt::KeptAt(reading.engine.address)));
+    assert_eq!(second.task, Task::Decode(Prompt::CachedAt(reading.engine.address)));
     assert_ne!(second.engine.id, generating.engine.id);
 }
 
@@ -118,8 +119,8 @@
     let mut world = World::new();
     world.event(told(1, numbered(21).key));
     let (_, again) = world.sent(resuming());
-    let effects = world.call(again.call, CallEvent::Unsent);
-    assert_eq!(only_send(&effects).task, Task::Read);
+    let effects = world.call(again.call, CallEvent::NotConnected);
+    assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 #[test]
@@ -127,12 +128,12 @@
     let mut world = World::new();
     world.event(told(1, numbered(21).key));
     world.pass(Duration::from_secs(13));
-    world.event(Event::Heard(Message {
+    world.event(Event::Received(Message {
         kept: vec![Kept { prompt: PromptKey(8), engine: numbered(21).key }],
         ..heartbeat(2, 2, Knowledge::default())
     }));
     let (_, again) = world.sent(resuming());
-    assert_eq!(again.task, Task::Read);
+    assert_eq!(again.task, Task::Prefill);
 }
 
 /// Many clients may come back at once; an engine without room for them takes no more.
@@ -143,8 +144,8 @@
     let large = Request { prompt_tokens: Some(MEMORY * 9 / 10), ..resuming() };
     let (_, first) = world.sent(large.clone());
     let (_, second) = world.sent(large);
-    assert_eq!(first.task, Task::Generate(Prompt::Kept));
-    assert_eq!(second.task, Task::Generate(Prompt::KeptAt(numbered(21).address)));
-    assert_eq!(world.gateway.flight_count(), 2);
-    world.event(Event::ClientLeft(FlightKey(0)));
+    assert_eq!(first.task, Task::Decode(Prompt::Cached));
+    assert_eq!(second.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
+    assert_eq!(world.gateway.in_flight_count(), 2);
+    world.event(Event::ClientDisconnected(RequestKey(0)));
 }
--- a/tests/tests/gateway_reach.rs
+++ b/tests/tests/gateway_reach.rs
@@ -11,7 +11,7 @@
 /// Gives the word of a box that it has not reached engines.
 fn missed(node: u8, sequence: u64, engines: &[u8]) -> Event {
     let missed = engines.iter().map(|it| EngineKey::of(&format!("engine-{it}"))).collect();
-    Event::Heard(Message { missed, ..heartbeat(node, sequence, Knowledge::default()) })
+    Event::Received(Message { missed, ..heartbeat(node, sequence, Knowledge::default()) })
 }
 
 /// Sends some plain requests; gives how many went to engine 1.
@@ -64,10 +64,11 @@
 #[test]
 fn own_miss_is_told() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     let (_, send) = world.sent(request("safe"));
-    let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::Unsent));
+    let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::NotConnected));
     let key = send.engine.key;
-    let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.missed == [key]);
+    let is_told =
+        |it: &Effect| matches!(it, Effect::Announce(_, message) if message.missed == [key]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
--- a/tests/tests/gateway_relay.rs
+++ b/tests/tests/gateway_relay.rs
@@ -29,7 +29,7 @@
     let mut world = World::new();
     for (numbers, data_centre) in [(2..=3, "north"), (11..=18, "south"), (21..=21, "east")] {
         for number in numbers {
-            world.event(Event::Heard(beat_from(number, 1, data_centre)));
+            world.event(Event::Received(beat_from(number, 1, data_centre)));
         }
     }
     world
@@ -39,7 +39,7 @@
 fn told(world: &mut World, event: Event) -> Vec<(Vec<SocketAddr>, Message)> {
     let effects = world.gateway.step(world.now, event);
     let told = effects.into_iter().filter_map(|it| match it {
-        Effect::Tell(nodes, message) => Some((nodes, *message)),
+        Effect::Announce(nodes, message) => Some((nodes, *message)),
         _ => None,
     });
     told.collect()
@@ -48,7 +48,7 @@
 #[test]
 fn one_of_a_large_zone() {
     let mut world = world();
-    let arrival = Event::Arrived(hollyspoke_gateway::request::FlightKey(0), request("once"));
+    let arrival = Event::Arrived(hollyspoke_gateway::request::RequestKey(0), request("once"));
     let told = told(&mut world, arrival);
     let direct: Vec<_> = told.iter().filter(|it| !it.1.is_relayed).collect();
     assert_eq!(direct.len(), 1);
@@ -64,7 +64,7 @@
 fn passed_on_once() {
     let mut world = world();
     let message = Message { is_relayed: true, ..beat_from(11, 2, "south") };
-    let told = told(&mut world, Event::Heard(message));
+    let told = told(&mut world, Event::Received(message));
     let passed: Vec<_> = told.iter().filter(|it| it.1.sender == peer(11)).collect();
     assert_eq!(passed.len(), 1);
     assert_eq!(passed[0].0, [peer(2), peer(3)]);
@@ -80,7 +80,7 @@
     for sequence in 2..40 {
         for (numbers, data_centre) in [(2..=3, "north"), (11..=18, "south"), (21..=21, "east")] {
             for number in numbers {
-                world.event(Event::Heard(beat_from(number, sequence, data_centre)));
+                world.event(Event::Received(beat_from(number, sequence, data_centre)));
             }
         }
         world.now = world.now + Duration::from_millis(350);
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollyspoke_gateway::budget::Bound;
-use hollyspoke_gateway::effect::{Effect, Note, Task};
+use hollyspoke_gateway::effect::{Effect, LogEvent, Task};
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
@@ -30,7 +30,7 @@
         }
     }
     effects.iter().find_map(|it| match it {
-        Effect::Note(Note::Repeat { is_sent, .. }) => Some(*is_sent),
+        Effect::Log(LogEvent::Retry { is_sent, .. }) => Some(*is_sent),
         _ => None,
     })
 }
@@ -215,9 +215,9 @@
 /// requests in a window were repeated sixteen times so, and thirteen were allowed.
 #[test]
 fn readings_turned_away_count() {
-    let bound = Bound { allowance: 5.0, ..BOUND };
+    let retry_bound = Bound { allowance: 5.0, ..BOUND };
     let mut world = World::new();
-    world.gateway = Gateway::new(Settings { bound, ..settings(1) });
+    world.gateway = Gateway::new(Settings { retry_bound, ..settings(1) });
     world.event(Event::Configured(Arc::new(configuration(1))));
     world.event(Event::Listed(engines(), 10.into()));
     let mut records = Records::default();
@@ -235,16 +235,16 @@
                 is_free: false,
             });
             let send = only_send(&effects);
-            let answer = if send.task == Task::Read { turned_away() } else { ran(500) };
+            let answer = if send.task == Task::Prefill { turned_away() } else { ran(500) };
             effects = world.call(send.call, CallEvent::Answered(answer));
         }
     }
-    let used = records.bound_used(MODEL, &bound);
+    let used = records.bound_used(MODEL, &retry_bound);
     assert!(used <= 1.0, "{used:.3} of the bound, {} repeats", records.repeat_count(MODEL));
 }
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn keeper_told(number: u64) -> Event {
     let kept = vec![Kept { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
-    Event::Heard(Message { kept, ..heartbeat(2, number + 1, Knowledge::default()) })
+    Event::Received(Message { kept, ..heartbeat(2, number + 1, Knowledge::default()) })
 }
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -8,11 +8,11 @@
 
 use std::time::Duration;
 
-use hollyspoke_gateway::effect::{Effect, NotRunReason, Note, Prompt, Refusal, Send, Task};
+use hollyspoke_gateway::effect::{Effect, LogEvent, NotRunReason, Prompt, Refusal, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
-use hollyspoke_gateway::intake;
 use hollyspoke_gateway::prompt::PromptKey;
+use hollyspoke_gateway::rate_limit;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::rest::{LONGEST, Told};
 use hollyspoke_gateway::statement::Statement;
@@ -108,7 +108,7 @@
 
 /// Gives an answer that turns a request away and asks for rest.
 fn turned_away_for(span: Duration) -> Answer {
-    Answer { says: rests(span), ..turned_away() }
+    Answer { statement: rests(span), ..turned_away() }
 }
 
 /// Has plain requests arrive, each answered at once; gives the engines that they were sent to.
@@ -120,7 +120,7 @@
             _ => None,
         });
         let Some(send) = send else {
-            world.event(Event::ClientLeft(flight));
+            world.event(Event::ClientDisconnected(flight));
             return None;
         };
         world.call(send.call, CallEvent::Answered(ran(200)));
@@ -143,7 +143,7 @@
 
 /// Has the first engine ask for rest; tells whether it gets nothing then.
 fn is_left_alone(world: &mut World, says: Statement) -> bool {
-    world.event(Event::Stated(first(None).key, says));
+    world.event(Event::Statement(first(None).key, says));
     !plain_go_to(world).contains(&first(None).key)
 }
 
@@ -171,7 +171,7 @@
     }
     assert!(is_left_alone(&mut only_first(None), rests(span)));
     let (mut world, moved) =
-        (only_first(None), Answer { execution: Execution::Moved, ..turned_away_for(span) });
+        (only_first(None), Answer { execution: Execution::Replaced, ..turned_away_for(span) });
     world.event(Event::Listed(vec![first(None), engine(2, PLAIN, None)], 21.into()));
     let (_, send) = world.sent(request("safe"));
     world.call(send.call, CallEvent::Answered(moved));
@@ -254,7 +254,7 @@
     }
     world.call(sent[0].call, CallEvent::Answered(turned_away()));
     for send in &sent[1..] {
-        world.event(Event::ClientLeft(send.flight));
+        world.event(Event::ClientDisconnected(send.request));
     }
     assert!(arrive_many(&mut world, 4).len() <= 1);
 }
@@ -283,7 +283,7 @@
             hollyspoke_tests::gateway::configuration(1),
         )));
         world.event(Event::Listed(vec![first(None)], 20.into()));
-        world.event(Event::Stated(first(None).key, rests(SECOND * 3)));
+        world.event(Event::Statement(first(None).key, rests(SECOND * 3)));
         let begun = world.now;
         loop {
             world.pass(Duration::from_millis(5));
@@ -291,7 +291,7 @@
             if !sends(&effects).is_empty() {
                 return world.now.since(begun);
             }
-            world.event(Event::ClientLeft(flight));
+            world.event(Event::ClientDisconnected(flight));
         }
     };
     let mut times: Vec<_> = (1..=6).map(back).collect();
@@ -305,16 +305,16 @@
 #[test]
 fn waits_or_is_refused_with_a_true_time() {
     let mut world = only_first(None);
-    world.event(Event::Stated(first(None).key, rests(Duration::from_millis(100))));
+    world.event(Event::Statement(first(None).key, rests(Duration::from_millis(100))));
     let (flight, effects) = world.arrive(request("safe"));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.pass(Duration::from_millis(150));
-    assert_eq!(only_send(&effects).flight, flight);
+    assert_eq!(only_send(&effects).request, flight);
     let mut world = only_first(None);
-    world.event(Event::Stated(first(None).key, rests(SECOND * 5)));
+    world.event(Event::Statement(first(None).key, rests(SECOND * 5)));
     let (_, effects) = world.arrive(request("safe"));
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
-    assert_eq!(reason, NotRunReason::Resting);
+    assert_eq!(reason, NotRunReason::BackingOff);
     assert!(retry >= SECOND * 5 && retry <= SECOND * 9, "{retry:?}");
 }
 
@@ -324,7 +324,7 @@
     let mut world = World::new();
     for (number, seconds) in [(1, 20), (2, 4)] {
         let says = rests(SECOND * seconds);
-        world.event(Event::Stated(engine(number, PLAIN, None).key, says));
+        world.event(Event::Statement(engine(number, PLAIN, None).key, says));
     }
     let (_, effects) = world.arrive(request("unsafe"));
     let Refusal::NotRun(_, _, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -338,21 +338,21 @@
     let mut world = World::new();
     world.pass(SECOND * 10);
     let resting = engine(1, PLAIN, None).key;
-    world.event(Event::Stated(resting, rests(SECOND * 60)));
+    world.event(Event::Statement(resting, rests(SECOND * 60)));
     let (_, send) = world.sent(request("unsafe"));
     assert_ne!(send.engine.key, resting);
     let event = Event::Call(send.call, CallEvent::Answered(turned_away_for(SECOND * 60)));
     let effects = world.gateway.step(world.now, event);
-    let repeats = effects.iter().filter(|it| matches!(it, Effect::Note(Note::Repeat { .. })));
+    let repeats = effects.iter().filter(|it| matches!(it, Effect::Log(LogEvent::Retry { .. })));
     assert_eq!(repeats.count(), 0, "{effects:?}");
     let refusal = only_refusal(&effects);
-    assert!(matches!(refusal, Refusal::NotRun(_, NotRunReason::Resting, _)), "{refusal:?}");
+    assert!(matches!(refusal, Refusal::NotRun(_, NotRunReason::BackingOff, _)), "{refusal:?}");
     let kept = effects.iter().find_map(|it| match it {
-        Effect::Note(Note::Ended { kept_from, .. }) => Some(kept_from.clone()),
+        Effect::Log(LogEvent::Ended { exclusions, .. }) => Some(exclusions.clone()),
         _ => None,
     });
     let kept = kept.expect("it has ended");
-    assert!(kept.iter().any(|it| it.by == Bar::Rest && &*it.engine == "engine-1"), "{kept:?}");
+    assert!(kept.iter().any(|it| it.reason == Bar::Rest && &*it.engine == "engine-1"), "{kept:?}");
 }
 
 /// A prompt that was read for an engine that rests meanwhile goes to another one; a kept one is taken
@@ -363,16 +363,16 @@
     let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
     let (flight, running) = world.streaming(asked());
     let (_, reading) = world.sent(Request { id: "second".into(), ..request("resumed") });
-    world.event(Event::Stated(running.engine.key, rests(SECOND * 3)));
+    world.event(Event::Statement(running.engine.key, rests(SECOND * 3)));
     let effects = world.call(reading.call, CallEvent::Answered(read("h")));
     assert_ne!(only_send(&effects).engine.key, running.engine.key);
-    let effects = world.call(running.call, CallEvent::Passed(Some(1)));
+    let effects = world.call(running.call, CallEvent::Forwarded(Some(1)));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.call(running.call, CallEvent::Answered(ran(200)));
     assert!(effects.contains(&Effect::Finish(flight)), "{effects:?}");
     let again = only_send(&world.arrive(asked()).1);
     assert_ne!(again.engine.key, running.engine.key);
-    assert_eq!(again.task, Task::Generate(Prompt::KeptAt(running.engine.address)));
+    assert_eq!(again.task, Task::Decode(Prompt::CachedAt(running.engine.address)));
 }
 
 /// An engine that rests is not asked what it keeps or whether it lives, and no prompt is freed there.
@@ -382,17 +382,23 @@
     let (flight, reading) = world.sent(request("once"));
     let (_, send) = world.sent(request("unsafe"));
     for engine in engines() {
-        world.event(Event::Stated(engine.key, rests(SECOND * 60)));
+        world.event(Event::Statement(engine.key, rests(SECOND * 60)));
     }
     let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
-    effects.extend(world.event(Event::ClientLeft(flight)));
+    effects.extend(world.event(Event::ClientDisconnected(flight)));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
         world.now = world.now + Duration::from_millis(100);
         effects.extend(world.gateway.step(world.now, Event::Tick));
     }
     let is_aside = |it: &&Effect| {
-        matches!(it, Effect::Free(_) | Effect::Probe(_) | Effect::Survey(_) | Effect::Inspect(_))
+        matches!(
+            it,
+            Effect::Free(_)
+                | Effect::Probe(_)
+                | Effect::QueryCachedPrompts(_)
+                | Effect::QueryOrderCount(_)
+        )
     };
     assert!(!effects.iter().any(|it| is_aside(&it)), "{effects:?}");
 }
@@ -401,12 +407,12 @@
 #[test]
 fn the_strictest_binds() {
     let mut world = only_first(Some(100));
-    let limit = intake::Told::Rate(0.5);
-    world.event(Event::Stated(first(None).key, Statement { limit, ..rests(SECOND * 3) }));
+    let limit = rate_limit::Reported::Rate(0.5);
+    world.event(Event::Statement(first(None).key, Statement { limit, ..rests(SECOND * 3) }));
     world.pass(SECOND * 2);
     assert!(plain_go_to(&mut world).is_empty(), "while it rests");
     world.pass(SECOND * 4);
-    let answer = Answer { says: Statement { limit, ..Statement::default() }, ..ran(200) };
+    let answer = Answer { statement: Statement { limit, ..Statement::default() }, ..ran(200) };
     let mut sent = 0;
     for _ in 0..12 {
         for send in arrive_many(&mut world, 1) {
@@ -416,7 +422,8 @@
     }
     assert!((1..=2).contains(&sent), "{sent} at 0.5 a second");
     let is_leaving = true;
-    world.event(Event::Stated(first(None).key, Statement { is_leaving, ..Statement::default() }));
+    world
+        .event(Event::Statement(first(None).key, Statement { is_leaving, ..Statement::default() }));
     world.pass(SECOND * 60);
     assert!(plain_go_to(&mut world).is_empty(), "once it leaves");
 }
@@ -428,7 +435,7 @@
     let mut world = only_first(None);
     let is_leaving = true;
     let says = Statement { is_leaving, ..rests(Duration::from_millis(500)) };
-    world.event(Event::Stated(first(None).key, says));
+    world.event(Event::Statement(first(None).key, says));
     assert!(plain_go_to(&mut world).is_empty());
     world.pass(Duration::from_millis(800));
     assert!(!plain_go_to(&mut world).is_empty());
@@ -461,10 +468,10 @@
     let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
     for _ in 0..2 {
         let send = only_send(&effects);
-        assert!(matches!(send.task, Task::Generate(Prompt::Read(_))), "{:?}", send.task);
+        assert!(matches!(send.task, Task::Decode(Prompt::Prefilled(_))), "{:?}", send.task);
         effects = world.call(send.call, CallEvent::Answered(turned_away_for(SECOND)));
     }
-    assert!(matches!(only_send(&effects).task, Task::Generate(Prompt::Read(_))));
+    assert!(matches!(only_send(&effects).task, Task::Decode(Prompt::Prefilled(_))));
 }
 
 /// Gives the stage of an engine of the usual numbers.
@@ -480,8 +487,8 @@
     let (_, first) = world.sent(request("resumed"));
     let effects = world.call(first.call, CallEvent::Answered(turned_away_for(SECOND)));
     let second = only_send(&effects);
-    assert_eq!(second.task, Task::Read);
+    assert_eq!(second.task, Task::Prefill);
     assert_ne!(second.engine.key, first.engine.key);
     let effects = world.call(second.call, CallEvent::Answered(turned_away_for(SECOND)));
-    assert_eq!(only_send(&effects).task, Task::Generate(Prompt::Unread));
+    assert_eq!(only_send(&effects).task, Task::Decode(Prompt::NotPrefilled));
 }
--- a/tests/tests/gateway_routes.rs
+++ b/tests/tests/gateway_routes.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use hollyspoke_gateway::effect::{Effect, NotRunReason, Note, Refusal};
+use hollyspoke_gateway::effect::{Effect, LogEvent, NotRunReason, Refusal};
 use hollyspoke_gateway::event::Event;
-use hollyspoke_gateway::request::FlightKey;
+use hollyspoke_gateway::request::RequestKey;
 use hollyspoke_gateway::route::{Route, RouteKind, Split};
 use hollyspoke_tests::gateway::{
     HOST, MODEL, PLAIN, World, configuration_of, engines, only_refusal, only_send, request, route,
@@ -58,10 +58,10 @@
 #[test]
 fn refusals_are_logged() {
     let mut world = World::unconfigured();
-    let arrived = |key| Event::Arrived(FlightKey(key), request("nowhere"));
+    let arrived = |key| Event::Arrived(RequestKey(key), request("nowhere"));
     let logged = |effects: Vec<Effect>| {
         effects.into_iter().find_map(|it| match it {
-            Effect::Note(Note::Ended { how, .. }) => Some(how),
+            Effect::Log(LogEvent::Ended { outcome, .. }) => Some(outcome),
             _ => None,
         })
     };
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -33,7 +33,7 @@
     while world.now < end {
         world.now = world.now + Duration::from_millis(10);
         for effect in world.gateway.step(world.now, Event::Tick) {
-            if let Effect::Tell(_, message) = effect {
+            if let Effect::Announce(_, message) = effect {
                 boxes = Some(message.usage.boxes);
             }
         }
@@ -82,7 +82,7 @@
 #[test]
 fn learned_from_others() {
     let mut world = World::new();
-    world.event(Event::Heard(beat(2, 1, 78)));
+    world.event(Event::Received(beat(2, 1, 78)));
     assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 78);
 }
 
@@ -90,15 +90,15 @@
 #[test]
 fn stopped_in_order() {
     let mut world = World::new();
-    world.event(Event::Heard(beat(2, 1, 0)));
-    world.event(Event::Heard(beat(3, 1, 0)));
+    world.event(Event::Received(beat(2, 1, 0)));
+    world.event(Event::Received(beat(3, 1, 0)));
     assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 3);
     let stopping = Message { standing: Standing::Stopping, ..beat(3, 2, 0) };
-    world.event(Event::Heard(stopping));
-    world.event(Event::Heard(beat(2, 2, 0)));
+    world.event(Event::Received(stopping));
+    world.event(Event::Received(beat(2, 2, 0)));
     assert_eq!(told_boxes(&mut world, Duration::from_secs(2)), 2);
     let again = Message { incarnation: 2, ..beat(3, 1, 0) };
-    world.event(Event::Heard(again));
+    world.event(Event::Received(again));
     assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 3);
 }
 
@@ -106,7 +106,7 @@
 #[test]
 fn silent_is_counted() {
     let mut world = World::new();
-    world.event(Event::Heard(beat(2, 1, 0)));
+    world.event(Event::Received(beat(2, 1, 0)));
     assert_eq!(told_boxes(&mut world, Duration::from_secs(5)), 2);
 }
 
@@ -114,9 +114,9 @@
 #[test]
 fn stopped_long_ago() {
     let mut world = World::new();
-    world.event(Event::Heard(beat(2, 1, 40)));
+    world.event(Event::Received(beat(2, 1, 40)));
     let stopping = Message { standing: Standing::Stopping, ..beat(2, 2, 40) };
-    world.event(Event::Heard(stopping));
+    world.event(Event::Received(stopping));
     assert_eq!(told_boxes(&mut world, Duration::from_secs(70)), 39);
 }
 
@@ -142,7 +142,7 @@
     world.pass(Duration::from_millis(50));
     let wait = over_limit(&mut world);
     assert!((250..=400).contains(&wait.as_millis()), "{wait:?}");
-    world.event(Event::Heard(beat(2, 1, 2)));
+    world.event(Event::Received(beat(2, 1, 2)));
     world.pass(Duration::from_millis(300));
     world.sent(keyed());
 }
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -6,8 +6,8 @@
 use hollyspoke_gateway::effect::{Effect, Task};
 use hollyspoke_gateway::engine::{EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
-use hollyspoke_gateway::intake::Told;
 use hollyspoke_gateway::message::{Knowledge, Switching};
+use hollyspoke_gateway::rate_limit::Reported;
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::gateway::{
     World, engine, heartbeat, only_send, ran, read, request, settings,
@@ -41,9 +41,9 @@
     let in_need = ["engine-11", "engine-12"].map(EngineKey::of);
     for engine in in_need {
         it.limits.insert(engine, 0.2);
-        it.world.event(Event::Stated(
+        it.world.event(Event::Statement(
             engine,
-            Statement { limit: Told::Rate(0.2), ..Statement::default() },
+            Statement { limit: Reported::Rate(0.2), ..Statement::default() },
         ));
     }
     it.play(FULL, 3000, LONG);
@@ -196,7 +196,7 @@
         for _ in 0..50 {
             sequence += 1;
             let beat = heartbeat(other, sequence, Knowledge::default());
-            it.world.event(Event::Heard(beat));
+            it.world.event(Event::Received(beat));
             it.play(FULL, 3000, Duration::from_millis(200));
         }
         ordering += usize::from(!it.orders.is_empty());
@@ -212,7 +212,7 @@
         let mut message = heartbeat(2, u64::from(span_ms) + 1, Knowledge::default());
         let key = EngineKey::of("engine-21");
         message.switching = vec![Switching { engine: key, stage: Stage::Prefill, span_ms }];
-        Event::Heard(message)
+        Event::Received(message)
     };
     world.event(told(5000));
     for _ in 0..4 {
@@ -224,7 +224,7 @@
     let put = hollyspoke_gateway::engine::EngineChange::Put(changed, 11.into());
     world.event(Event::Changed(vec![put]));
     let reads: Vec<_> = (0..6).map(|_| world.sent(request("once")).1).collect();
-    assert!(reads.iter().any(|it| it.task == Task::Read && &*it.engine.id == "engine-21"));
+    assert!(reads.iter().any(|it| it.task == Task::Prefill && &*it.engine.id == "engine-21"));
 }
 
 /// An engine that says that a call was not meant for it has another stage than its entry tells; it
@@ -232,7 +232,7 @@
 #[test]
 fn wrong_stage_teaches() {
     let mut world = World::new();
-    let misdirected = Answer { execution: Execution::Moved, ..ran(421) };
+    let misdirected = Answer { execution: Execution::Replaced, ..ran(421) };
     let (_, reading) = world.sent(request("once"));
     let effects = world.call(reading.call, CallEvent::Answered(misdirected));
     let next = only_send(&effects);
@@ -250,7 +250,7 @@
     let (flight, mut effects) = it.world.arrive(request("once"));
     effects.extend(it.world.pass(Duration::from_millis(250)));
     let is_answered = effects.iter().any(|it| match it {
-        Effect::Send(send) => send.flight == flight,
+        Effect::Send(send) => send.request == flight,
         Effect::Refuse(refused, _) => *refused == flight,
         _ => false,
     });
--- a/tests/tests/gateway_streams.rs
+++ b/tests/tests/gateway_streams.rs
@@ -19,10 +19,12 @@
 fn read_then_generated() {
     let mut world = World::new();
     let (flight, generating) = world.streaming(request("once"));
-    let Task::Generate(Prompt::Read(source)) = &generating.task else { panic!("{generating:?}") };
+    let Task::Decode(Prompt::Prefilled(source)) = &generating.task else {
+        panic!("{generating:?}")
+    };
     assert_eq!(source.handle, "h");
     assert_eq!(generating.engine.stage, Some(Stage::Decode));
-    assert_eq!(world.call(generating.call, CallEvent::Passed(Some(1))), []);
+    assert_eq!(world.call(generating.call, CallEvent::Forwarded(Some(1))), []);
     let effects = world.call(generating.call, CallEvent::Answered(ran(200)));
     assert_eq!(effects, [Effect::Finish(flight)]);
 }
@@ -57,7 +59,7 @@
     world.streaming(filling("once"));
     world.arrive(request("once"));
     let effects = world.call(first.call, CallEvent::Answered(ran(200)));
-    assert_eq!(only_send(&effects).task, Task::Read);
+    assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 /// Gives a request of a client that has come back after a refusal.
@@ -89,7 +91,7 @@
     let (key, _) =
         world.arrive(Request { prompt_tokens: Some(MEMORY * 9 / 10), ..returned("once") });
     let effects = world.call(full.call, CallEvent::Answered(ran(200)));
-    assert_eq!(only_send(&effects).flight, key);
+    assert_eq!(only_send(&effects).request, key);
 }
 
 /// The engine was full: the prompt is offered to a second one before it is read again.
@@ -111,7 +113,7 @@
 fn long_prompt_is_served() {
     let mut world = World::new();
     let (_, send) = world.sent(filling("once"));
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
 }
 
 #[test]
@@ -120,7 +122,7 @@
         let mut world = World::new();
         let (_, reading) = world.sent(request("once"));
         let effects = world.call(reading.call, event);
-        assert_eq!(only_send(&effects).task, Task::Generate(Prompt::Unread));
+        assert_eq!(only_send(&effects).task, Task::Decode(Prompt::NotPrefilled));
     }
 }
 
@@ -128,13 +130,13 @@
 fn broken_stream_goes_on() {
     let mut world = World::new();
     let (flight, first) = world.streaming(request("resumed"));
-    world.call(first.call, CallEvent::Passed(Some(4)));
+    world.call(first.call, CallEvent::Forwarded(Some(4)));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     assert_eq!(second.last_event, Some(4));
     assert_ne!(second.engine.id, first.engine.id);
     let effects = world.call(second.call, CallEvent::Began(ran(200)));
-    assert_eq!(effects, [Effect::Join(flight, second.call)]);
-    world.call(second.call, CallEvent::Passed(Some(5)));
+    assert_eq!(effects, [Effect::Resume(flight, second.call)]);
+    world.call(second.call, CallEvent::Forwarded(Some(5)));
     let effects = world.call(second.call, CallEvent::Answered(ran(200)));
     assert_eq!(effects, [Effect::Finish(flight)]);
 }
@@ -143,8 +145,8 @@
 fn broken_stream_that_may_not_go_on() {
     let mut world = World::new();
     let (flight, first) = world.streaming(request("once"));
-    world.call(first.call, CallEvent::Passed(Some(4)));
-    assert_eq!(world.call(first.call, CallEvent::Broken), [Effect::Break(flight)]);
+    world.call(first.call, CallEvent::Forwarded(Some(4)));
+    assert_eq!(world.call(first.call, CallEvent::Broken), [Effect::Abort(flight)]);
 }
 
 #[test]
@@ -153,14 +155,14 @@
     let (flight, first) = world.streaming(request("resumed"));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     world.call(second.call, CallEvent::Began(ran(200)));
-    assert_eq!(world.call(second.call, CallEvent::Broken), [Effect::Break(flight)]);
+    assert_eq!(world.call(second.call, CallEvent::Broken), [Effect::Abort(flight)]);
 }
 
 #[test]
 fn stream_that_stalls() {
     let mut world = World::new();
     let (_, first) = world.streaming(request("resumed"));
-    world.call(first.call, CallEvent::Passed(Some(1)));
+    world.call(first.call, CallEvent::Forwarded(Some(1)));
     let effects = world.pass(Duration::from_millis(1500));
     assert!(effects.contains(&Effect::Cancel(first.call)));
     assert_eq!(only_send(&effects).last_event, Some(1));
@@ -170,7 +172,7 @@
 fn stream_that_stalls_and_may_not_go_on() {
     let mut world = World::new();
     let (_, first) = world.streaming(request("once"));
-    world.call(first.call, CallEvent::Passed(Some(1)));
+    world.call(first.call, CallEvent::Forwarded(Some(1)));
     assert_eq!(world.pass(Duration::from_secs(10)), []);
 }
 
@@ -179,7 +181,7 @@
     let mut world = World::new();
     let (flight, reading) = world.sent(request("once"));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    let effects = world.event(Event::ClientLeft(flight));
+    let effects = world.event(Event::ClientDisconnected(flight));
     assert_eq!(effects[0], Effect::Cancel(generating.call));
     assert!(matches!(effects[1], Effect::Free(_)));
 }
@@ -189,9 +191,9 @@
     let mut world = World::new();
     let (first, _) = world.streaming(filling("once"));
     world.streaming(filling("once"));
-    world.event(Event::ClientLeft(first));
+    world.event(Event::ClientDisconnected(first));
     let (_, send) = world.sent(request("once"));
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
 }
 
 /// With all that read prompts gone, an engine that generates reads the prompt itself.
@@ -201,7 +203,7 @@
     let decoders = vec![engine(21, MODEL, Some(Stage::Decode))];
     world.event(Event::Listed(decoders, 20.into()));
     let (_, send) = world.sent(request("once"));
-    assert_eq!(send.task, Task::Generate(Prompt::Unread));
+    assert_eq!(send.task, Task::Decode(Prompt::NotPrefilled));
 }
 
 #[test]
@@ -210,7 +212,7 @@
     let mut alone = 0;
     for _ in 0..12 {
         let (_, send) = world.sent(request("once"));
-        alone += u32::from(send.task == Task::Generate(Prompt::Unread));
+        alone += u32::from(send.task == Task::Decode(Prompt::NotPrefilled));
     }
     assert!(alone > 0, "some prompts are read by the engines that generate");
 }
--- a/tests/tests/gateway_survey.rs
+++ b/tests/tests/gateway_survey.rs
@@ -26,7 +26,7 @@
         world.now = world.gateway.next_due().max(world.now + Duration::from_micros(1)).min(end);
         let effects = world.gateway.step(world.now, Event::Tick);
         keys.extend(effects.iter().filter_map(|it| match it {
-            Effect::Survey(engine) => Some(engine.key),
+            Effect::QueryCachedPrompts(engine) => Some(engine.key),
             _ => None,
         }));
     }
@@ -55,7 +55,7 @@
 fn nodes_share_the_engines() {
     let mut world = World::new();
     for number in 2..=40 {
-        world.event(Event::Heard(heartbeat(number, 1, Knowledge::default())));
+        world.event(Event::Received(heartbeat(number, 1, Knowledge::default())));
     }
     let asked = asked_within(&mut world, Duration::from_millis(200));
     assert!(asked.len() < generators().len(), "39 others ask the rest");
@@ -72,7 +72,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let mut asked = asked_within(&mut world, Duration::from_millis(250));
     for number in 2..=40 {
-        world.event(Event::Heard(heartbeat(number, 1, Knowledge::default())));
+        world.event(Event::Received(heartbeat(number, 1, Knowledge::default())));
         asked.extend(asked_within(&mut world, Duration::from_millis(5)));
     }
     assert_eq!(asked, [], "others are still heard for the first time");
@@ -103,9 +103,9 @@
     let (_, effects) = world.arrive(resuming());
     assert_eq!(effects, []);
     world.pass(Duration::from_millis(200));
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Received(heartbeat(2, 1, Knowledge::default())));
     let effects = world.pass(Duration::from_millis(420));
-    assert_eq!(only_send(&effects).task, Task::Read);
+    assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 #[test]
@@ -131,9 +131,9 @@
     assert_eq!(effects, []);
     world.pass(Duration::from_millis(120));
     let keeper = EngineKey::of("engine-22");
-    let effects = world.event(Event::Surveyed(keeper, vec![PromptKey(9), PromptKey(7)]));
+    let effects = world.event(Event::CachedPrompts(keeper, vec![PromptKey(9), PromptKey(7)]));
     let send = only_send(&effects);
-    assert_eq!(send.task, Task::Generate(Prompt::Kept));
+    assert_eq!(send.task, Task::Decode(Prompt::Cached));
     assert_eq!(send.engine.key, keeper);
 }
 
@@ -142,15 +142,15 @@
     let mut world = World::new();
     world.arrive(resuming());
     let effects = world.pass(Duration::from_millis(360));
-    assert_eq!(only_send(&effects).task, Task::Read);
+    assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 #[test]
 fn others_do_not_wait() {
     let mut world = World::new();
     let (_, send) = world.sent(request("resumed"));
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
     world.pass(Duration::from_secs(1));
     let (_, send) = world.sent(resuming());
-    assert_eq!(send.task, Task::Read);
+    assert_eq!(send.task, Task::Prefill);
 }
--- a/tests/tests/platform_gone.rs
+++ b/tests/tests/platform_gone.rs
@@ -71,7 +71,7 @@
         let heard: usize = self.heard();
         tokio::time::sleep(SOON).await;
         assert_eq!(self.heard(), heard);
-        assert_eq!(self.node.node.with(|it| it.flight_count()), 0);
+        assert_eq!(self.node.node.with(|it| it.in_flight_count()), 0);
     }
 
     /// Gives how many requests that ask for work engines have heard.
@@ -128,7 +128,7 @@
             drop(stream);
         }
         tokio::time::sleep(SOON).await;
-        assert_eq!(world.node.node.with(|it| it.flight_count()), 0);
+        assert_eq!(world.node.node.with(|it| it.in_flight_count()), 0);
         let heard = world.heard();
         tokio::time::sleep(SOON).await;
         assert_eq!(world.heard(), heard);
--- a/tests/tests/platform_heads.rs
+++ b/tests/tests/platform_heads.rs
@@ -6,7 +6,7 @@
 use hollyspoke_gateway::customer::Caller;
 use hollyspoke_gateway::effect::{Prompt, Send, Task};
 use hollyspoke_gateway::prompt::PromptKey;
-use hollyspoke_gateway::request::{CallKey, FlightKey};
+use hollyspoke_gateway::request::{CallKey, RequestKey};
 use hollyspoke_platform::engine::{call_head, read_survey};
 use hollyspoke_platform::ingress::read_request;
 use hollyspoke_tests::gateway::{MODEL, engine};
@@ -21,11 +21,11 @@
 /// Gives a call that generates.
 fn generating(prompt: Prompt) -> Send {
     Send {
-        flight: FlightKey(1),
+        request: RequestKey(1),
         call: CallKey(1),
         engine: engine(21, MODEL, None).into(),
         caller: Caller::Unchecked,
-        task: Task::Generate(prompt),
+        task: Task::Decode(prompt),
         deadline: Duration::from_secs(1),
         last_event: None,
     }
@@ -42,9 +42,9 @@
     let keeper = SocketAddr::from(([10, 1, 64, 9], 8080));
     let mut client = head("a:1");
     client.headers.insert("kv-fetch", "10.9.9.9:1".parse().expect("a value"));
-    let made = call_head(&client, &generating(Prompt::KeptAt(keeper)));
+    let made = call_head(&client, &generating(Prompt::CachedAt(keeper)));
     assert_eq!(made.headers["kv-fetch"], "10.1.64.9:8080");
-    for prompt in [Prompt::Kept, Prompt::Unread] {
+    for prompt in [Prompt::Cached, Prompt::NotPrefilled] {
         let made = call_head(&client, &generating(prompt));
         assert!(!made.headers.contains_key("kv-fetch"));
         assert!(!made.headers.contains_key("x-kv-source"));
--- a/tests/tests/platform_leaving.rs
+++ b/tests/tests/platform_leaving.rs
@@ -22,7 +22,7 @@
     let seeds: Vec<SocketAddr> = vec![first.node.peer_address().expect("it is bound")];
     let running =
         run::start(&settings(store.address, seeds), DIALECT, log()).await.expect("free ports");
-    while running.node.with(|it| !it.is_ready() || it.living_boxes() < 2) {
+    while running.node.with(|it| !it.is_ready() || it.alive_box_count() < 2) {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     running
--- a/tests/tests/platform_orders.rs
+++ b/tests/tests/platform_orders.rs
@@ -67,8 +67,8 @@
 #[test]
 fn order_answers() {
     let cases = [
-        (202, OrderAnswer::Taken),
-        (200, OrderAnswer::Held),
+        (202, OrderAnswer::Accepted),
+        (200, OrderAnswer::AlreadyApplied),
         (409, OrderAnswer::Conflict),
         (400, OrderAnswer::Refused),
         (412, OrderAnswer::Refused),
--- a/tests/tests/platform_plain.rs
+++ b/tests/tests/platform_plain.rs
@@ -232,7 +232,7 @@
         while engine.dropped.get() == 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        assert_eq!(node.node.with(|it| it.flight_count()), 0);
+        assert_eq!(node.node.with(|it| it.in_flight_count()), 0);
     });
 }
 
--- a/tests/tests/start_together.rs
+++ b/tests/tests/start_together.rs
@@ -124,7 +124,7 @@
     /// Carries out what a box wants.
     fn carry_out(&mut self, number: usize, now: Time, effect: Effect) {
         match effect {
-            Effect::Tell(audience, message) => {
+            Effect::Announce(audience, message) => {
                 let message = Arc::new(*message);
                 for receiver in audience {
                     let due = Due::Datagram(message.clone());
@@ -157,7 +157,7 @@
                 match due {
                     Due::Datagram(message) => {
                         self.datagrams += 1;
-                        self.step(number, at, Event::Heard(Message::clone(&message)));
+                        self.step(number, at, Event::Received(Message::clone(&message)));
                     }
                     Due::Stored(operation) => {
                         self.step(number, at, Event::Stored(operation, Answer::Absent));
@@ -171,7 +171,7 @@
 
     /// Gives the fewest boxes that any box knows to live.
     fn fewest_known(&self) -> usize {
-        self.gateways.iter().map(Gateway::living_boxes).min().unwrap_or(0)
+        self.gateways.iter().map(Gateway::alive_box_count).min().unwrap_or(0)
     }
 }
 
--- a/tests/tests/statements.rs
+++ b/tests/tests/statements.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollyspoke_gateway::intake;
+use hollyspoke_gateway::rate_limit;
 use hollyspoke_gateway::rest::Told;
 use hollyspoke_gateway::statement::{Statement, ToldLoad};
 use hollyspoke_platform::DIALECT;
@@ -34,7 +34,7 @@
     ));
     let load = Some(ToldLoad { running: 1, waiting: 2, slots: 6, pace: 100 });
     let rest = Told::Span(Duration::from_secs(3));
-    let limit = intake::Told::Rate(2.5);
+    let limit = rate_limit::Reported::Rate(2.5);
     assert_eq!(says, Statement { load, limit, is_leaving: true, rest, born: None });
 }
 
--- a/tests/tests/suspension.rs
+++ b/tests/tests/suspension.rs
@@ -29,7 +29,7 @@
     world.now = world.now + Duration::from_secs(20);
     let effects = world.event(Event::Suspended(Duration::from_secs(20)));
     assert!(effects.contains(&Effect::Cancel(call.call)), "{effects:?}");
-    assert_eq!(only_refusal(&effects), Refusal::Late);
+    assert_eq!(only_refusal(&effects), Refusal::TimedOut);
 }
 
 /// The clock goes on by the time of a suspension, and timers ring that much sooner.
