--- a/crates/hollyspoke-gateway/src/demand.rs
+++ b/crates/hollyspoke-gateway/src/demand.rs
@@ -48,8 +48,8 @@
         // The sums of a meter that is younger than its memory are not full yet.
         let span = memory * (1.0 - (-age / memory).exp());
         Demand {
-            reading: (self.reading / span) as u32,
-            held: (self.held / span * run.as_secs_f64()) as u32,
+            prefill_tokens_per_s: (self.reading / span) as u32,
+            held_tokens: (self.held / span * run.as_secs_f64()) as u32,
             requests: self.requests as u32,
         }
     }
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -46,14 +46,14 @@
 use crate::flight::{Call, Flight};
 use crate::gateway::cases::Cases;
 use crate::gateway::census::Census;
-use crate::gateway::peers::{PeerChanges, Untold};
+use crate::gateway::peers::{PeerChanges, Unannounced};
 use crate::gateway::permits::Permits;
 use crate::gateway::stages::Stages;
 use crate::gateway::store::{EngineChanges, StoreState};
 use crate::gateway::survey::Survey;
 use crate::load::Ledger;
 use crate::member::Members;
-use crate::message::{DataCentreKey, Format, Load, Standing};
+use crate::message::{DataCentreKey, Format, Load, Readiness};
 use crate::prompt::Prompts;
 use crate::quarantine::Quarantine;
 use crate::region::Regions;
@@ -182,7 +182,7 @@
     /// How far this box is with asking engines which prompts they keep.
     survey: Survey,
     /// What is to be told to the other boxes with this event.
-    untold: Untold,
+    untold: Unannounced,
     /// The boxes that are to be named in the log with the next heartbeat.
     peer_changes: PeerChanges,
     /// The changes of engines that are to be counted in the log with the next heartbeat.
@@ -243,7 +243,7 @@
             cases: Cases::default(),
             probing: HashSet::new(),
             survey: Survey::default(),
-            untold: Untold::default(),
+            untold: Unannounced::default(),
             peer_changes: PeerChanges::default(),
             engine_changes: EngineChanges::default(),
             gathering_since: None,
@@ -262,25 +262,25 @@
         self.may_have_room = !matches!(event, Event::Heard(_));
         match event {
             Event::Configured(configuration) => self.configure(configuration),
-            Event::Listed(engines, revision) => self.list(engines, revision),
-            Event::Changed(changes) => self.change(changes),
+            Event::Listed(engines, revision) => self.apply_engine_list(engines, revision),
+            Event::Changed(changes) => self.apply_engine_changes(changes),
             Event::Evacuated(evacuation) => self.evacuate(evacuation),
             Event::EvacuationChanged(changes, revision) => {
                 self.change_evacuation(changes, revision);
             }
-            Event::Fetched(provider, snapshot) => self.take_snapshot(provider, *snapshot),
-            Event::StoreEra(era) => self.learn_era(era, None),
+            Event::Fetched(provider, snapshot) => self.apply_snapshot(provider, *snapshot),
+            Event::StoreEra(era) => self.update_era(era, None),
             Event::StoreAnswered(kind) => self.store_answered(kind),
             Event::StoreFailed(kind) => self.store_failed(kind),
             Event::Arrived(flight, request) => self.arrive(flight, request),
             Event::ClientLeft(flight) => self.client_left(flight),
             Event::Call(call, event) => self.called(call, event),
-            Event::Heard(message) => self.hear(&message),
-            Event::Seeds(seeds) => self.members.seek(self.settings.peer, seeds, self.now),
-            Event::Surveyed(engine, prompts) => self.surveyed(engine, prompts),
-            Event::Stored(number, answer) => self.stored(number, &answer),
-            Event::Inspected(engine, count) => self.inspected(engine, count),
-            Event::Ordered(engine, answer) => self.ordered(engine, answer),
+            Event::Heard(message) => self.receive(&message),
+            Event::Seeds(seeds) => self.members.add_seeds(self.settings.peer, seeds, self.now),
+            Event::Surveyed(engine, prompts) => self.apply_survey_answer(engine, prompts),
+            Event::Stored(number, answer) => self.apply_store_answer(number, &answer),
+            Event::Inspected(engine, count) => self.apply_order_count(engine, count),
+            Event::Ordered(engine, answer) => self.apply_order_answer(engine, answer),
             Event::Probed(engine, probe) => self.probed(engine, probe),
             Event::Stated(engine, says) => self.stated(engine, &says),
             Event::Lift(short) => self.lift(&short),
@@ -297,28 +297,28 @@
             self.admit_waiting();
         }
         self.expire();
-        self.beat();
-        self.seek();
+        self.send_due_heartbeat();
+        self.send_greetings();
         self.keep_cases();
         self.tell_words();
         self.tell_limits();
         self.tell_departures();
-        self.tell_changes();
+        self.send_changes();
         std::mem::take(&mut self.effects)
     }
 
     /// Gives the time at which the gateway needs a tick at the latest.
     pub fn next_due(&self) -> Time {
         let first = self.due.first().map(|&(it, _)| it);
-        let gathered = self.gathered_at();
+        let gathered = self.batch_due_at();
         let times = [
             first,
             self.directory.next_removal(),
             self.evacuations.next_end(),
             self.survey.due(),
-            self.members.next_greeting(self.now),
+            self.members.next_greeting_at(self.now),
             gathered,
-            self.stages.due(),
+            self.stages.next_check_at(),
             self.cases_due(),
             self.permits.next_start(self.now),
             self.terms.rests.next_end(self.now),
@@ -328,7 +328,7 @@
 
     /// Tells whether clients are to use this box.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Ready
+        self.standing() == Readiness::Ready
     }
 
     /// Tells whether the process was told to stop.
@@ -407,13 +407,13 @@
     }
 
     /// Tells how this box stands.
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> Readiness {
         if self.stopped.is_some() {
-            Standing::Stopping
+            Readiness::Stopping
         } else if !self.may_serve() {
-            Standing::Starting
+            Readiness::Starting
         } else {
-            Standing::Ready
+            Readiness::Ready
         }
     }
 
@@ -443,7 +443,7 @@
         if self.stopped.is_none() {
             self.stopped = Some(self.now);
             self.note(Note::Stopping);
-            self.beat_at_once();
+            self.schedule_heartbeat_to_all();
         }
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -7,7 +7,7 @@
 use crate::event::{Answer, CallEvent, Execution};
 use crate::flight::Call;
 use crate::load::Urgency;
-use crate::message::{Full, Load};
+use crate::message::{Load, Rejection};
 use crate::prompt::Kept;
 use crate::request::{CallKey, FlightKey};
 use crate::rest;
@@ -114,8 +114,10 @@
             self.directory.replace(call.engine.key, now);
             self.untold.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.turn_away(call.load.held, now);
-            self.untold.full.push(Full { engine: call.engine.key, held: call.load.held });
+            known.turn_away(call.load.held_tokens, now);
+            self.untold
+                .rejections
+                .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
         }
         let rests = matches!(answer.says.rest, rest::Told::Span(_));
         let Some(flight) = self.flights.get_mut(&call.flight) else { return };
@@ -266,16 +268,16 @@
     /// at an engine with much free memory can wait: nobody waits for what it frees.
     fn end_urgency(&self, call: &Call) -> Urgency {
         let is_free = !self.is_scarce(call.engine.key);
-        let can_wait = self.members.is_large() && call.load.reading == 0 && is_free;
+        let can_wait = self.members.is_large() && call.load.prefill_tokens == 0 && is_free;
         if can_wait { Urgency::Later } else { Urgency::Now }
     }
 
     /// Notes that an engine has read the prompt of a call that goes on.
     fn finish_reading(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
-        let read = Load { reading: call.load.reading, calls: 0, held: 0 };
-        call.load.reading = 0;
-        if read.reading > 0 {
+        let read = Load { prefill_tokens: call.load.prefill_tokens, calls: 0, held_tokens: 0 };
+        call.load.prefill_tokens = 0;
+        if read.prefill_tokens > 0 {
             self.ledger.remove(call.engine.key, read, Urgency::Now);
         }
     }
@@ -332,7 +334,7 @@
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
         let span = known.health.miss(now);
-        self.untold.missed.push(call.engine.key);
+        self.untold.unreachable.push(call.engine.key);
         self.note(Note::Avoided { id: call.engine.id.clone(), span });
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/cases.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cases.rs
@@ -137,7 +137,7 @@
     /// Gives how often this box reads the cases: if boxes are missing that may live, to whom what
     /// this one knows may not come, nor what they know to this one.
     fn reads_every(&self) -> Option<Duration> {
-        let most = self.members.most_serving()?;
+        let most = self.members.peak_serving()?;
         let heard = self.members.count(self.now);
         if heard * 2 <= most {
             return (heard < most).then_some(READ_ALONE_EVERY);
@@ -148,7 +148,7 @@
     /// Tells whether boxes are missing that may live.
     fn misses_others(&self) -> bool {
         let heard = self.members.count(self.now);
-        self.members.most_serving().is_some_and(|it| heard < it)
+        self.members.peak_serving().is_some_and(|it| heard < it)
     }
 
     /// Gives how many crashes a case in the store has at the least.
--- a/crates/hollyspoke-gateway/src/gateway/census.rs
+++ b/crates/hollyspoke-gateway/src/gateway/census.rs
@@ -22,14 +22,14 @@
 
 /// The time after a box's start from which on it writes: boxes that start together have then heard
 /// each other, so that one write does for all.
-const WRITES_AFTER: Duration = Duration::from_secs(3);
+const WRITE_DELAY: Duration = Duration::from_secs(3);
 
 /// The pause between two operations, so that boxes that come one after the other cost few.
-const PAUSE: Duration = Duration::from_secs(2);
+const OPERATION_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long fewer boxes must have been there before the number is lowered: as long as the members
 /// count a box that was stopped, and may be back.
-const LOWERED_AFTER: Duration = Duration::from_secs(60);
+const LOWER_DELAY: Duration = Duration::from_secs(60);
 
 /// What the store holds.
 #[derive(Debug, Clone, Copy)]
@@ -47,11 +47,11 @@
     stored: Option<Stored>,
     /// Whether this box has heard as many itself: then it goes by its hearing, which knows of those
     /// that were stopped since.
-    is_heard: bool,
+    is_confirmed: bool,
     /// The operation under way, and the boxes that it writes if it does.
     under_way: Option<(u64, Option<usize>)>,
     /// When the next operation may begin.
-    rests_until: Time,
+    paused_until: Time,
     /// Since when fewer boxes are there than the store holds.
     fewer_since: Option<Time>,
 }
@@ -59,7 +59,7 @@
 impl Census {
     /// Gives the boxes by the store, as long as this box has not heard as many.
     fn boxes(&self) -> Option<usize> {
-        let stored = self.stored.filter(|it| it.boxes > 0 && !self.is_heard);
+        let stored = self.stored.filter(|it| it.boxes > 0 && !self.is_confirmed);
         stored.map(|it| it.boxes)
     }
 }
@@ -67,14 +67,14 @@
 impl Gateway {
     /// Gives the most boxes that may live, by hearing and by the store; none if neither tells.
     pub(super) fn known_boxes(&self) -> Option<usize> {
-        self.members.most_serving().max(self.census.boxes())
+        self.members.peak_serving().max(self.census.boxes())
     }
 
     /// Reads the number or writes it, if it is time to.
-    pub(super) fn take_census(&mut self) {
-        let heard = self.members.most_serving().unwrap_or(0);
-        self.census.is_heard |= self.census.stored.is_some_and(|it| heard >= it.boxes);
-        let may_begin = self.census.under_way.is_none() && self.now >= self.census.rests_until;
+    pub(super) fn update_census(&mut self) {
+        let heard = self.members.peak_serving().unwrap_or(0);
+        self.census.is_confirmed |= self.census.stored.is_some_and(|it| heard >= it.boxes);
+        let may_begin = self.census.under_way.is_none() && self.now >= self.census.paused_until;
         if !may_begin || !self.follows_store() || self.is_stopping() {
             return;
         }
@@ -91,9 +91,9 @@
         let is_lower = self
             .census
             .fewer_since
-            .is_some_and(|it| self.census.is_heard && self.now.since(it) >= LOWERED_AFTER);
-        let is_old = self.now.since(Time::ZERO) >= WRITES_AFTER;
-        (heard > stored.boxes || is_lower) && is_old && self.leads()
+            .is_some_and(|it| self.census.is_confirmed && self.now.since(it) >= LOWER_DELAY);
+        let is_old = self.now.since(Time::ZERO) >= WRITE_DELAY;
+        (heard > stored.boxes || is_lower) && is_old && self.is_leader()
     }
 
     /// Begins to read the number.
@@ -116,17 +116,17 @@
     }
 
     /// Notes that the store may have lost the number, so that it is read and written again.
-    pub(super) fn census_lost(&mut self) {
+    pub(super) fn invalidate_census(&mut self) {
         self.census.stored = None;
         self.census.under_way = None;
     }
 
     /// Takes the store's answer to an operation of the census; tells whether it was one.
-    pub(super) fn census_stored(&mut self, number: u64, answer: &Answer) -> bool {
+    pub(super) fn apply_census_answer(&mut self, number: u64, answer: &Answer) -> bool {
         let Some((_, written)) = self.census.under_way.take_if(|it| it.0 == number) else {
             return false;
         };
-        self.census.rests_until = self.now + PAUSE;
+        self.census.paused_until = self.now + OPERATION_PAUSE;
         self.census.stored = match (answer, written) {
             (Answer::Found { version, value }, _) => {
                 // What is no number was not written by a box; it counts as none and is replaced.
--- a/crates/hollyspoke-gateway/src/gateway/cold.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cold.rs
@@ -3,12 +3,12 @@
 use super::Gateway;
 use crate::cold::Part;
 use crate::engine::EngineKey;
-use crate::member::number;
+use crate::member::address_hash;
 
 impl Gateway {
     /// Gives this box's part of what cold engines bear.
     pub(super) fn cold_part(&self) -> Part {
-        Part { number: number(&self.settings.peer), boxes: self.sharing_boxes() }
+        Part { number: address_hash(&self.settings.peer), boxes: self.sharing_boxes() }
     }
 
     /// Notes that a call is sent to an engine, if that is cold.
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -108,7 +108,7 @@
         let Some(proof) = Trace::clean().not_run() else { return };
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let (least, most) = RETRY_BOUNDS;
-        let wait = if self.members.seeks(self.now) { UNHEARD_RETRY } else { wait };
+        let wait = if self.members.greets_seeds_often(self.now) { UNHEARD_RETRY } else { wait };
         let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(least, most);
         self.note_refusal(request, "over limit", Some(customer));
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
@@ -164,7 +164,7 @@
         let boxes = self.sharing_boxes();
         let picture = match self.settings.sharing {
             Sharing::Parts => Picture::alone(boxes),
-            Sharing::Totals => Picture::heard(boxes, self.members.punctual(self.now)),
+            Sharing::Totals => Picture::heard(boxes, self.members.on_time_count(self.now)),
         };
         self.quota.see(self.now, picture);
     }
@@ -223,7 +223,7 @@
     /// Gives what is told of limits without any account: how many boxes share them.
     fn bare_usage(&self) -> Usage {
         let boxes = self.known_boxes().unwrap_or(0);
-        Usage { boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
+        Usage { peak_boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/era.rs
+++ b/crates/hollyspoke-gateway/src/gateway/era.rs
@@ -20,14 +20,14 @@
     }
 
     /// Takes the store's era from another box, if that tells one.
-    pub(super) fn hear_era(&mut self, era: u64, told_by: SocketAddr) {
+    pub(super) fn receive_era(&mut self, era: u64, told_by: SocketAddr) {
         if era > 0 {
-            self.learn_era(era, Some(told_by));
+            self.update_era(era, Some(told_by));
         }
     }
 
     /// Takes the store's era from one of its answers, or from another box.
-    pub(super) fn learn_era(&mut self, era: u64, told_by: Option<SocketAddr>) {
+    pub(super) fn update_era(&mut self, era: u64, told_by: Option<SocketAddr>) {
         let before = self.store.era;
         if before.is_some_and(|it| it >= era) {
             return;
@@ -38,18 +38,18 @@
         let knew_earlier = before.is_some() || (self.is_listed && revision.era < era);
         if knew_earlier {
             self.note(Note::StoreReturned { era, revision, told_by });
-            self.write_and_read_again();
+            self.resync_with_store();
         }
     }
 
     /// Has what this box knows of the store read again, and what it wrote there written again.
-    fn write_and_read_again(&mut self) {
+    fn resync_with_store(&mut self) {
         self.store.engines_back = Some(self.now);
-        self.census_lost();
+        self.invalidate_census();
         self.cases_lost();
         if self.store.follows {
             self.effects.extend(KINDS.map(Effect::Read));
         }
-        self.beat_with_news();
+        self.schedule_heartbeat();
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/gateway/evacuation.rs
@@ -60,6 +60,6 @@
         for data_centre in difference.lifted {
             self.note(Note::Evacuated { data_centre, is_lifted: true });
         }
-        self.beat_with_news();
+        self.schedule_heartbeat();
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -8,31 +8,36 @@
 
 use super::Gateway;
 use crate::effect::Effect;
-use crate::snapshot::{Listing, Question, Snapshot, Version};
+use crate::snapshot::{ConfigurationParts, Listing, Snapshot, SnapshotRequest};
 
 impl Gateway {
     /// Gives what this box knows, for one that asks.
-    pub fn question(&self) -> Question {
-        Question {
+    pub fn snapshot_request(&self) -> SnapshotRequest {
+        SnapshotRequest {
             version: self.version().unwrap_or(0),
             revision: self.is_listed.then(|| self.directory.complete()),
         }
     }
 
     /// Gives all that another box lacks to serve.
-    pub fn snapshot(&self, question: Question) -> Snapshot {
+    pub fn snapshot(&self, question: SnapshotRequest) -> Snapshot {
         let configuration = self.configuration.as_ref();
         let newer = configuration.filter(|it| it.version > question.version);
-        let version = newer.map(|it| Version::of(it));
-        let listing = self.is_listed.then(|| self.listing(question.revision)).flatten();
+        let configuration = newer.map(|it| ConfigurationParts::of(it));
+        let listing = self.is_listed.then(|| self.engine_listing(question.revision)).flatten();
         let departures = self.all_departures();
-        Snapshot { version, listing, evacuation: self.evacuations.newest().clone(), departures }
+        Snapshot {
+            configuration,
+            listing,
+            evacuation: self.evacuations.newest().clone(),
+            departures,
+        }
     }
 
     /// Gives the engines, as changes if they reach back to what the asking box knows; none if it
     /// knows as much. A whole list of 10,000 engines is a megabyte, and boxes ask when they have
     /// missed a single datagram.
-    fn listing(&self, known: Option<Revision>) -> Option<Listing> {
+    fn engine_listing(&self, known: Option<Revision>) -> Option<Listing> {
         let revision = self.directory.complete();
         if known.is_some_and(|it| it >= revision) {
             return None;
@@ -48,19 +53,19 @@
     }
 
     /// Takes what a box handed over, as far as it is newer.
-    pub(super) fn take_snapshot(&mut self, provider: SocketAddr, snapshot: Snapshot) {
+    pub(super) fn apply_snapshot(&mut self, provider: SocketAddr, snapshot: Snapshot) {
         self.hear_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
-        self.hear_era(listed.max(snapshot.evacuation.revision.era), provider);
+        self.receive_era(listed.max(snapshot.evacuation.revision.era), provider);
         self.evacuate(snapshot.evacuation);
-        if let Some(version) = snapshot.version {
-            self.configure(version.configuration());
+        if let Some(version) = snapshot.configuration {
+            self.configure(version.into_configuration());
         }
         match snapshot.listing {
             Some(Listing::Whole { engines, revision })
                 if !self.is_listed || revision > self.directory.complete() =>
             {
-                self.list(engines, revision);
+                self.apply_engine_list(engines, revision);
             }
             Some(Listing::Changes { changes, revision }) if self.is_listed => {
                 self.catch_up(&changes, revision);
@@ -70,11 +75,11 @@
     }
 
     /// Asks one of the boxes that know the newest version and the engines to hand them over.
-    pub(super) fn ask_for_snapshot(&mut self) {
+    pub(super) fn request_snapshot(&mut self) {
         let draw = self.draw();
         let wanted = self.version().unwrap_or(0);
         let known = self.directory.complete();
-        let provider = self.members.provider(wanted, known, draw);
+        let provider = self.members.choose_provider(wanted, known, draw);
         self.effects.extend(provider.map(Effect::Fetch));
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -89,9 +89,9 @@
         let limits: Vec<_> =
             changed.into_iter().filter_map(|it| self.terms.limits.word(it, self.now)).collect();
         if !limits.is_empty() {
-            let extension = Extension { limits, ..Extension::default() }.filled();
+            let extension = Extension { limits, ..Extension::default() }.non_empty();
             let message = Message { extension, ..self.message(false) };
-            self.tell_all(message);
+            self.send_to_all(message);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -190,9 +190,9 @@
         let until = self.now + ANSWERED_WITHIN;
         self.await_permit(key, Asked { engine, until, is_issued: false });
         let asks = vec![Ask { number, word, patience_ms }];
-        let extension = Extension { asks, ..Extension::default() }.filled();
+        let extension = Extension { asks, ..Extension::default() }.non_empty();
         let message = Message { extension, ..self.message(false) };
-        self.tell(vec![issuer], message);
+        self.send_to(vec![issuer], message);
     }
 
     /// Gives for how long a request may wait for its turn: the higher its rank, the longer, so that
@@ -239,19 +239,19 @@
     /// Tells how this box stands to the others as an issuer.
     fn side(&self, engine: EngineKey) -> Side {
         let boxes = self.sharing_boxes();
-        if (1 + self.members.punctual(self.now)) * 2 > boxes {
+        if (1 + self.members.on_time_count(self.now)) * 2 > boxes {
             return Side::Most;
         }
-        Side::Parts(self.members.first_heard(self.settings.peer, engine, PARTS, boxes))
+        Side::Parts(self.members.alive_among_first(self.settings.peer, engine, PARTS, boxes))
     }
 
     /// Takes in questions for permits, and answers to this box's own.
     pub(super) fn hear_permits(&mut self, sender: SocketAddr, told: &Extension) {
         let replies: Vec<_> = told.asks.iter().map(|it| self.answer(it)).collect();
         if !replies.is_empty() {
-            let extension = Extension { replies, ..Extension::default() }.filled();
+            let extension = Extension { replies, ..Extension::default() }.non_empty();
             let answer = Message { extension, ..self.message(false) };
-            self.tell(vec![sender], answer);
+            self.send_to(vec![sender], answer);
         }
         for reply in &told.replies {
             self.hear_reply(reply);
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -109,7 +109,7 @@
             self.prompts.forget(engine.key);
             self.terms.limits.forget(engine.key);
             self.drop_handles(&engine);
-            self.drop_move(engine.key);
+            self.drop_change(engine.key);
         }
     }
 
@@ -232,7 +232,7 @@
             let crashes = self.quarantine.take_untold();
             if !crashes.is_empty() {
                 let message = Message { crashes, ..self.message(false) };
-                self.tell_all(message);
+                self.send_to_all(message);
             }
         }
     }
--- a/crates/hollyspoke-gateway/src/gateway/room.rs
+++ b/crates/hollyspoke-gateway/src/gateway/room.rs
@@ -28,7 +28,7 @@
         let configuration = self.configuration.as_ref();
         let service = configuration.and_then(|it| it.service(&known.engine.service));
         let Some(staged) = service.and_then(|it| it.staged) else { return false };
-        let held = f64::from(self.ledger.at(engine).held);
+        let held = f64::from(self.ledger.at(engine).held_tokens);
         held >= staged.memory_tokens as f64 * SCARCE_SHARE
     }
 
@@ -101,8 +101,8 @@
     pub(super) fn reserve(&mut self, key: FlightKey, engine: Option<EngineKey>) {
         let Some(engine) = engine else { return };
         let Some(flight) = self.flights.get_mut(&key) else { return };
-        let held = u32::try_from(flight.request.tokens_held()).unwrap_or(u32::MAX / 4);
-        let load = Load { reading: 0, calls: 0, held };
+        let held_tokens = u32::try_from(flight.request.tokens_held()).unwrap_or(u32::MAX / 4);
+        let load = Load { prefill_tokens: 0, calls: 0, held_tokens };
         flight.reserved = Some((engine, load));
         self.ledger.add(engine, load);
     }
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -20,7 +20,7 @@
 use crate::directory::Known;
 use crate::effect::{Effect, Note};
 use crate::engine::{EngineKey, Stage};
-use crate::message::{Demand, Switching};
+use crate::message::{Demand, StageSwitch};
 use crate::ratio::{self, Capacity, Change, Split};
 use crate::request::Request;
 use crate::route::{Service, Staged};
@@ -38,41 +38,41 @@
 
 /// The requests of late below which the load is not known well enough: the mean length of a prompt
 /// is then known to about a tenth.
-const LEAST_REQUESTS: u32 = 16;
+const MIN_REQUESTS: u32 = 16;
 
 /// The share of a service's engines that may change their stage at once.
-const MOST_SWITCHING: f64 = 0.25;
+const MAX_SWITCHING_SHARE: f64 = 0.25;
 
 /// How long the other direction has to wait, so that a load that swings moves nothing back and
 /// forth: a change costs an engine some 6 s on the users' sites.
-const REVERSES_AFTER: Duration = Duration::from_secs(15);
+const REVERSAL_DELAY: Duration = Duration::from_secs(15);
 
 /// For how long the lease is wanted after a change was last seen to be worth it.
-const WANTED_FOR: Duration = Duration::from_millis(1500);
+const LEASE_WANTED_DURATION: Duration = Duration::from_millis(1500);
 
 /// For how long the boxes leave an engine out that is to be ordered, and not ordered yet.
-const PLANNED_SPAN: Duration = Duration::from_secs(3);
+const PLANNED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The share of what an engine could bear that one in need must take to count as an engine.
-const LEAST_COUNTED: f64 = 0.5;
+const MIN_COUNTED_SHARE: f64 = 0.5;
 
 /// The requests a second that one engine could bear.
 #[derive(Debug, Clone, Copy)]
-struct Bearing {
+struct Throughput {
     /// One that reads.
-    reader: f64,
+    prefill: f64,
     /// One that generates.
-    generator: f64,
+    decode: f64,
 }
 
-impl Bearing {
+impl Throughput {
     /// Gives what engines could bear of requests such as those of late.
-    fn of(demand: Demand, capacity: Capacity) -> Bearing {
+    fn of(demand: Demand, capacity: Capacity) -> Throughput {
         let asked = f64::from(demand.requests) / MEMORY.as_secs_f64();
         let borne = |by_one: f64, in_all: u32| by_one * asked / f64::from(in_all.max(1));
-        Bearing {
-            reader: borne(capacity.reading, demand.reading),
-            generator: borne(capacity.memory, demand.held),
+        Throughput {
+            prefill: borne(capacity.reading, demand.prefill_tokens_per_s),
+            decode: borne(capacity.memory, demand.held_tokens),
         }
     }
 }
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// The boxes are told to leave the engine out.
-    Settling,
+    Announced,
     /// The order was sent.
     Sent,
     /// The engine carries it out, and is to be done by a time.
@@ -90,19 +90,19 @@
 
 /// An engine's change of stage.
 #[derive(Debug, Clone, Copy)]
-struct Move {
+struct StageChange {
     /// The engine.
     engine: EngineKey,
     /// The stage that it is to have.
     stage: Stage,
     /// When it was decided.
-    planned: Time,
+    planned_at: Time,
     /// How many orders the engine has taken before, once it has told.
-    count: Option<u64>,
+    order_count: Option<u64>,
     /// How far it is.
     phase: Phase,
     /// The orders sent for it.
-    tries: u32,
+    attempts: u32,
 }
 
 /// The changes that this box orders.
@@ -113,19 +113,19 @@
     /// This box's name as a holder.
     holder: Arc<str>,
     /// The fencing token that was last logged as held.
-    noted: Option<u64>,
+    logged_token: Option<u64>,
     /// Until when the lease is wanted for changes that are not planned yet.
     wanted_until: Time,
     /// The changes that are planned or under way.
-    moves: Vec<Move>,
+    changes: Vec<StageChange>,
     /// The number of the last operation on the store.
     last_operation: u64,
     /// When the next look at the moves is due.
-    next_look: Option<Time>,
+    next_check: Option<Time>,
     /// Until when nothing new is decided.
-    rests_until: Time,
+    paused_until: Time,
     /// The direction of the last change, and when it was decided.
-    last: Option<(Change, Time)>,
+    last_change: Option<(Change, Time)>,
 }
 
 impl Stages {
@@ -135,13 +135,13 @@
         Stages {
             lease: Lease::new(Time::ZERO, LEASE.to_owned(), holder.clone(), TERMS),
             holder: holder.into(),
-            noted: None,
+            logged_token: None,
             wanted_until: Time::ZERO,
-            moves: Vec::new(),
+            changes: Vec::new(),
             last_operation: 0,
-            next_look: None,
-            rests_until: Time::ZERO,
-            last: None,
+            next_check: None,
+            paused_until: Time::ZERO,
+            last_change: None,
         }
     }
 
@@ -151,19 +151,19 @@
     }
 
     /// Gives when the moves are to be looked at.
-    pub(super) fn due(&self) -> Option<Time> {
-        self.next_look
+    pub(super) fn next_check_at(&self) -> Option<Time> {
+        self.next_check
     }
 
     /// Finds the change of an engine.
-    fn of(&mut self, engine: EngineKey) -> Option<&mut Move> {
-        self.moves.iter_mut().find(|it| it.engine == engine)
+    fn find(&mut self, engine: EngineKey) -> Option<&mut StageChange> {
+        self.changes.iter_mut().find(|it| it.engine == engine)
     }
 }
 
 impl Gateway {
     /// Counts what a request asks of a service with stages.
-    pub(super) fn meter(&mut self, service: &Service, request: &Request) {
+    pub(super) fn record_demand(&mut self, service: &Service, request: &Request) {
         if service.staged.is_some() {
             let meter = self.meters.entry(service.name.clone()).or_default();
             meter.arrive(request.tokens_in(), request.tokens_held(), self.now);
@@ -178,22 +178,22 @@
     }
 
     /// Gives the changes that this box orders, for the others.
-    pub(super) fn own_switching(&self) -> Vec<Switching> {
-        self.stages.moves.iter().map(|it| self.switching(it)).collect()
+    pub(super) fn own_stage_switches(&self) -> Vec<StageSwitch> {
+        self.stages.changes.iter().map(|it| self.stage_switch(it)).collect()
     }
 
     /// Takes word of an engine that is to change its stage.
-    pub(super) fn hear_switching(&mut self, switching: &Switching) {
-        let span = Duration::from_millis(u64::from(switching.span_ms));
+    pub(super) fn apply_stage_switch(&mut self, switching: &StageSwitch) {
+        let span = Duration::from_millis(u64::from(switching.duration_ms));
         self.directory.switch(switching.engine, switching.stage, self.now + span);
     }
 
     /// Looks whether the engines' stages fit the load, if that is this box's to decide.
-    pub(super) fn balance(&mut self) {
-        if !self.leads() {
+    pub(super) fn balance_stages(&mut self) {
+        if !self.is_leader() {
             return self.drop_planned();
         }
-        if self.now < self.stages.rests_until {
+        if self.now < self.stages.paused_until {
             return;
         }
         let Some(configuration) = self.configuration.clone() else { return };
@@ -207,15 +207,15 @@
     }
 
     /// Tells whether this box has engines change their stage.
-    pub(super) fn gives_orders(&self) -> bool {
-        !self.stages.moves.is_empty()
+    pub(super) fn has_stage_changes(&self) -> bool {
+        !self.stages.changes.is_empty()
     }
 
     /// Tells whether this box is the one to give orders. The tokens of boxes that know no eras are
     /// lower than those of this one, which must not go before them.
-    pub(super) fn leads(&self) -> bool {
-        let keeps_tokens = self.store_era() == 0 || self.members.know_eras();
-        let is_able = self.is_ready() && !self.knowledge().is_blind && keeps_tokens;
+    pub(super) fn is_leader(&self) -> bool {
+        let keeps_tokens = self.store_era() == 0 || self.members.all_support_eras();
+        let is_able = self.is_ready() && !self.store_view().has_lost_store && keeps_tokens;
         is_able && self.members.is_first(self.settings.peer)
     }
 
@@ -224,7 +224,7 @@
         let hash = service_hash(&service.name);
         let own = self.own_demand().into_iter().find(|it| it.0 == hash);
         let demand = self.members.demand(hash).plus(own.map(|it| it.1).unwrap_or_default());
-        if demand.requests < LEAST_REQUESTS {
+        if demand.requests < MIN_REQUESTS {
             return;
         }
         let capacity = Capacity {
@@ -232,41 +232,41 @@
             memory: staged.memory_tokens as f64,
         };
         loop {
-            let (split, working) = self.split(&service.name, demand, capacity);
+            let (split, working) = self.count_stages(&service.name, demand, capacity);
             let engines = split.readers + split.generators;
             let changing = engines - working.readers - working.generators;
-            let most = (f64::from(engines) * MOST_SWITCHING).max(1.0) as u32;
+            let most = (f64::from(engines) * MAX_SWITCHING_SHARE).max(1.0) as u32;
             if changing >= most {
                 return;
             }
             let Some(change) = ratio::change(demand, capacity, split, working) else { return };
             let is_reverse = |&(last, at): &(Change, Time)| {
-                last != change && self.now.since(at) < REVERSES_AFTER
+                last != change && self.now.since(at) < REVERSAL_DELAY
             };
-            if self.stages.last.as_ref().is_some_and(is_reverse) {
+            if self.stages.last_change.as_ref().is_some_and(is_reverse) {
                 return;
             }
-            self.stages.wanted_until = self.now + WANTED_FOR;
+            self.stages.wanted_until = self.now + LEASE_WANTED_DURATION;
             if !self.may_order() {
-                self.stages.next_look = Some(self.now);
+                self.stages.next_check = Some(self.now);
                 return;
             }
-            let Some(engine) = self.to_change(&service.name, change) else { return };
+            let Some(engine) = self.choose_engine(&service.name, change) else { return };
             self.plan(engine, change, split, demand);
         }
     }
 
     /// Gives the engines of a service by the stage that they have or will have, and those of them
     /// that work now. One in need counts if it takes at least half of what it could bear.
-    fn split(&self, service: &str, demand: Demand, capacity: Capacity) -> (Split, Split) {
+    fn count_stages(&self, service: &str, demand: Demand, capacity: Capacity) -> (Split, Split) {
         let mut split = Split { readers: 0, generators: 0 };
         let mut working = split;
-        let bears = Bearing::of(demand, capacity);
+        let bears = Throughput::of(demand, capacity);
         for known in self.staying(service) {
             let is_reader = known.coming_stage(self.now) == Some(Stage::Prefill);
-            let usual = if is_reader { bears.reader } else { bears.generator };
+            let usual = if is_reader { bears.prefill } else { bears.decode };
             let limit = self.terms.limits.of(known.engine.key);
-            if limit.is_some_and(|it| it.rate < usual * LEAST_COUNTED) {
+            if limit.is_some_and(|it| it.rate < usual * MIN_COUNTED_SHARE) {
                 continue;
             }
             let works = u32::from(known.switching(self.now).is_none());
@@ -288,7 +288,7 @@
 
     /// Chooses the engine that changes: of the data centre with the most readers to generate, of
     /// the one with the fewest to read; there the one with the least work.
-    fn to_change(&self, service: &str, change: Change) -> Option<EngineKey> {
+    fn choose_engine(&self, service: &str, change: Change) -> Option<EngineKey> {
         let from = match change {
             Change::ToGenerating => Stage::Prefill,
             Change::ToReading => Stage::Decode,
@@ -307,7 +307,7 @@
         let chosen = candidates.min_by_key(|it| {
             let readers = readers_near(it);
             let readers = if change == Change::ToGenerating { -readers } else { readers };
-            (readers, self.ledger.at(it.engine.key).held, it.engine.key)
+            (readers, self.ledger.at(it.engine.key).held_tokens, it.engine.key)
         });
         chosen.map(|it| it.engine.key)
     }
@@ -318,44 +318,51 @@
             Change::ToGenerating => Stage::Decode,
             Change::ToReading => Stage::Prefill,
         };
-        let planned = self.now;
-        let step = Move { engine, stage, planned, count: None, phase: Phase::Settling, tries: 0 };
-        self.stages.moves.push(step);
-        self.stages.last = Some((change, planned));
+        let planned_at = self.now;
+        let stage_change = StageChange {
+            engine,
+            stage,
+            planned_at,
+            order_count: None,
+            phase: Phase::Announced,
+            attempts: 0,
+        };
+        self.stages.changes.push(stage_change);
+        self.stages.last_change = Some((change, planned_at));
         if let Some(known) = self.directory.get(engine) {
             let known = known.engine.clone();
             self.note(Note::Switch { id: known.id.clone(), stage, engines, demand });
             self.effects.push(Effect::Inspect(known));
         }
-        self.announce(&step);
+        self.announce_change(&stage_change);
     }
 
     /// Tells all boxes, this one too, how far a change is.
-    fn announce(&mut self, step: &Move) {
-        let switching = self.switching(step);
-        self.tell_switching(switching);
+    fn announce_change(&mut self, change: &StageChange) {
+        let stage_switch = self.stage_switch(change);
+        self.announce_stage_switch(stage_switch);
     }
 
     /// Tells all boxes that an engine stays as it is.
-    fn release(&mut self, step: &Move) {
-        self.tell_switching(Switching { span_ms: 0, ..self.switching(step) });
+    fn announce_cancelled(&mut self, change: &StageChange) {
+        self.announce_stage_switch(StageSwitch { duration_ms: 0, ..self.stage_switch(change) });
     }
 
     /// Tells all boxes of a change.
-    fn tell_switching(&mut self, switching: Switching) {
-        self.hear_switching(&switching);
+    fn announce_stage_switch(&mut self, switching: StageSwitch) {
+        self.apply_stage_switch(&switching);
         let mut message = self.message(false);
-        message.switching = vec![switching];
-        self.tell_all(message);
+        message.stage_switches = vec![switching];
+        self.send_to_all(message);
     }
 
     /// Gives what the other boxes need to know of a change.
-    fn switching(&self, step: &Move) -> Switching {
-        let span = match step.phase {
-            Phase::Settling | Phase::Sent => PLANNED_SPAN,
+    fn stage_switch(&self, change: &StageChange) -> StageSwitch {
+        let remaining = match change.phase {
+            Phase::Announced | Phase::Sent => PLANNED_TIMEOUT,
             Phase::UnderWay(until) => until.since(self.now),
         };
-        let span_ms = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        Switching { engine: step.engine, stage: step.stage, span_ms }
+        let duration_ms = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
+        StageSwitch { engine: change.engine, stage: change.stage, duration_ms }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -6,45 +6,45 @@
 use hollyspoke::store::{Answer, Operation};
 
 use super::super::Gateway;
-use super::{Move, PLANNED_SPAN, Phase};
+use super::{PLANNED_TIMEOUT, Phase, StageChange};
 use crate::effect::{Effect, LONGEST_ORDER, Note, Order};
 use crate::engine::EngineKey;
 use crate::event::OrderAnswer;
 
 /// How often it is looked whether an order can be given.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How often one order is sent that gets no answer.
-const MOST_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// The pause after an order that was not taken.
-const REST: Duration = Duration::from_secs(4);
+const CANCEL_PAUSE: Duration = Duration::from_secs(4);
 
 /// How long what runs at an engine may take to end before it changes, beside the change itself.
-const LONGEST_DRAIN: Duration = Duration::from_secs(16);
+const MAX_DRAIN: Duration = Duration::from_secs(16);
 
 /// The time in which all boxes hear that an engine is to change.
-const SETTLES_AFTER: Duration = Duration::from_millis(40);
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(40);
 
 /// The time after which an engine is ordered even if prompts wait there: it turns those away.
-const SETTLED_BY: Duration = Duration::from_millis(600);
+const MAX_PREFILL_WAIT: Duration = Duration::from_millis(600);
 
 impl Gateway {
     /// Gives the orders that can be given now.
     pub(in crate::gateway) fn give_orders(&mut self) {
-        if self.stages.moves.is_empty() && !self.wants_lease() {
-            self.stages.next_look = None;
+        if self.stages.changes.is_empty() && !self.wants_lease() {
+            self.stages.next_check = None;
             return;
         }
         self.drop_finished();
         self.tick_lease();
         self.send_orders();
-        self.stages.next_look = self.wants_lease().then_some(self.now + LOOK_EVERY);
+        self.stages.next_check = self.wants_lease().then_some(self.now + CHECK_INTERVAL);
     }
 
     /// Tells whether there is an order to give, or a change worth one.
     fn wants_lease(&self) -> bool {
-        let has_planned = self.stages.moves.iter().any(|it| it.phase == Phase::Settling);
+        let has_planned = self.stages.changes.iter().any(|it| it.phase == Phase::Announced);
         has_planned || self.now < self.stages.wanted_until
     }
 
@@ -57,12 +57,12 @@
             number
         });
         self.begin(number, begun.take());
-        self.note_lease();
+        self.log_lease();
     }
 
     /// Takes the store's answer to an operation.
-    pub(in crate::gateway) fn stored(&mut self, number: u64, answer: &Answer) {
-        if self.census_stored(number, answer) || self.cases_stored(number, answer) {
+    pub(in crate::gateway) fn apply_store_answer(&mut self, number: u64, answer: &Answer) {
+        if self.apply_census_answer(number, answer) || self.cases_stored(number, answer) {
             return;
         }
         let (next, begun) = (self.stages.last_operation + 1, &mut None);
@@ -71,9 +71,9 @@
             next
         });
         self.begin(next, begun.take());
-        self.note_lease();
+        self.log_lease();
         if self.may_order() {
-            self.balance();
+            self.balance_stages();
         }
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// Logs that the lease was gained or lost.
-    fn note_lease(&mut self) {
+    fn log_lease(&mut self) {
         let token = self.stages.lease.held(self.now).map(|it| it.token);
-        if token.is_some() != self.stages.noted.is_some() {
+        if token.is_some() != self.stages.logged_token.is_some() {
             self.note(Note::Lease(token));
         }
-        self.stages.noted = token;
+        self.stages.logged_token = token;
     }
 
     /// Tells whether this box may give an order now: the lease lasts longer than the order may
@@ -115,22 +115,23 @@
     fn send_orders(&mut self) {
         let now = self.now;
         let Some(held) = self.stages.lease.held(now).filter(|_| self.may_order()) else { return };
-        for index in 0..self.stages.moves.len() {
-            let step = self.stages.moves[index];
-            let reading = self.ledger.at(step.engine).reading;
-            let waited = now.since(step.planned);
-            let is_settled = waited >= SETTLES_AFTER && (reading == 0 || waited >= SETTLED_BY);
-            let Some(expected_count) = step.count else { continue };
-            if step.phase != Phase::Settling || !is_settled {
+        for index in 0..self.stages.changes.len() {
+            let change = self.stages.changes[index];
+            let reading = self.ledger.at(change.engine).prefill_tokens;
+            let waited = now.since(change.planned_at);
+            let is_settled =
+                waited >= ANNOUNCEMENT_DELAY && (reading == 0 || waited >= MAX_PREFILL_WAIT);
+            let Some(expected_count) = change.order_count else { continue };
+            if change.phase != Phase::Announced || !is_settled {
                 continue;
             }
-            let known = self.directory.get(step.engine);
-            let Some(known) = known.filter(|_| self.takes_aside(step.engine)) else { continue };
+            let known = self.directory.get(change.engine);
+            let Some(known) = known.filter(|_| self.takes_aside(change.engine)) else { continue };
             let engine = known.engine.clone();
-            self.stages.moves[index].phase = Phase::Sent;
-            self.stages.moves[index].tries += 1;
-            let (id, stage, token) = (engine.id.clone(), step.stage, held.token);
-            self.note(Note::Ordered { id, stage, token, before: step.tries });
+            self.stages.changes[index].phase = Phase::Sent;
+            self.stages.changes[index].attempts += 1;
+            let (id, stage, token) = (engine.id.clone(), change.stage, held.token);
+            self.note(Note::Ordered { id, stage, token, before: change.attempts });
             let holder = self.stages.holder.clone();
             let order = Order { engine, stage, holder, token, expected_count };
             self.effects.push(Effect::Order(order));
@@ -138,14 +139,14 @@
     }
 
     /// Takes word of how many orders an engine has taken. One that does not tell is not ordered.
-    pub(in crate::gateway) fn inspected(&mut self, engine: EngineKey, count: Option<u64>) {
-        let Some(step) = self.stages.of(engine) else { return };
-        if step.count.is_some() {
+    pub(in crate::gateway) fn apply_order_count(&mut self, engine: EngineKey, count: Option<u64>) {
+        let Some(change) = self.stages.find(engine) else { return };
+        if change.order_count.is_some() {
             return;
         }
-        step.count = count;
+        change.order_count = count;
         if count.is_none() {
-            self.cancel_move(engine, "no report");
+            self.cancel_change(engine, "no report");
         }
     }
 
@@ -153,38 +154,42 @@
     ///
     /// An order without an answer is sent again with the same count: if the first was taken, or is
     /// taken later, the engine refuses one of the two.
-    pub(in crate::gateway) fn ordered(&mut self, engine: EngineKey, answer: OrderAnswer) {
+    pub(in crate::gateway) fn apply_order_answer(
+        &mut self,
+        engine: EngineKey,
+        answer: OrderAnswer,
+    ) {
         let now = self.now;
-        let leads = self.leads();
-        let Some(step) = self.stages.of(engine) else { return };
-        if step.phase != Phase::Sent {
+        let is_leader = self.is_leader();
+        let Some(change) = self.stages.find(engine) else { return };
+        if change.phase != Phase::Sent {
             return;
         }
-        let was_sent_before = step.tries > 1;
+        let was_sent_before = change.attempts > 1;
         match answer {
-            OrderAnswer::Taken => self.under_way(engine, "taken"),
-            OrderAnswer::Held => self.under_way(engine, "held already"),
-            OrderAnswer::Conflict if was_sent_before => self.under_way(engine, "taken before"),
-            OrderAnswer::Unknown if step.tries < MOST_TRIES && leads => {
-                step.phase = Phase::Settling;
-                self.stages.next_look = Some(now);
+            OrderAnswer::Taken => self.mark_under_way(engine, "taken"),
+            OrderAnswer::Held => self.mark_under_way(engine, "held already"),
+            OrderAnswer::Conflict if was_sent_before => self.mark_under_way(engine, "taken before"),
+            OrderAnswer::Unknown if change.attempts < MAX_ATTEMPTS && is_leader => {
+                change.phase = Phase::Announced;
+                self.stages.next_check = Some(now);
             }
-            OrderAnswer::Unknown => self.cancel_move(engine, "no answer"),
-            OrderAnswer::Conflict => self.cancel_move(engine, "conflict"),
-            OrderAnswer::Refused => self.cancel_move(engine, "refused"),
+            OrderAnswer::Unknown => self.cancel_change(engine, "no answer"),
+            OrderAnswer::Conflict => self.cancel_change(engine, "conflict"),
+            OrderAnswer::Refused => self.cancel_change(engine, "refused"),
         }
     }
 
     /// Notes that an engine carries its order out.
-    fn under_way(&mut self, engine: EngineKey, how: &'static str) {
+    fn mark_under_way(&mut self, engine: EngineKey, how: &'static str) {
         let Some(known) = self.directory.get(engine) else { return };
         let id = known.engine.id.clone();
-        let until = self.now + self.switch_span(&known.engine.service.clone()) + LONGEST_DRAIN;
-        let Some(step) = self.stages.of(engine) else { return };
-        step.phase = Phase::UnderWay(until);
-        let step = *step;
+        let until = self.now + self.switch_span(&known.engine.service.clone()) + MAX_DRAIN;
+        let Some(change) = self.stages.find(engine) else { return };
+        change.phase = Phase::UnderWay(until);
+        let change = *change;
         self.note(Note::OrderEnded { id, how });
-        self.announce(&step);
+        self.announce_change(&change);
     }
 
     /// Gives how long a service's engines take to change.
@@ -194,37 +199,37 @@
     }
 
     /// Gives a change up, and decides nothing new for a while.
-    fn cancel_move(&mut self, engine: EngineKey, how: &'static str) {
-        let Some(step) = self.stages.of(engine).copied() else { return };
-        self.stages.moves.retain(|it| it.engine != engine);
-        self.stages.rests_until = self.now + REST;
+    fn cancel_change(&mut self, engine: EngineKey, how: &'static str) {
+        let Some(change) = self.stages.find(engine).copied() else { return };
+        self.stages.changes.retain(|it| it.engine != engine);
+        self.stages.paused_until = self.now + CANCEL_PAUSE;
         if let Some(known) = self.directory.get(engine) {
             let id = known.engine.id.clone();
             self.note(Note::OrderEnded { id, how });
         }
-        self.release(&step);
+        self.announce_cancelled(&change);
     }
 
     /// Drops the change of an engine that has ended: it knows of no order any more.
-    pub(in crate::gateway) fn drop_move(&mut self, engine: EngineKey) {
-        if self.stages.of(engine).is_some() {
-            self.cancel_move(engine, "engine ended");
+    pub(in crate::gateway) fn drop_change(&mut self, engine: EngineKey) {
+        if self.stages.find(engine).is_some() {
+            self.cancel_change(engine, "engine ended");
         }
     }
 
     /// Gives up the change of an engine that was not ordered yet.
     pub(in crate::gateway) fn drop_unordered(&mut self, engine: EngineKey, how: &'static str) {
-        if self.stages.of(engine).is_some_and(|it| it.phase == Phase::Settling) {
-            self.cancel_move(engine, how);
+        if self.stages.find(engine).is_some_and(|it| it.phase == Phase::Announced) {
+            self.cancel_change(engine, how);
         }
     }
 
     /// Gives up the changes that are not ordered yet: another box decides from now on.
     pub(super) fn drop_planned(&mut self) {
-        let is_planned = |it: &&Move| it.phase == Phase::Settling;
-        let planned: Vec<_> = self.stages.moves.iter().filter(is_planned).copied().collect();
-        for step in planned {
-            self.cancel_move(step.engine, "not the first box any more");
+        let is_planned = |it: &&StageChange| it.phase == Phase::Announced;
+        let planned: Vec<_> = self.stages.changes.iter().filter(is_planned).copied().collect();
+        for change in planned {
+            self.cancel_change(change.engine, "not the first box any more");
         }
     }
 
@@ -232,17 +237,18 @@
     fn drop_finished(&mut self) {
         let now = self.now;
         let directory = &self.directory;
-        let is_finished = |it: &Move| {
+        let is_finished = |it: &StageChange| {
             let known = directory.get(it.engine);
             let is_done = known.is_none_or(|known| known.engine.stage == Some(it.stage));
             is_done || matches!(it.phase, Phase::UnderWay(until) if until <= now)
         };
-        self.stages.moves.retain(|it| !is_finished(it));
-        let is_stuck =
-            |it: &&Move| it.phase == Phase::Settling && now.since(it.planned) >= PLANNED_SPAN;
-        let stuck: Vec<_> = self.stages.moves.iter().filter(is_stuck).copied().collect();
-        for step in stuck {
-            self.cancel_move(step.engine, "no lease");
+        self.stages.changes.retain(|it| !is_finished(it));
+        let is_stuck = |it: &&StageChange| {
+            it.phase == Phase::Announced && now.since(it.planned_at) >= PLANNED_TIMEOUT
+        };
+        let stuck: Vec<_> = self.stages.changes.iter().filter(is_stuck).copied().collect();
+        for change in stuck {
+            self.cancel_change(change.engine, "no lease");
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -90,7 +90,7 @@
         };
         self.earn_repeats(&service);
         let is_repeated = self.is_repeated(&route, &request);
-        self.meter(&service, &request);
+        self.record_demand(&service, &request);
         let flight = Flight {
             ends: self.now + held,
             signature: Signature::of(
@@ -145,7 +145,7 @@
         if !flight.may_run_again() {
             return self.give_up(key, NotRunReason::TurnedAway);
         }
-        if let Some(until) = self.waits_for_survey(flight) {
+        if let Some(until) = self.survey_wait_until(flight) {
             return self.wait_for_survey(key, until);
         }
         self.note_kept_away(key);
@@ -389,11 +389,11 @@
 fn load_of(flight: &Flight, task: &Task) -> Load {
     let narrow = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX / 4);
     let tokens = narrow(flight.request.tokens_in());
-    let held = narrow(flight.request.tokens_held());
+    let held_tokens = narrow(flight.request.tokens_held());
     match task {
-        Task::Plain => Load { reading: 0, calls: 1, held: 0 },
-        Task::Read => Load { reading: tokens, calls: 1, held: tokens },
-        Task::Generate(Prompt::Unread) => Load { reading: tokens, calls: 1, held },
-        Task::Generate(_) => Load { reading: 0, calls: 1, held },
+        Task::Plain => Load { prefill_tokens: 0, calls: 1, held_tokens: 0 },
+        Task::Read => Load { prefill_tokens: tokens, calls: 1, held_tokens: tokens },
+        Task::Generate(Prompt::Unread) => Load { prefill_tokens: tokens, calls: 1, held_tokens },
+        Task::Generate(_) => Load { prefill_tokens: 0, calls: 1, held_tokens },
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -14,89 +14,90 @@
 use crate::effect::{Effect, Note};
 use crate::engine::{Engine, EngineChange};
 use crate::event::Kind;
-use crate::member::number;
-use crate::message::{EngineNews, Knowledge};
+use crate::member::address_hash;
+use crate::message::{EngineUpdate, StoreView};
 use crate::route::Configuration;
 
 /// How many boxes follow the store, at least.
-const FOLLOWERS: usize = 3;
+const MIN_FOLLOWERS: usize = 3;
 
 /// For how many boxes there is one more: where silence is noticed later, more may be lost at once.
-const NODES_A_FOLLOWER: usize = 100;
+const NODES_PER_FOLLOWER: usize = 100;
 
 /// How many more boxes may follow while others get no answers. If the store is away for all, a few
 /// are enough to notice its return.
-const MOST_BLIND: usize = 8;
+const MAX_CUT_OFF_FOLLOWERS: usize = 8;
 
 /// The time without an answer after which a follower is blind: a watch may take almost this long.
-const ANSWER_LIFE: Duration = Duration::from_millis(2500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// The time for which calls must fail for the same.
-const FAILING_FOR: Duration = Duration::from_millis(700);
+const FAILURE_DURATION: Duration = Duration::from_millis(700);
 
 /// The least time without an answer after which entries may have lapsed that are not renewed.
-const LEAST_OUTAGE: Duration = Duration::from_millis(1500);
+const MIN_OUTAGE: Duration = Duration::from_millis(1500);
 
 /// How long after the store's return the engines that live are back in it.
-const BACK_WITHIN: Duration = Duration::from_secs(2);
+const RETURN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The time after a box's start in which it hears the others, before it decides whether it follows
 /// the store: if all followed until then, each would read every change while engines enter
 /// themselves.
-const DECIDES_AFTER: Duration = Duration::from_millis(800);
+const FOLLOW_DECISION_DELAY: Duration = Duration::from_millis(800);
 
 /// The heartbeats in a row at which a box must be behind before it asks: at the first the word of
 /// what is new may still be on its way.
-const ASKS_AFTER: u32 = 2;
+const ASK_AFTER_HEARTBEATS: u32 = 2;
 
 /// The same before one of many boxes reads the engines from the store: by then several boxes that
 /// know more have not handed it over.
-const LARGE_READS_AFTER: u32 = 8;
+const LARGE_READ_AFTER_HEARTBEATS: u32 = 8;
 
 /// The same before one of many boxes asks another for a newer configuration: those that read it from
 /// the store have it by then.
-const LARGE_ASKS_AFTER: u32 = 1;
+const LARGE_ASK_AFTER_HEARTBEATS: u32 = 1;
 
 /// The boxes from which on a new configuration is passed on and not read by each. It comes up to
 /// three heartbeats later so: 2.5 s at 300 boxes, measured, where some sites want it in force within
 /// 2 s; those that have so many boxes allow 5 s.
-const PASSED_ON_FROM: usize = 500;
+const FORWARD_CONFIGURATION_MIN_BOXES: usize = 500;
 
 /// Of how many boxes one reads a new configuration from the store as soon as it is heard of, where
 /// it is passed on; the others get it from these. If all read, each version costs a call a box.
-const BOXES_A_READER: u64 = 8;
+const BOXES_PER_READER: u64 = 8;
 
 /// The most changes that are passed on in one datagram: about 85 bytes each, so that one fits into
 /// a packet.
-const CHANGES_A_DATAGRAM: usize = 16;
+const MAX_CHANGES_PER_DATAGRAM: usize = 16;
 
 /// The most changes of engines between two heartbeats that get a line of their own in the log.
-const MOST_NOTED: usize = 4;
+const MAX_LOGGED_CHANGES: usize = 4;
 
 /// The most changes of one revision that are passed on, which must go in one datagram of at most
 /// 8,192 bytes.
-const MOST_OF_A_REVISION: usize = 64;
+const MAX_CHANGES_PER_REVISION: usize = 64;
 
 /// The most changes that are passed on at once; beyond, the others read for themselves. When a
 /// large site starts, its engines enter by tens between two answers of the store, and all boxes
 /// reading the list for that were most of the calls to the store (`docs/SCALE.md`).
-const MOST_PASSED_ON: usize = 512;
+const MAX_FORWARDED_CHANGES: usize = 512;
 
 /// How the store answers about one kind of object.
 #[derive(Debug, Clone, Copy, Default)]
 struct Contact {
     /// When it last answered.
-    answered: Option<Time>,
+    last_answer: Option<Time>,
     /// Since when calls have failed.
-    away: Option<Time>,
+    failing_since: Option<Time>,
 }
 
 impl Contact {
     /// Tells whether a box that has followed the store since a time gets no answers.
     fn is_lost(&self, now: Time, since: Time) -> bool {
-        let last = self.answered.map_or(since, |it| it.max(since));
-        let is_failing = self.away.is_some_and(|it| now.since(it.max(since)) >= FAILING_FOR);
-        is_failing || now.since(last) >= ANSWER_LIFE
+        let last = self.last_answer.map_or(since, |it| it.max(since));
+        let is_failing =
+            self.failing_since.is_some_and(|it| now.since(it.max(since)) >= FAILURE_DURATION);
+        is_failing || now.since(last) >= ANSWER_TIMEOUT
     }
 }
 
@@ -104,7 +105,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineChanges {
     /// Those with a line of their own in the log.
-    noted: usize,
+    logged: usize,
     /// Others that were added or changed.
     put: usize,
     /// Others that left.
@@ -129,13 +130,13 @@
     /// When the store last answered about engines again after an outage, or came back.
     pub(super) engines_back: Option<Time>,
     /// The newest version that another box was heard to have.
-    heard_version: u64,
+    newest_known_version: u64,
     /// The newest version for which the configuration was read as soon as it was heard of.
-    asked_for: u64,
+    requested_version: u64,
     /// At how many heartbeats in a row the configuration was behind others'.
-    configuration_behind: u32,
+    configuration_lag: u32,
     /// At how many heartbeats in a row the engines were behind others'.
-    engines_behind: u32,
+    engines_lag: u32,
 }
 
 impl Default for StoreState {
@@ -148,10 +149,10 @@
             engines: Contact::default(),
             evacuations: Contact::default(),
             engines_back: None,
-            heard_version: 0,
-            asked_for: 0,
-            configuration_behind: 0,
-            engines_behind: 0,
+            newest_known_version: 0,
+            requested_version: 0,
+            configuration_lag: 0,
+            engines_lag: 0,
         }
     }
 }
@@ -183,11 +184,11 @@
         self.note(Note::Configured { version: configuration.version, routes });
         self.configuration = Some(configuration);
         self.take_customers();
-        self.beat_with_news();
+        self.schedule_heartbeat();
     }
 
     /// Takes a whole list of engines.
-    pub(super) fn list(&mut self, engines: Vec<Engine>, revision: Revision) {
+    pub(super) fn apply_engine_list(&mut self, engines: Vec<Engine>, revision: Revision) {
         let known = self.directory.complete();
         let enters = self.is_listed && revision.era > known.era;
         // Only what was known at the same revision adds up with the changes to a later era's list.
@@ -197,58 +198,58 @@
             Some(changes) => {
                 self.note(Note::Listed { engines: self.directory.len(), revision });
                 if self.is_listed && self.store.follows {
-                    self.pass_on(since, changes);
+                    self.forward_changes(since, changes);
                 }
             }
             None => self.note(Note::ListDropped { revision, known }),
         }
         if enters {
-            self.beat_with_news();
+            self.schedule_heartbeat();
         }
         if !self.is_listed {
             self.is_listed = true;
-            self.beat_with_news();
+            self.schedule_heartbeat();
         }
     }
 
     /// Takes changes that this box read from the store. One that follows it passes them on; the
     /// others have read what they had missed, which the rest knows.
-    pub(super) fn change(&mut self, changes: Vec<EngineChange>) {
+    pub(super) fn apply_engine_changes(&mut self, changes: Vec<EngineChange>) {
         let since = self.directory.next_since();
         let own = self.directory.complete();
         let newer: Vec<_> = changes.into_iter().filter(|it| it.revision() > own).collect();
         self.apply(&newer);
         if self.store.follows {
-            self.pass_on(since, newer);
+            self.forward_changes(since, newer);
         }
     }
 
     /// Passes changes on, in datagrams that build on each other, if they are not too many: then the
     /// others read for themselves.
-    fn pass_on(&mut self, since: Revision, changes: Vec<EngineChange>) {
-        if changes.len() > MOST_PASSED_ON {
+    fn forward_changes(&mut self, since: Revision, changes: Vec<EngineChange>) {
+        if changes.len() > MAX_FORWARDED_CHANGES {
             return;
         }
-        let parts = parts(changes);
-        if parts.iter().any(|it| it.len() > MOST_OF_A_REVISION) {
+        let parts = split_into_datagrams(changes);
+        if parts.iter().any(|it| it.len() > MAX_CHANGES_PER_REVISION) {
             return;
         }
         let mut since = since;
         for part in parts {
             let last = part.last().map_or(since, EngineChange::revision);
-            self.tell_news(EngineNews { since, changes: part });
+            self.send_engine_update(EngineUpdate { since, changes: part });
             since = last;
         }
     }
 
     /// Takes changes that another box passed on, if none between is missing.
-    pub(super) fn take_news(&mut self, news: &EngineNews) {
+    pub(super) fn apply_engine_update(&mut self, news: &EngineUpdate) {
         let own = self.directory.complete();
         let last = news.changes.last().map_or(news.since, EngineChange::revision);
         let enters = last.era > own.era;
         // A box that knows more of the era before knows what is lost.
         if enters && self.is_listed && own != news.since {
-            return self.ask_for_snapshot();
+            return self.request_snapshot();
         }
         if !self.is_listed || own < news.since {
             return;
@@ -271,20 +272,20 @@
         let mut notes = Vec::new();
         for change in changes {
             notes.extend(match change {
-                EngineChange::Put(engine, revision) => self.put(engine, *revision),
-                EngineChange::Left(id, revision) => self.leave(id, *revision),
+                EngineChange::Put(engine, revision) => self.apply_put(engine, *revision),
+                EngineChange::Left(id, revision) => self.apply_left(id, *revision),
             });
         }
-        self.note_engines(notes);
+        self.log_engine_changes(notes);
     }
 
     /// Adds changes of engines to the log: the first between two heartbeats one by one, the others
     /// by their number.
-    fn note_engines(&mut self, notes: Vec<Note>) {
+    fn log_engine_changes(&mut self, notes: Vec<Note>) {
         for note in notes {
             let changes = &mut self.engine_changes;
-            if changes.noted < MOST_NOTED {
-                changes.noted += 1;
+            if changes.logged < MAX_LOGGED_CHANGES {
+                changes.logged += 1;
                 self.note(note);
             } else if matches!(note, Note::EngineLeft { .. }) {
                 changes.left += 1;
@@ -295,7 +296,7 @@
     }
 
     /// Adds the number of changes to the log that have no line of their own.
-    pub(super) fn note_engine_count(&mut self) {
+    pub(super) fn log_engine_change_counts(&mut self) {
         let EngineChanges { put, left, .. } = std::mem::take(&mut self.engine_changes);
         if put + left > 0 {
             self.note(Note::ManyEngines { put, left });
@@ -303,7 +304,7 @@
     }
 
     /// Takes one engine's change.
-    fn put(&mut self, engine: &Engine, revision: Revision) -> Option<Note> {
+    fn apply_put(&mut self, engine: &Engine, revision: Revision) -> Option<Note> {
         let old = self.directory.get(engine.key).map(|it| it.engine.is_draining);
         let is_news = old != Some(engine.is_draining);
         let is_taken = self.directory.change(engine.clone(), revision, self.now);
@@ -314,7 +315,7 @@
     }
 
     /// Takes one engine's leaving.
-    fn leave(&mut self, id: &Arc<str>, revision: Revision) -> Option<Note> {
+    fn apply_left(&mut self, id: &Arc<str>, revision: Revision) -> Option<Note> {
         let missing_until = self.missing_until();
         let has_left = self.directory.leave(id, revision, missing_until, self.now);
         (has_left && missing_until.is_none()).then(|| Note::EngineLeft { id: id.clone() })
@@ -324,9 +325,9 @@
     pub(super) fn store_answered(&mut self, kind: Kind) {
         let now = self.now;
         let contact = self.store.contact(kind);
-        contact.answered = Some(now);
-        let away = contact.away.take();
-        let was_away = away.is_some_and(|it| now.since(it) >= LEAST_OUTAGE);
+        contact.last_answer = Some(now);
+        let away = contact.failing_since.take();
+        let was_away = away.is_some_and(|it| now.since(it) >= MIN_OUTAGE);
         if kind == Kind::Engines && was_away {
             self.store.engines_back = Some(now);
         }
@@ -334,17 +335,17 @@
 
     /// Notes that the store did not answer.
     pub(super) fn store_failed(&mut self, kind: Kind) {
-        self.store.contact(kind).away.get_or_insert(self.now);
+        self.store.contact(kind).failing_since.get_or_insert(self.now);
     }
 
     /// Gives until when an engine stays whose entry is missing: entries lapse while the store is
     /// away, and engines that live are back soon after its return. None if the store was there.
     pub(super) fn missing_until(&self) -> Option<Time> {
-        let is_away = |it: Time| self.now.since(it) >= LEAST_OUTAGE;
-        if self.store.engines.away.is_some_and(is_away) {
-            return Some(self.now + BACK_WITHIN);
+        let is_away = |it: Time| self.now.since(it) >= MIN_OUTAGE;
+        if self.store.engines.failing_since.is_some_and(is_away) {
+            return Some(self.now + RETURN_TIMEOUT);
         }
-        let end = self.store.engines_back? + BACK_WITHIN;
+        let end = self.store.engines_back? + RETURN_TIMEOUT;
         (self.now < end).then_some(end)
     }
 
@@ -361,109 +362,113 @@
     }
 
     /// Tells what this box knows.
-    pub(super) fn knowledge(&self) -> Knowledge {
-        Knowledge {
+    pub(super) fn store_view(&self) -> StoreView {
+        StoreView {
             version: self.version().unwrap_or(0),
             revision: self.directory.changed(),
-            is_blind: self.store.is_blind(self.now),
+            has_lost_store: self.store.is_blind(self.now),
         }
     }
 
     /// Decides whether this box follows the store, and reads what it has been behind with since
     /// the last heartbeat.
-    pub(super) fn keep_up(&mut self) {
-        let follows = self.should_follow() && self.now.since(Time::ZERO) >= DECIDES_AFTER;
+    pub(super) fn sync_with_store(&mut self) {
+        let follows = self.should_follow() && self.now.since(Time::ZERO) >= FOLLOW_DECISION_DELAY;
         if follows != self.store.follows {
             self.store.follows = follows;
             self.store.since = self.now;
             self.note(Note::Follows(follows));
             self.effects.push(Effect::Follow(follows));
         }
-        let newest = self.members.newest();
+        let newest = self.members.newest_store_view();
         let behind = self.version().unwrap_or(0) < newest.version;
-        let lacked_configuration = count(&mut self.store.configuration_behind, behind);
+        let lacked_configuration = count_consecutive(&mut self.store.configuration_lag, behind);
         let known = self.directory.complete();
         let behind = !self.is_listed || known < newest.revision;
-        let lacked_engines = count(&mut self.store.engines_behind, behind);
+        let lacked_engines = count_consecutive(&mut self.store.engines_lag, behind);
         let lacks_era = self.is_listed && known.era < newest.revision.era;
-        if lacked_configuration >= ASKS_AFTER {
+        if lacked_configuration >= ASK_AFTER_HEARTBEATS {
             self.effects.push(Effect::Read(Kind::Configuration));
         }
-        if lacked_engines >= self.reads_after() && self.is_listed {
+        if lacked_engines >= self.read_after_heartbeats() && self.is_listed {
             self.effects.push(Effect::Read(Kind::Engines));
         }
         // Whatever it lacks for so long the store does not give it, or not soon.
-        let lacks_configuration = lacked_configuration >= self.asks_after();
-        if lacks_configuration || lacked_engines >= ASKS_AFTER || lacks_era {
-            self.ask_for_snapshot();
+        let lacks_configuration = lacked_configuration >= self.ask_after_heartbeats();
+        if lacks_configuration || lacked_engines >= ASK_AFTER_HEARTBEATS || lacks_era {
+            self.request_snapshot();
         }
     }
 
     /// Tells whether there are so many boxes that not each reads a new configuration.
-    fn passes_versions_on(&self) -> bool {
-        self.members.most() >= PASSED_ON_FROM
+    fn forwards_configurations(&self) -> bool {
+        self.members.peak_count() >= FORWARD_CONFIGURATION_MIN_BOXES
     }
 
     /// Gives the heartbeats in a row after which a box that is behind with the configuration asks
     /// another.
-    fn asks_after(&self) -> u32 {
-        if self.passes_versions_on() { LARGE_ASKS_AFTER } else { ASKS_AFTER }
+    fn ask_after_heartbeats(&self) -> u32 {
+        if self.forwards_configurations() {
+            LARGE_ASK_AFTER_HEARTBEATS
+        } else {
+            ASK_AFTER_HEARTBEATS
+        }
     }
 
     /// Gives the heartbeats in a row after which a box that is behind with the engines reads the
     /// store. Where boxes are many one of them is asked first, which costs the store nothing: a
     /// datagram that is lost at a relay leaves hundreds behind.
-    fn reads_after(&self) -> u32 {
-        if self.members.is_large() { LARGE_READS_AFTER } else { ASKS_AFTER }
+    fn read_after_heartbeats(&self) -> u32 {
+        if self.members.is_large() { LARGE_READ_AFTER_HEARTBEATS } else { ASK_AFTER_HEARTBEATS }
     }
 
     /// Tells whether another box is known to have a newer configuration.
     pub(super) fn is_behind(&self) -> bool {
-        self.store.heard_version > self.version().unwrap_or(0)
+        self.store.newest_known_version > self.version().unwrap_or(0)
     }
 
     /// Has the configuration read as soon as another box knows a newer one. A box that follows
     /// the store gets it from there.
-    pub(super) fn read_if_newer(&mut self, version: u64) {
-        self.store.heard_version = self.store.heard_version.max(version);
+    pub(super) fn read_newer_configuration(&mut self, version: u64) {
+        self.store.newest_known_version = self.store.newest_known_version.max(version);
         let is_newer = version > self.version().unwrap_or(0);
-        let was_asked = self.store.asked_for >= version;
+        let was_asked = self.store.requested_version >= version;
         if !is_newer || was_asked || self.store.follows {
             return;
         }
-        self.store.asked_for = version;
-        let weight = rank::weight(version, number(&self.settings.peer));
-        if !self.passes_versions_on() || weight.is_multiple_of(BOXES_A_READER) {
+        self.store.requested_version = version;
+        let weight = rank::weight(version, address_hash(&self.settings.peer));
+        if !self.forwards_configurations() || weight.is_multiple_of(BOXES_PER_READER) {
             self.effects.push(Effect::Read(Kind::Configuration));
         }
     }
 
     /// Tells whether this box is to follow the store.
     fn should_follow(&self) -> bool {
-        let count = FOLLOWERS + self.members.most() / NODES_A_FOLLOWER;
+        let count = MIN_FOLLOWERS + self.members.peak_count() / NODES_PER_FOLLOWER;
         self.members.is_follower(
             self.settings.peer,
             count,
-            count + MOST_BLIND,
+            count + MAX_CUT_OFF_FOLLOWERS,
             self.store_era() > 0,
         )
     }
 }
 
 /// Counts for how many looks in a row something holds.
-fn count(looks: &mut u32, holds: bool) -> u32 {
+fn count_consecutive(looks: &mut u32, holds: bool) -> u32 {
     *looks = if holds { looks.saturating_add(1) } else { 0 };
     *looks
 }
 
 /// Parts changes into datagrams. Changes of one revision, as the difference between two lists has
 /// them, stay together: a box that misses one datagram must not take the next.
-fn parts(changes: Vec<EngineChange>) -> Vec<Vec<EngineChange>> {
+fn split_into_datagrams(changes: Vec<EngineChange>) -> Vec<Vec<EngineChange>> {
     let mut parts: Vec<Vec<EngineChange>> = Vec::new();
     for change in changes {
         let last = parts.last_mut().filter(|part| {
             let is_same = part.last().map(EngineChange::revision) == Some(change.revision());
-            is_same || part.len() < CHANGES_A_DATAGRAM
+            is_same || part.len() < MAX_CHANGES_PER_DATAGRAM
         });
         match last {
             Some(part) => part.push(change),
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -13,51 +13,51 @@
 use crate::effect::Effect;
 use crate::engine::{EngineKey, Stage};
 use crate::flight::Flight;
-use crate::member::number;
+use crate::member::address_hash;
 use crate::prompt::{Kept, PromptKey};
 use crate::request::FlightKey;
 
 /// The least time after a box can serve in which it hears which others have started.
-const ASKS_AFTER: Duration = Duration::from_millis(100);
+const MIN_ASK_DELAY: Duration = Duration::from_millis(100);
 
 /// The time without a new box after which all are taken to be heard. While some are missing, each
 /// box would ask their engines too.
-const SETTLED_AFTER: Duration = Duration::from_millis(100);
+const QUIET_DURATION: Duration = Duration::from_millis(100);
 
 /// The time after a box can serve at which it asks even if new boxes are still heard.
-const ASKS_BY: Duration = Duration::from_millis(900);
+const MAX_ASK_DELAY: Duration = Duration::from_millis(900);
 
 /// The time from the question by which the answers have come to all.
-const KNOWN_AFTER: Duration = Duration::from_millis(250);
+const ANSWER_DURATION: Duration = Duration::from_millis(250);
 
 /// The most engines that one box asks. A box that has heard few others can't tell whether it is
 /// one of few or cut off: without a bound the questions of all grow with boxes times engines.
-const MOST_ASKED: usize = 16;
+const MAX_ASKED_ENGINES: usize = 16;
 
 /// The most prompts that are noted of one engine.
-const MOST_PROMPTS: usize = 64;
+const MAX_PROMPTS_PER_ENGINE: usize = 64;
 
 /// How far a box is with asking the engines.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Survey {
     /// When the box could first serve.
-    began: Option<Time>,
+    ready_at: Option<Time>,
     /// When the engines are to be asked, if that is known yet and they were not asked.
-    asks_at: Option<Time>,
+    next_attempt: Option<Time>,
     /// When the engines were asked.
-    asked: Option<Time>,
+    asked_at: Option<Time>,
 }
 
 impl Survey {
     /// Gives when it is to be looked whether the engines can be asked.
     pub(super) fn due(&self) -> Option<Time> {
-        self.asks_at
+        self.next_attempt
     }
 
     /// Gives when the answers have come to all, at the latest.
     fn end(&self) -> Option<Time> {
-        let asked = self.asked.or_else(|| self.began.map(|it| it + ASKS_BY))?;
-        Some(asked + KNOWN_AFTER)
+        let asked = self.asked_at.or_else(|| self.ready_at.map(|it| it + MAX_ASK_DELAY))?;
+        Some(asked + ANSWER_DURATION)
     }
 }
 
@@ -65,43 +65,45 @@
     /// Asks this box's part of the engines which prompts they keep, once in its life and not
     /// before it has heard the other boxes.
     pub(super) fn survey(&mut self) {
-        if self.survey.began.is_none() && self.is_ready() {
-            self.survey.began = Some(self.now);
-            self.survey.asks_at = Some(self.now + ASKS_AFTER);
+        if self.survey.ready_at.is_none() && self.is_ready() {
+            self.survey.ready_at = Some(self.now);
+            self.survey.next_attempt = Some(self.now + MIN_ASK_DELAY);
         }
-        let (Some(began), Some(due)) = (self.survey.began, self.survey.asks_at) else { return };
+        let (Some(ready_at), Some(due)) = (self.survey.ready_at, self.survey.next_attempt) else {
+            return;
+        };
         if self.now < due {
             return;
         }
-        let is_late = self.now.since(began) >= ASKS_BY;
-        if !is_late && !self.members.is_settled(self.now, SETTLED_AFTER) {
-            self.survey.asks_at = Some(self.now + SETTLED_AFTER / 2);
+        let is_late = self.now.since(ready_at) >= MAX_ASK_DELAY;
+        if !is_late && !self.members.is_settled(self.now, QUIET_DURATION) {
+            self.survey.next_attempt = Some(self.now + QUIET_DURATION / 2);
             return;
         }
-        self.survey.asks_at = None;
-        self.survey.asked = Some(self.now);
+        self.survey.next_attempt = None;
+        self.survey.asked_at = Some(self.now);
         if !self.is_stopping() {
             self.ask_engines();
         }
-        self.wake_those_that_wait();
+        self.wake_waiting_requests();
     }
 
     /// Asks the engines that fall to this box, as far as it knows the others.
     fn ask_engines(&mut self) {
         let mut nodes = self.members.alive();
         nodes.push(self.settings.peer);
-        let own = number(&self.settings.peer);
+        let own = address_hash(&self.settings.peer);
         let engines = self.directory.all().filter(|it| self.takes_aside(it.engine.key));
         let generators = engines.filter(|it| it.engine.stage == Some(Stage::Decode));
-        let falls_here =
-            |engine: EngineKey| rank::first(engine.0, nodes.iter().map(number)) == Some(own);
-        let chosen = generators.filter(|it| falls_here(it.engine.key));
-        let chosen: Vec<_> = chosen.take(MOST_ASKED).map(|it| it.engine.clone()).collect();
+        let is_assigned =
+            |engine: EngineKey| rank::first(engine.0, nodes.iter().map(address_hash)) == Some(own);
+        let chosen = generators.filter(|it| is_assigned(it.engine.key));
+        let chosen: Vec<_> = chosen.take(MAX_ASKED_ENGINES).map(|it| it.engine.clone()).collect();
         self.effects.extend(chosen.into_iter().map(Effect::Survey));
     }
 
     /// Has the requests that wait for the answers looked at when these have come.
-    fn wake_those_that_wait(&mut self) {
+    fn wake_waiting_requests(&mut self) {
         let Some(end) = self.survey.end() else { return };
         for key in self.waiting.clone() {
             self.wake_at(key, Some(end));
@@ -109,8 +111,8 @@
     }
 
     /// Takes an engine's answer.
-    pub(super) fn surveyed(&mut self, engine: EngineKey, prompts: Vec<PromptKey>) {
-        for prompt in prompts.into_iter().take(MOST_PROMPTS) {
+    pub(super) fn apply_survey_answer(&mut self, engine: EngineKey, prompts: Vec<PromptKey>) {
+        for prompt in prompts.into_iter().take(MAX_PROMPTS_PER_ENGINE) {
             if self.prompts.keepers(prompt).next().is_none() {
                 self.prompts.see(Kept { prompt, engine }, self.now);
             }
@@ -119,7 +121,7 @@
 
     /// Gives until when a request waits for word of its prompt: one that goes on behind an event
     /// has run before, and is late already.
-    pub(super) fn waits_for_survey(&self, flight: &Flight) -> Option<Time> {
+    pub(super) fn survey_wait_until(&self, flight: &Flight) -> Option<Time> {
         flight.request.last_event?;
         let prompt = flight.request.prompt?;
         let end = self.survey.end()?;
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -109,9 +109,9 @@
         let told = std::mem::take(&mut self.untold.departures);
         let departures = self.words_of(told);
         if !departures.is_empty() {
-            let extension = Extension { departures, ..Extension::default() }.filled();
+            let extension = Extension { departures, ..Extension::default() }.non_empty();
             let message = Message { extension, ..self.message(false) };
-            self.tell_all(message);
+            self.send_to_all(message);
         }
     }
 
--- a/crates/hollyspoke-gateway/src/load.rs
+++ b/crates/hollyspoke-gateway/src/load.rs
@@ -54,7 +54,8 @@
     /// Notes that own work has changed.
     fn note_change(&mut self, engine: EngineKey, load: Load, urgency: Urgency) {
         self.changed.insert(engine);
-        self.is_urgent |= urgency == Urgency::Now && (load.held > 0 || load.reading > 0);
+        self.is_urgent |=
+            urgency == Urgency::Now && (load.held_tokens > 0 || load.prefill_tokens > 0);
     }
 
     /// Tells whether own work has changed since it was last told.
@@ -86,7 +87,7 @@
         let mut has_freed = false;
         for (engine, load) in told {
             let old = self.set(peer, engine, load);
-            if load.held < old.held {
+            if load.held_tokens < old.held_tokens {
                 self.contested.insert(engine, leave_until);
                 has_freed = true;
             }
--- a/crates/hollyspoke-gateway/src/member.rs
+++ b/crates/hollyspoke-gateway/src/member.rs
@@ -12,21 +12,21 @@
 use hollyspoke::time::Time;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cadence::{Cadence, SMALL};
-use crate::message::{DataCentreKey, Demand, Format, Knowledge, Message, Named, Standing};
+use crate::cadence::{ALL_TO_ALL_MAX_BOXES, Cadence};
+use crate::message::{DataCentreKey, Demand, Format, Message, PeerAddress, Readiness, StoreView};
 
 use peer::Peer;
 
 /// How long a silent box is still greeted.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 /// The boxes of a data centre from which on one of them passes on what boxes of other data centres
 /// tell: below, too much is lost with it until its death is noticed.
-const LEAST_RELAYED: usize = 6;
+const MIN_RELAYED_BOXES: usize = 6;
 
 /// The boxes of the own data centre that take requests from which on clients are told of these
-/// alone, in deployments of more than [`SMALL`] boxes: a few may be dead and not noticed yet.
-const LEAST_NEAR_FRONTS: usize = 8;
+/// alone, in deployments of more than [`ALL_TO_ALL_MAX_BOXES`] boxes: a few may be dead and not noticed yet.
+const MIN_LOCAL_FRONTS: usize = 8;
 
 /// How far a datagram goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
 /// Whom a datagram goes to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Audience {
+pub struct Recipients {
     /// The boxes that it is sent to and no further.
     pub direct: Vec<SocketAddr>,
     /// The boxes that pass it on to the others of their data centres.
@@ -66,13 +66,13 @@
 }
 
 /// Gives a box's number in orders that are the same on all boxes.
-pub fn number(node: &SocketAddr) -> u64 {
+pub fn address_hash(node: &SocketAddr) -> u64 {
     xxh3_64(node.to_string().as_bytes())
 }
 
 /// What a datagram told about its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum Receipt {
     /// An older datagram that came late; it is ignored.
     Stale,
     /// A box that was not known or was taken for dead.
@@ -89,11 +89,11 @@
     /// The boxes heard, by where they listen.
     peers: BTreeMap<SocketAddr, Peer>,
     /// Boxes named by the settings or by others, and not heard yet, and when they were greeted.
-    greeted: BTreeMap<SocketAddr, Option<Time>>,
+    unheard: BTreeMap<SocketAddr, Option<Time>>,
     /// How many boxes of each data centre live.
-    living_in: BTreeMap<DataCentreKey, usize>,
+    alive_counts: BTreeMap<DataCentreKey, usize>,
     /// Since when some of them were not greeted.
-    fresh_since: Option<Time>,
+    ungreeted_since: Option<Time>,
     /// When greetings were last sent.
     last_greeting: Option<Time>,
     /// When the first greetings were sent.
@@ -101,11 +101,11 @@
     /// When a box was last heard that was not known before.
     last_joined: Option<Time>,
     /// The most boxes that lived at once, this one included.
-    most: usize,
+    peak_count: usize,
     /// The same, of the own data centre.
-    most_near: usize,
+    local_peak_count: usize,
     /// The most boxes that others have told of, which may have heard some before this one started.
-    most_by_others: usize,
+    reported_peak_count: usize,
 }
 
 impl Members {
@@ -114,90 +114,90 @@
         Members {
             own,
             peers: BTreeMap::new(),
-            greeted: BTreeMap::new(),
-            living_in: BTreeMap::new(),
-            fresh_since: None,
+            unheard: BTreeMap::new(),
+            alive_counts: BTreeMap::new(),
+            ungreeted_since: None,
             last_greeting: None,
             first_greeting: None,
             last_joined: None,
-            most: 1,
-            most_near: 1,
-            most_by_others: 1,
+            peak_count: 1,
+            local_peak_count: 1,
+            reported_peak_count: 1,
         }
     }
 
     /// Gives how often this box tells the others that it lives. One that is wide has a duty for
     /// all of them.
-    pub fn cadence(&self, is_wide: bool) -> Cadence {
-        Cadence::of(self.most, self.most_near, is_wide)
+    pub fn cadence(&self, has_global_duty: bool) -> Cadence {
+        Cadence::of(self.peak_count, self.local_peak_count, has_global_duty)
     }
 
     /// Tells whether there are so many boxes that not all are told everything.
     pub fn is_large(&self) -> bool {
-        self.most > SMALL
+        self.peak_count > ALL_TO_ALL_MAX_BOXES
     }
 
     /// Gives how many boxes at most have heard at once what this box tells of an engine near by.
-    pub fn most_told(&self) -> usize {
-        if self.is_large() { self.most_near } else { self.most }
+    pub fn max_receivers(&self) -> usize {
+        if self.is_large() { self.local_peak_count } else { self.peak_count }
     }
 
     /// Takes in a datagram.
-    pub fn hear(&mut self, message: &Message, now: Time) -> Hearing {
-        self.greeted.remove(&message.sender);
+    pub fn receive(&mut self, message: &Message, now: Time) -> Receipt {
+        self.unheard.remove(&message.sender);
         let cadence = self.cadence(false);
         let peer = self
             .peers
             .entry(message.sender)
             .or_insert_with(|| Peer::new(message, cadence, self.own));
-        let same_life = peer.incarnation == message.incarnation;
-        if same_life && peer.sequence >= message.sequence {
-            return Hearing::Stale;
+        let is_same_incarnation = peer.incarnation == message.incarnation;
+        if is_same_incarnation && peer.sequence >= message.sequence {
+            return Receipt::Stale;
         }
         let is_known = !peer.is_silent;
-        peer.take(message, self.own, now);
-        self.most_by_others = self.most_by_others.max(message.usage.boxes as usize);
+        peer.update(message, self.own, now);
+        self.reported_peak_count = self.reported_peak_count.max(message.usage.peak_boxes as usize);
         if is_known {
-            return Hearing::Known;
+            return Receipt::Known;
         }
-        self.most = self.most.max(self.count(now));
-        self.most_near = self.most_near.max(1 + self.alive_in(self.own).len());
+        self.peak_count = self.peak_count.max(self.count(now));
+        self.local_peak_count = self.local_peak_count.max(1 + self.alive_in(self.own).len());
         self.last_joined = Some(now);
-        *self.living_in.entry(message.data_centre).or_default() += 1;
-        Hearing::New
+        *self.alive_counts.entry(message.data_centre).or_default() += 1;
+        Receipt::New
     }
 
     /// Gives the boxes that have just been found silent, and forgets those silent for long.
     pub fn sweep(&mut self, now: Time) -> Vec<SocketAddr> {
         self.forget(now);
-        let (near, far) = self.least_silence();
+        let (local, remote) = self.min_dead_after();
         let mut silent = Vec::new();
         for (&address, peer) in &mut self.peers {
-            let least = if peer.data_centre == self.own { near } else { far };
-            if !peer.is_silent && now.since(peer.heard) > peer.dead_after.max(least) {
+            let minimum = if peer.data_centre == self.own { local } else { remote };
+            if !peer.is_silent && now.since(peer.last_received) > peer.dead_after.max(minimum) {
                 peer.is_silent = true;
                 silent.push(address);
             }
         }
-        self.count_living();
+        self.count_alive();
         silent
     }
 
     /// Counts the living boxes of each data centre.
-    fn count_living(&mut self) {
-        self.living_in.clear();
+    fn count_alive(&mut self) {
+        self.alive_counts.clear();
         for peer in self.peers.values().filter(|it| !it.is_silent) {
-            *self.living_in.entry(peer.data_centre).or_default() += 1;
+            *self.alive_counts.entry(peer.data_centre).or_default() += 1;
         }
     }
 
     /// Forgets boxes that are silent for long. Those that were stopped are not counted any more.
     fn forget(&mut self, now: Time) {
-        let is_old = |it: &Peer| now.since(it.heard) >= FORGOTTEN_AFTER;
+        let is_old = |it: &Peer| now.since(it.last_received) >= FORGET_AFTER;
         let stopped = self.peers.values().filter(|it| is_old(it) && it.has_stopped()).count();
         self.peers.retain(|_, it| !is_old(it));
-        self.most = self.most.saturating_sub(stopped).max(1);
-        self.most_by_others = self.most_by_others.saturating_sub(stopped).max(1);
+        self.peak_count = self.peak_count.saturating_sub(stopped).max(1);
+        self.reported_peak_count = self.reported_peak_count.saturating_sub(stopped).max(1);
     }
 
     /// Gives the living boxes.
@@ -206,9 +206,11 @@
     }
 
     /// Gives the living boxes as others are told of them.
-    pub fn named(&self) -> Vec<Named> {
+    pub fn peer_addresses(&self) -> Vec<PeerAddress> {
         let alive = self.peers.iter().filter(|(_, it)| !it.is_silent);
-        alive.map(|(&address, peer)| Named { address, data_centre: peer.data_centre }).collect()
+        alive
+            .map(|(&address, peer)| PeerAddress { address, data_centre: peer.data_centre })
+            .collect()
     }
 
     /// Gives the living boxes of a data centre.
@@ -220,16 +222,19 @@
 
     /// Gives whom a datagram to living boxes goes to: those of the own data centre and of small
     /// ones, and one of each larger data centre that it reaches, chosen by a subject.
-    pub fn audience(&self, reach: &Reach, subject: u64) -> Audience {
+    pub fn recipients(&self, reach: &Reach, subject: u64) -> Recipients {
         let mut data_centres: BTreeMap<DataCentreKey, Vec<(SocketAddr, u64)>> = BTreeMap::new();
         for (&address, peer) in self.peers.iter().filter(|(_, it)| !it.is_silent) {
             if peer.data_centre == self.own || reach.includes(peer.data_centre) {
-                data_centres.entry(peer.data_centre).or_default().push((address, peer.number));
+                data_centres
+                    .entry(peer.data_centre)
+                    .or_default()
+                    .push((address, peer.address_hash));
             }
         }
-        let mut audience = Audience::default();
+        let mut audience = Recipients::default();
         for (data_centre, nodes) in data_centres {
-            if data_centre == self.own || nodes.len() < LEAST_RELAYED {
+            if data_centre == self.own || nodes.len() < MIN_RELAYED_BOXES {
                 audience.direct.extend(nodes.iter().map(|it| it.0));
                 continue;
             }
@@ -244,7 +249,7 @@
     /// ago: others then have the same picture of who lives.
     pub fn is_settled(&self, now: Time, quiet_for: Duration) -> bool {
         let is_quiet = self.last_joined.is_none_or(|it| now.since(it) >= quiet_for);
-        self.greeted.is_empty() && is_quiet
+        self.unheard.is_empty() && is_quiet
     }
 
     /// Gives where clients may connect besides this box. Of many boxes those of the own data centre
@@ -257,7 +262,7 @@
     /// Boxes outside some data centres are named only if none inside takes requests; no data centre
     /// stands for all.
     pub fn fronts(&self, inside: &BTreeSet<DataCentreKey>) -> Fronts {
-        let serving = |it: &&Peer| it.standing == Standing::Ready;
+        let serving = |it: &&Peer| it.readiness == Readiness::Ready;
         let mut all: Vec<_> = self.peers.values().filter(serving).collect();
         let is_inside = |it: &&Peer| inside.contains(&it.data_centre);
         let has_inside = all.iter().any(|it| is_inside(it) && !it.is_silent);
@@ -265,9 +270,9 @@
             all.retain(is_inside);
         }
         let alive: Vec<_> = all.iter().copied().filter(|it| !it.is_silent).collect();
-        let near: Vec<_> = alive.iter().copied().filter(|it| it.data_centre == self.own).collect();
-        let chosen = if self.is_large() && near.len() >= LEAST_NEAR_FRONTS {
-            near
+        let local: Vec<_> = alive.iter().copied().filter(|it| it.data_centre == self.own).collect();
+        let chosen = if self.is_large() && local.len() >= MIN_LOCAL_FRONTS {
+            local
         } else if alive.len() * 2 < all.len() {
             all
         } else {
@@ -286,18 +291,18 @@
 
     /// Gives how many boxes were heard when their heartbeats were due, or a little later: sooner
     /// than a box is taken for dead, since what it does unheard counts.
-    pub fn punctual(&self, now: Time) -> usize {
-        let is_punctual = |it: &&Peer| now.since(it.heard) <= it.due_after(self.own);
+    pub fn on_time_count(&self, now: Time) -> usize {
+        let is_punctual = |it: &&Peer| now.since(it.last_received) <= it.overdue_after(self.own);
         self.peers.values().filter(is_punctual).count()
     }
 
     /// Gives the most boxes that lived at once, as this one and the others have heard, without those
     /// that were stopped in order and have not come back; none if nobody was ever heard although
     /// some are named. Others that are silent may have been cut off and go on serving.
-    pub fn most_serving(&self) -> Option<usize> {
+    pub fn peak_serving(&self) -> Option<usize> {
         let stopped = self.peers.values().filter(|it| it.has_stopped()).count();
-        let most = self.most.max(self.most_by_others);
-        (!self.is_seeking()).then_some(most.saturating_sub(stopped).max(1))
+        let most = self.peak_count.max(self.reported_peak_count);
+        (!self.has_heard_nobody()).then_some(most.saturating_sub(stopped).max(1))
     }
 
     /// Tells whether a box has been heard from an IP address.
@@ -306,24 +311,24 @@
     }
 
     /// Tells whether no box was ever heard although some are named.
-    fn is_seeking(&self) -> bool {
-        self.peers.is_empty() && !self.greeted.is_empty()
+    fn has_heard_nobody(&self) -> bool {
+        self.peers.is_empty() && !self.unheard.is_empty()
     }
 
     /// Gives the newest that any living box knows.
-    pub fn newest(&self) -> Knowledge {
+    pub fn newest_store_view(&self) -> StoreView {
         let alive = self.peers.values().filter(|it| !it.is_silent);
-        alive.fold(Knowledge::default(), |newest, peer| Knowledge {
-            version: newest.version.max(peer.knowledge.version),
-            revision: newest.revision.max(peer.knowledge.revision),
-            is_blind: newest.is_blind && peer.knowledge.is_blind,
+        alive.fold(StoreView::default(), |newest, peer| StoreView {
+            version: newest.version.max(peer.store_view.version),
+            revision: newest.revision.max(peer.store_view.revision),
+            has_lost_store: newest.has_lost_store && peer.store_view.has_lost_store,
         })
     }
 
     /// Gives the silence of boxes near by and elsewhere after which none is taken for dead sooner,
     /// whatever cadence it has told: one that has just learnt that there are many boxes beats more
     /// seldom from then on, and its next heartbeat is the first to tell so.
-    fn least_silence(&self) -> (Duration, Duration) {
+    fn min_dead_after(&self) -> (Duration, Duration) {
         let cadence = self.cadence(false);
         match self.is_large() {
             true => (cadence.dead_after(true), cadence.dead_after(false)),
@@ -338,16 +343,16 @@
 
     /// Gives how many boxes live, this one included.
     pub fn count(&self, now: Time) -> usize {
-        let (near, far) = self.least_silence();
+        let (local, remote) = self.min_dead_after();
         let lives = |it: &&Peer| {
-            let least = if it.data_centre == self.own { near } else { far };
-            now.since(it.heard) <= it.dead_after.max(least)
+            let minimum = if it.data_centre == self.own { local } else { remote };
+            now.since(it.last_received) <= it.dead_after.max(minimum)
         };
         1 + self.peers.values().filter(lives).count()
     }
 
     /// Gives the most boxes that have lived at once, this one included.
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn peak_count(&self) -> usize {
+        self.peak_count
     }
 }
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -33,26 +33,26 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Tokens of prompts that the engine is reading, or has yet to read.
-    pub reading: u32,
+    pub prefill_tokens: u32,
     /// Calls under way.
     pub calls: u32,
     /// Tokens that the calls hold, or will hold, in the engine's memory.
-    pub held: u32,
+    pub held_tokens: u32,
 }
 
 impl Load {
     /// Adds work.
     pub fn add(&mut self, load: Load) {
-        self.reading = self.reading.saturating_add(load.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_add(load.prefill_tokens);
         self.calls = self.calls.saturating_add(load.calls);
-        self.held = self.held.saturating_add(load.held);
+        self.held_tokens = self.held_tokens.saturating_add(load.held_tokens);
     }
 
     /// Takes work away.
     pub fn remove(&mut self, load: Load) {
-        self.reading = self.reading.saturating_sub(load.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(load.prefill_tokens);
         self.calls = self.calls.saturating_sub(load.calls);
-        self.held = self.held.saturating_sub(load.held);
+        self.held_tokens = self.held_tokens.saturating_sub(load.held_tokens);
     }
 
     /// Tells whether there is no work.
@@ -63,7 +63,7 @@
 
 /// Whether a box takes requests from clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Readiness {
     /// It knows no configuration yet.
     Starting,
     /// It serves.
@@ -74,18 +74,18 @@
 
 /// What a box knows of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct StoreView {
     /// The version of the configuration; 0 if none is known.
     pub version: u64,
     /// The revision of the newest change of an engine.
     pub revision: Revision,
     /// Whether the box follows the store and gets no answers.
-    pub is_blind: bool,
+    pub has_lost_store: bool,
 }
 
 /// Changes of engines that the sender has just read from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     /// The revision that the sender knew before.
     pub since: Revision,
     /// The changes, in order.
@@ -101,25 +101,25 @@
     pub is_complete: bool,
     /// The most boxes that lived at once, as the sender and those it heard know; 0 if it does not
     /// say.
-    pub boxes: u32,
+    pub peak_boxes: u32,
 }
 
 /// An engine that turned a request away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Full {
+pub struct Rejection {
     /// The engine.
     pub engine: EngineKey,
     /// The tokens that the request would have held in its memory.
-    pub held: u32,
+    pub held_tokens: u32,
 }
 
 /// The work that clients ask of one service with stages, at one box or at all.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     /// Tokens of prompts a second.
-    pub reading: u32,
+    pub prefill_tokens_per_s: u32,
     /// Tokens that the requests would hold in memory together, on the mean.
-    pub held: u32,
+    pub held_tokens: u32,
     /// Requests of late, by which the other figures can be trusted.
     pub requests: u32,
 }
@@ -129,8 +129,10 @@
     #[must_use]
     pub fn plus(self, other: Demand) -> Demand {
         Demand {
-            reading: self.reading.saturating_add(other.reading),
-            held: self.held.saturating_add(other.held),
+            prefill_tokens_per_s: self
+                .prefill_tokens_per_s
+                .saturating_add(other.prefill_tokens_per_s),
+            held_tokens: self.held_tokens.saturating_add(other.held_tokens),
             requests: self.requests.saturating_add(other.requests),
         }
     }
@@ -138,7 +140,7 @@
 
 /// A box as others name it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct PeerAddress {
     /// Where it listens for datagrams.
     pub address: SocketAddr,
     /// The short name of its data centre.
@@ -147,14 +149,14 @@
 
 /// An engine that is to change its stage, and takes nothing new until it has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Switching {
+pub struct StageSwitch {
     /// The engine.
     pub engine: EngineKey,
     /// The stage that it changes to.
     pub stage: Stage,
     /// For how long it takes nothing new, in milliseconds, unless the change is seen before; 0 if
     /// it stays as it is.
-    pub span_ms: u32,
+    pub duration_ms: u32,
 }
 
 /// What a box can read of datagrams and handovers.
@@ -191,7 +193,7 @@
     /// Whether the receiver passes the datagram on to the other boxes of its data centre.
     pub is_relayed: bool,
     /// Whether the sender takes requests.
-    pub standing: Standing,
+    pub readiness: Readiness,
     /// The work that has changed, or all work if `is_whole`.
     pub loads: Vec<(EngineKey, Load)>,
     /// Whether engines that are not among `loads` have no work of the sender's.
@@ -199,7 +201,7 @@
     /// How often such whole datagrams come, told with each of them.
     pub cadence: Option<Cadence>,
     /// What the sender knows of the store.
-    pub knowledge: Knowledge,
+    pub store_view: StoreView,
     /// The evacuated data centres, as far as the sender knows them.
     pub evacuation: Evacuation,
     /// What clients ask of each service with stages, by a hash of the service's name.
@@ -207,21 +209,21 @@
     /// What the sender has let through for customers that have a limit.
     pub usage: Usage,
     /// Engines that the sender has change their stage.
-    pub switching: Vec<Switching>,
+    pub stage_switches: Vec<StageSwitch>,
     /// Engines whose address the sender has just found taken by another incarnation.
     pub replaced: Vec<EngineKey>,
     /// Engines that the sender has just not reached, or that fell silent to it.
-    pub missed: Vec<EngineKey>,
+    pub unreachable: Vec<EngineKey>,
     /// Requests under which engines have crashed.
     pub crashes: Vec<Word>,
     /// Engines that had no room for a request of the sender's.
-    pub full: Vec<Full>,
+    pub rejections: Vec<Rejection>,
     /// Changes that the sender has just read.
-    pub news: Option<Box<EngineNews>>,
+    pub engine_update: Option<Box<EngineUpdate>>,
     /// Prompts that engines have begun to generate from for the sender.
-    pub kept: Vec<Kept>,
+    pub cached_prompts: Vec<Kept>,
     /// Some boxes that the sender has heard from of late.
-    pub peers: Vec<Named>,
+    pub peers: Vec<PeerAddress>,
     /// The newest era of the store that the sender knows of; 0 if it does not tell.
     #[serde(skip)]
     pub era: u64,
@@ -254,10 +256,10 @@
 
     /// Gives the eras of what it tells.
     pub fn eras(&self) -> Eras {
-        let news = self.news.as_ref();
+        let news = self.engine_update.as_ref();
         Eras {
             store: self.era,
-            engines: self.knowledge.revision.era,
+            engines: self.store_view.revision.era,
             since: news.map_or(0, |it| it.since.era),
             changes: news.and_then(|it| it.changes.last()).map_or(0, |it| it.revision().era),
             evacuation: self.evacuation.revision.era,
@@ -265,11 +267,11 @@
     }
 
     /// Puts what it tells into eras.
-    pub fn enter(&mut self, eras: Eras) {
+    pub fn set_eras(&mut self, eras: Eras) {
         self.era = eras.store;
-        self.knowledge.revision.era = eras.engines;
+        self.store_view.revision.era = eras.engines;
         self.evacuation.revision.era = eras.evacuation;
-        if let Some(news) = &mut self.news {
+        if let Some(news) = &mut self.engine_update {
             news.since.era = eras.since;
             let changes = std::mem::take(&mut news.changes).into_iter();
             news.changes = changes.map(|it| it.in_era(eras.changes)).collect();
@@ -294,7 +296,7 @@
 
 impl Extension {
     /// Gives it as a part of a datagram, if it tells anything.
-    pub fn filled(self) -> Option<Box<Extension>> {
+    pub fn non_empty(self) -> Option<Box<Extension>> {
         (self != Extension::default()).then(|| Box::new(self))
     }
 }
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -184,7 +184,7 @@
         preferred: Option<EngineKey>,
     ) -> Option<Choice> {
         let is_kept = |it: &Known| {
-            let total = u64::from(self.ledger.at(it.engine.key).held);
+            let total = u64::from(self.ledger.at(it.engine.key).held_tokens);
             preferred == Some(it.engine.key) && total <= staged.memory_tokens
         };
         let has_room = |it: &Known| is_kept(it) || self.has_memory(it, staged, held);
@@ -195,8 +195,8 @@
                 return 0.0;
             }
             let load = self.ledger.at(it.engine.key);
-            let memory = f64::from(load.held) / staged.memory_tokens.max(1) as f64;
-            let reads = if load.reading > 0 { OTHER_DATA_CENTRE } else { 0.0 };
+            let memory = f64::from(load.held_tokens) / staged.memory_tokens.max(1) as f64;
+            let reads = if load.prefill_tokens > 0 { OTHER_DATA_CENTRE } else { 0.0 };
             let way = self.distance_from(source_data_centre, it);
             memory + reads + way + self.doubt_share(it) + it.health.rate(self.now) * FAILURE
         })?;
@@ -400,7 +400,7 @@
 
     /// Gives the tokens that an engine has yet to read.
     fn ahead(&self, known: &Known) -> u64 {
-        u64::from(self.ledger.at(known.engine.key).reading)
+        u64::from(self.ledger.at(known.engine.key).prefill_tokens)
     }
 
     /// Gives the time until an engine would have read a prompt.
@@ -429,7 +429,7 @@
             return false;
         }
         let engine = known.engine.key;
-        let held = u64::from(self.ledger.at(engine).held);
+        let held = u64::from(self.ledger.at(engine).held_tokens);
         let memory = staged.memory_tokens as f64;
         let is_contested = self.ledger.is_contested(engine, self.now);
         let share = if is_contested { CONTESTED_SHARE } else { MEMORY_SHARE };
--- a/crates/hollyspoke-gateway/src/ratio.rs
+++ b/crates/hollyspoke-gateway/src/ratio.rs
@@ -53,13 +53,13 @@
 /// Gives the share of what readers can bear that is asked of a number of them.
 fn reading_pressure(demand: Demand, capacity: Capacity, readers: u32) -> f64 {
     let rate = capacity.reading * f64::from(readers) * READING_FULL;
-    f64::from(demand.reading) / rate.max(f64::MIN_POSITIVE)
+    f64::from(demand.prefill_tokens_per_s) / rate.max(f64::MIN_POSITIVE)
 }
 
 /// Gives the share of what generators can bear that is asked of a number of them.
 fn memory_pressure(demand: Demand, capacity: Capacity, generators: u32) -> f64 {
     let memory = capacity.memory * f64::from(generators) * MEMORY_FULL;
-    f64::from(demand.held) / memory.max(f64::MIN_POSITIVE)
+    f64::from(demand.held_tokens) / memory.max(f64::MIN_POSITIVE)
 }
 
 /// Gives the pressure on the scarcer side of a split.
--- a/crates/hollyspoke-gateway/src/snapshot.rs
+++ b/crates/hollyspoke-gateway/src/snapshot.rs
@@ -14,7 +14,7 @@
 
 /// The parts of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Version {
+pub struct ConfigurationParts {
     /// The version.
     pub version: u64,
     /// What clients may send.
@@ -27,11 +27,11 @@
     pub customers: Option<Vec<Customer>>,
 }
 
-impl Version {
+impl ConfigurationParts {
     /// Takes a configuration apart.
-    pub fn of(configuration: &Configuration) -> Version {
+    pub fn of(configuration: &Configuration) -> ConfigurationParts {
         let customers = configuration.customers.as_ref();
-        Version {
+        ConfigurationParts {
             version: configuration.version,
             limits: configuration.limits,
             routes: configuration.routes().map(|it| Route::clone(it)).collect(),
@@ -41,8 +41,8 @@
     }
 
     /// Puts the configuration together again.
-    pub fn configuration(self) -> Arc<Configuration> {
-        let Version { version, limits, routes, services, customers } = self;
+    pub fn into_configuration(self) -> Arc<Configuration> {
+        let ConfigurationParts { version, limits, routes, services, customers } = self;
         let configuration = Configuration::new(version, limits, routes, services);
         Arc::new(match customers {
             Some(customers) => configuration.with_customers(Customers::new(customers)),
@@ -95,7 +95,7 @@
 
 /// What a box that asks knows already.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct SnapshotRequest {
     /// The version of its configuration; 0 if it has none.
     pub version: u64,
     /// The revision up to which no engine is missing at it; none if it has no list.
@@ -106,7 +106,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration, if the box knows a newer one.
-    pub version: Option<Version>,
+    pub configuration: Option<ConfigurationParts>,
     /// The engines, if the box has listed them and knows more.
     pub listing: Option<Listing>,
     /// The evacuated data centres.
--- a/crates/hollyspoke-server/src/datagram.rs
+++ b/crates/hollyspoke-server/src/datagram.rs
@@ -191,14 +191,14 @@
     let later: Later = minicbor::decode(fields).wrap_err("a field can't be read")?;
     let mut message = read_first(&later.first)?;
     message.format = message.format.or(Some(Format::Permits));
-    message.enter(later.eras.as_ref().map(ErasField::eras).unwrap_or_default());
+    message.set_eras(later.eras.as_ref().map(ErasField::eras).unwrap_or_default());
     message.extension = Extension {
         limits: later.limits.iter().flatten().map(LimitField::word).collect(),
         asks: later.asks.iter().flatten().map(AskField::ask).collect(),
         replies: later.replies.iter().flatten().filter_map(ReplyField::reply).collect(),
         departures: later.departures.iter().flatten().map(DepartureField::word).collect(),
     }
-    .filled();
+    .non_empty();
     Ok(message)
 }
 
@@ -207,7 +207,7 @@
     if !message.is_whole {
         return Ok(first_format().serialize(message)?);
     }
-    let told = Demand { reading: ERAS, held: 0, requests: 0 };
+    let told = Demand { prefill_tokens_per_s: ERAS, held_tokens: 0, requests: 0 };
     let mut telling = Message { extension: None, ..message.clone() };
     telling.demand.push((TOLD_IN, told));
     Ok(first_format().serialize(&telling)?)
@@ -217,7 +217,7 @@
 fn read_first(bytes: &[u8]) -> eyre::Result<Message> {
     let mut message: Message = first_format().deserialize(bytes)?;
     let is_telling = |it: &(u64, Demand)| it.0 == TOLD_IN;
-    let told = message.demand.iter().find(|it| is_telling(it)).map(|it| it.1.reading);
+    let told = message.demand.iter().find(|it| is_telling(it)).map(|it| it.1.prefill_tokens_per_s);
     message.demand.retain(|it| !is_telling(it));
     message.format = match told {
         Some(ERAS..) => Some(Format::Eras),
--- a/crates/hollyspoke-server/src/handover.rs
+++ b/crates/hollyspoke-server/src/handover.rs
@@ -80,7 +80,7 @@
 
 /// Tells another box what this one knows.
 async fn ask(node: &Node, provider: SocketAddr, stream: &mut TcpStream) -> eyre::Result<()> {
-    let (question, reads) = node.with(|it| (it.question(), it.format(provider)));
+    let (question, reads) = node.with(|it| (it.snapshot_request(), it.format(provider)));
     let bytes = format::write_question(&question, reads)?;
     stream.write_u16(u16::try_from(bytes.len())?).await?;
     stream.write_all(&bytes).await?;
--- a/crates/hollyspoke-server/src/handover/format.rs
+++ b/crates/hollyspoke-server/src/handover/format.rs
@@ -8,7 +8,7 @@
 use bincode::Options;
 use eyre::{WrapErr, bail, ensure};
 use hollyspoke_gateway::message::Format;
-use hollyspoke_gateway::snapshot::{Question, Snapshot};
+use hollyspoke_gateway::snapshot::{Snapshot, SnapshotRequest};
 use minicbor::{Decode, Encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Asked {
     /// The question.
-    pub question: Question,
+    pub question: SnapshotRequest,
     /// The format.
     pub format: Format,
 }
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// If it can't be written.
-pub fn write_question(question: &Question, format: Format) -> eyre::Result<Vec<u8>> {
+pub fn write_question(question: &SnapshotRequest, format: Format) -> eyre::Result<Vec<u8>> {
     let first = write_first(question)?;
     if format < Format::Handovers {
         return Ok(first);
@@ -81,7 +81,7 @@
         return Ok(Asked { question: read_first(bytes)?, format: Format::First });
     };
     let later: LaterQuestion = minicbor::decode(fields).wrap_err("a field can't be read")?;
-    let mut question: Question = read_first(&later.first)?;
+    let mut question: SnapshotRequest = read_first(&later.first)?;
     let era = later.engines_era.unwrap_or_default();
     question.revision = question.revision.map(|it| it.in_era(era));
     Ok(Asked { question, format: Format::Handovers })
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -145,8 +145,11 @@
                 self.split.record(u64::from(engines.readers), &[KeyValue::new("stage", "reads")]);
                 let generators = u64::from(engines.generators);
                 self.split.record(generators, &[KeyValue::new("stage", "generates")]);
-                self.demand.record(u64::from(demand.reading), &[KeyValue::new("of", "reading")]);
-                self.demand.record(u64::from(demand.held), &[KeyValue::new("of", "memory")]);
+                self.demand.record(
+                    u64::from(demand.prefill_tokens_per_s),
+                    &[KeyValue::new("of", "reading")],
+                );
+                self.demand.record(u64::from(demand.held_tokens), &[KeyValue::new("of", "memory")]);
                 let to = if *stage == Stage::Prefill { "reads" } else { "generates" };
                 self.switches.add(1, &[KeyValue::new("to", to)]);
             }
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -59,7 +59,7 @@
             info!(log, "call failed";
             "request" => %request, "signature" => signature.short(), "path" => %path, "engine" => %engine, "how" => how, "status" => status,
             "told" => told.map(|it| format!("{},{},{}", it.running, it.waiting, it.slots)),
-            "held" => known.held, "calls" => known.calls)
+            "held" => known.held_tokens, "calls" => known.calls)
         }
         Note::Ended { request, customer, units, kept_from, how, after } => {
             info!(log, "request ended";
@@ -91,7 +91,7 @@
         Note::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
             "engine" => %id, "stage" => stage_name(*stage),
             "readers" => engines.readers, "generators" => engines.generators,
-            "reading" => demand.reading, "held" => demand.held, "requests" => demand.requests),
+            "reading" => demand.prefill_tokens_per_s, "held" => demand.held_tokens, "requests" => demand.requests),
         Note::Ordered { id, stage, token, before } => info!(log, "order sent";
             "engine" => %id, "stage" => stage_name(*stage), "token" => token, "before" => before),
         Note::OrderEnded { id, how } => info!(log, "order ended"; "engine" => %id, "how" => how),
--- a/tests/benches/boxes.rs
+++ b/tests/benches/boxes.rs
@@ -13,7 +13,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
 use hollyspoke_gateway::intake::{Told, Word};
-use hollyspoke_gateway::message::{DataCentreKey, Extension, Knowledge, Load, Message};
+use hollyspoke_gateway::message::{DataCentreKey, Extension, Load, Message, StoreView};
 use hollyspoke_gateway::permit::Ask;
 use hollyspoke_gateway::request::FlightKey;
 use hollyspoke_gateway::statement::Statement;
@@ -68,7 +68,7 @@
             front: SocketAddr::from((host, 8000)),
             data_centre: DataCentreKey::of(DATA_CENTRES[number % DATA_CENTRES.len()]),
             loads: (0..3).map(|it| (key(it), load(it))).collect(),
-            ..heartbeat(2, self.sequence, Knowledge::default())
+            ..heartbeat(2, self.sequence, StoreView::default())
         }
     }
 
@@ -87,7 +87,7 @@
         let engine = key((self.sequence % u64::from(ENGINES)) as u8);
         let word = Word { engine, born: None, rate: Some(100.0), age_ms: 0 };
         let asks = vec![Ask { number: self.sequence, word, patience_ms: 60 }];
-        let extension = Extension { asks, ..Extension::default() }.filled();
+        let extension = Extension { asks, ..Extension::default() }.non_empty();
         let loads = Vec::new();
         Message { is_whole: false, loads, extension, ..self.message(number) }
     }
@@ -122,7 +122,7 @@
 
 /// Makes some work.
 fn load(number: u8) -> Load {
-    Load { reading: 0, calls: 1, held: 1000 + u32::from(number) }
+    Load { prefill_tokens: 0, calls: 1, held_tokens: 1000 + u32::from(number) }
 }
 
 /// Makes engines in all data centres, a third of them readers.
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -527,7 +527,7 @@
         let (asking, other) = (&self.members[number], &self.members[other]);
         let (Some(gateway), Some(knowing)) = (&asking.gateway, &other.gateway) else { return };
         if asking.side == other.side {
-            let snapshot = Box::new(knowing.snapshot(gateway.question()));
+            let snapshot = Box::new(knowing.snapshot(gateway.snapshot_request()));
             let due = Due::Fetched(number, asking.life, provider, snapshot);
             self.plan(self.now + HANDOVER_TAKES, due);
         }
--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -13,7 +13,7 @@
 use hollyspoke_gateway::evacuation::Evacuation;
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::gateway::{CASES, Gateway, Settings, Sharing};
-use hollyspoke_gateway::message::{DataCentreKey, Format, Knowledge, Message, Standing, Usage};
+use hollyspoke_gateway::message::{DataCentreKey, Format, Message, Readiness, StoreView, Usage};
 use hollyspoke_gateway::region::{Homes, Regions};
 use hollyspoke_gateway::request::{CallKey, FlightKey, Request};
 use hollyspoke_gateway::route::{Configuration, Limits, Route, RouteKind, Service, Split, Staged};
@@ -290,7 +290,7 @@
 }
 
 /// Gives a heartbeat of another box that knows something of the store.
-pub fn heartbeat(number: u8, sequence: u64, knowledge: Knowledge) -> Message {
+pub fn heartbeat(number: u8, sequence: u64, store_view: StoreView) -> Message {
     let Settings { peer, front, .. } = settings(number);
     Message {
         incarnation: 1,
@@ -299,21 +299,21 @@
         front,
         data_centre: DataCentreKey::of("north"),
         is_relayed: false,
-        standing: Standing::Ready,
+        readiness: Readiness::Ready,
         loads: Vec::new(),
         is_whole: true,
         cadence: None,
-        knowledge,
+        store_view,
         evacuation: Evacuation::default(),
         demand: Vec::new(),
         usage: Usage::default(),
-        switching: Vec::new(),
+        stage_switches: Vec::new(),
         replaced: Vec::new(),
-        missed: Vec::new(),
+        unreachable: Vec::new(),
         crashes: Vec::new(),
-        full: Vec::new(),
-        news: None,
-        kept: Vec::new(),
+        rejections: Vec::new(),
+        engine_update: None,
+        cached_prompts: Vec::new(),
         peers: Vec::new(),
         era: 0,
         format: Some(Format::Eras),
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -12,8 +12,8 @@
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::evacuation::Evacuation;
 use hollyspoke_gateway::message::{
-    DataCentreKey, Demand, EngineNews, Full, Knowledge, Load, Message, Named, Standing, Switching,
-    Usage,
+    DataCentreKey, Demand, EngineUpdate, Load, Message, PeerAddress, Readiness, Rejection,
+    StageSwitch, StoreView, Usage,
 };
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
 use hollyspoke_gateway::quarantine::{Crash, Proof, Word};
@@ -21,7 +21,7 @@
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Configuration, RouteKind, Service};
 use hollyspoke_gateway::signature::Signature;
-use hollyspoke_gateway::snapshot::{Listing, Question, Snapshot, Version};
+use hollyspoke_gateway::snapshot::{ConfigurationParts, Listing, Snapshot, SnapshotRequest};
 
 use crate::gateway::{
     MODEL, PLAIN, configuration, configuration_of, engine, heartbeat, request, route,
@@ -51,7 +51,7 @@
 
 /// Gives a heartbeat in which nothing is left out.
 pub fn whole() -> Message {
-    let load = Load { reading: 5000, calls: 3, held: 70_000 };
+    let load = Load { prefill_tokens: 5000, calls: 3, held_tokens: 70_000 };
     let account =
         |level| Account { customer: CustomerKey::of("north-desk"), total: 123_456, level };
     let crash = Crash {
@@ -67,51 +67,58 @@
     };
     Message {
         incarnation: 0xfeed_beef_0000_0001,
-        standing: Standing::Stopping,
+        readiness: Readiness::Stopping,
         is_relayed: true,
         loads: vec![(EngineKey::of("engine-21"), load), (EngineKey(7), Load::default())],
-        cadence: Some(Cadence { near_ms: 800, far_ms: 3200 }),
+        cadence: Some(Cadence { local_interval_ms: 800, remote_interval_ms: 3200 }),
         evacuation: Evacuation {
             revision: 90.into(),
             data_centres: BTreeSet::from([Arc::from("north"), Arc::from("west")]),
         },
-        demand: vec![(77, Demand { reading: 9000, held: 60_000, requests: 44 })],
+        demand: vec![(
+            77,
+            Demand { prefill_tokens_per_s: 9000, held_tokens: 60_000, requests: 44 },
+        )],
         usage: Usage {
             accounts: vec![account(None), account(Some(-9))],
             is_complete: true,
-            boxes: 985,
+            peak_boxes: 985,
         },
-        switching: vec![Switching { engine: EngineKey(9), stage: Stage::Prefill, span_ms: 3000 }],
+        stage_switches: vec![StageSwitch {
+            engine: EngineKey(9),
+            stage: Stage::Prefill,
+            duration_ms: 3000,
+        }],
         replaced: vec![EngineKey(1)],
-        missed: vec![EngineKey(2), EngineKey(3)],
+        unreachable: vec![EngineKey(2), EngineKey(3)],
         crashes: vec![word],
-        full: vec![Full { engine: EngineKey(4), held: 5271 }],
-        news: Some(Box::new(EngineNews {
+        rejections: vec![Rejection { engine: EngineKey(4), held_tokens: 5271 }],
+        engine_update: Some(Box::new(EngineUpdate {
             since: 80.into(),
             changes: vec![
                 EngineChange::Put(listed(), 81.into()),
                 EngineChange::Left("engine-1".into(), 82.into()),
             ],
         })),
-        kept: vec![Kept { prompt: PromptKey::of("part"), engine: EngineKey(5) }],
-        peers: vec![Named { address: address(9), data_centre: DataCentreKey::of("west") }],
-        ..heartbeat(2, 300, Knowledge { version: 12, revision: 99.into(), is_blind: true })
+        cached_prompts: vec![Kept { prompt: PromptKey::of("part"), engine: EngineKey(5) }],
+        peers: vec![PeerAddress { address: address(9), data_centre: DataCentreKey::of("west") }],
+        ..heartbeat(2, 300, StoreView { version: 12, revision: 99.into(), has_lost_store: true })
     }
 }
 
 /// Gives a datagram that tells a change alone.
 pub fn partial() -> Message {
-    let load = Load { reading: 0, calls: 1, held: 0 };
+    let load = Load { prefill_tokens: 0, calls: 1, held_tokens: 0 };
     Message {
         is_whole: false,
         loads: vec![(EngineKey::of("engine-1"), load)],
-        ..heartbeat(3, 4, Knowledge { version: 1, revision: 10.into(), is_blind: false })
+        ..heartbeat(3, 4, StoreView { version: 1, revision: 10.into(), has_lost_store: false })
     }
 }
 
 /// Gives what a box asks that has a list.
-pub fn question() -> Question {
-    Question { version: 11, revision: Some(70.into()) }
+pub fn question() -> SnapshotRequest {
+    SnapshotRequest { version: 11, revision: Some(70.into()) }
 }
 
 /// Gives a handover of a whole configuration and list.
@@ -133,7 +140,7 @@
     let staged = usual.service(MODEL).cloned();
     let services = [service].into_iter().chain(staged).collect();
     let small: Configuration = configuration_of(12, Vec::new());
-    let version = Version {
+    let version = ConfigurationParts {
         version: 12,
         limits: small.limits,
         routes: vec![once],
@@ -141,7 +148,7 @@
         customers: Some(vec![customer]),
     };
     Snapshot {
-        version: Some(version),
+        configuration: Some(version),
         listing: Some(Listing::Whole { engines: vec![listed()], revision: 99.into() }),
         evacuation: Evacuation {
             revision: 90.into(),
--- a/tests/tests/data_centres.rs
+++ b/tests/tests/data_centres.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::{Engine, EngineKey, Stage};
 use hollyspoke_gateway::event::{CallEvent, Event, Kind};
-use hollyspoke_gateway::message::{DataCentreKey, Knowledge, Load, Message};
+use hollyspoke_gateway::message::{DataCentreKey, Load, Message, StoreView};
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::{FlightKey, Request};
 use hollyspoke_tests::gateway::{
@@ -20,7 +20,7 @@
 const DATA_CENTRES: [&str; 3] = ["north", "south", "east"];
 
 /// The cadence of a box with many others.
-const SELDOM: Cadence = Cadence { near_ms: 800, far_ms: 3200 };
+const SELDOM: Cadence = Cadence { local_interval_ms: 800, remote_interval_ms: 3200 };
 
 /// Gives where a box listens for other boxes.
 fn peer(data_centre: usize, number: u8) -> SocketAddr {
@@ -34,7 +34,7 @@
         front: SocketAddr::from(([10, 1 + data_centre as u8, 0, number], 8000)),
         data_centre: DataCentreKey::of(DATA_CENTRES[data_centre]),
         cadence: Some(SELDOM),
-        ..heartbeat(2, sequence, Knowledge::default())
+        ..heartbeat(2, sequence, StoreView::default())
     }
 }
 
@@ -108,8 +108,8 @@
 fn scarce_memory_is_told_to_all() {
     let mut world = world(50);
     world.event(Event::Listed(engines_in(0), 10.into()));
-    let held = (MEMORY as f64 * 0.5) as u32;
-    let full = Load { reading: 0, calls: 4, held };
+    let held_tokens = (MEMORY as f64 * 0.5) as u32;
+    let full = Load { prefill_tokens: 0, calls: 4, held_tokens };
     let message = Message { loads: vec![(EngineKey::of("engine-3"), full)], ..beat(0, 1, 2) };
     world.event(Event::Heard(message));
     assert_eq!(zones_told(&mut world), BTreeSet::from([0, 1, 2]));
@@ -173,7 +173,7 @@
 }
 
 /// Lets time pass in which all other boxes are heard, which know something of the store.
-fn pass(world: &mut World, span: Duration, knowledge: Knowledge) -> Doings {
+fn pass(world: &mut World, span: Duration, store_view: StoreView) -> Doings {
     let end = world.now + span;
     let mut doings = Doings::default();
     while world.now < end {
@@ -181,7 +181,7 @@
         let sequence = world.now.since(hollyspoke::time::Time::ZERO).as_millis() as u64;
         for data_centre in 0..DATA_CENTRES.len() {
             for number in 1..=50 {
-                let message = Message { knowledge, ..beat(data_centre, number, sequence) };
+                let message = Message { store_view, ..beat(data_centre, number, sequence) };
                 doings.take(&world.gateway.step(world.now, Event::Heard(message)));
             }
         }
@@ -194,8 +194,8 @@
 fn few_heartbeats_go_far() {
     let mut world = world(50);
     world.event(Event::Listed(engines_in(0), 10.into()));
-    pass(&mut world, Duration::from_secs(2), Knowledge::default());
-    let doings = pass(&mut world, Duration::from_secs(12), Knowledge::default());
+    pass(&mut world, Duration::from_secs(2), StoreView::default());
+    let doings = pass(&mut world, Duration::from_secs(12), StoreView::default());
     assert!((13..=17).contains(&doings.heartbeats), "{doings:?}");
     assert!((3..=5).contains(&doings.far), "{doings:?}");
 }
@@ -203,7 +203,7 @@
 /// A box that follows the store has a duty for all, who must notice its death soon.
 #[test]
 fn followers_are_heard_by_all() {
-    let blind = Knowledge { is_blind: true, ..Knowledge::default() };
+    let blind = StoreView { has_lost_store: true, ..StoreView::default() };
     let found = (1..=60).find_map(|number| {
         let mut world = world_of(World::numbered(number), 50);
         let first = pass(&mut world, Duration::from_secs(1), blind);
@@ -271,7 +271,9 @@
     world.now = now + Duration::from_millis(900);
     effects.extend(world.gateway.step(world.now, Event::Tick));
     let is_told = effects.iter().any(|it| match it {
-        Effect::Tell(_, it) => it.is_whole && it.kept.iter().any(|it| it.prompt == PromptKey(7)),
+        Effect::Tell(_, it) => {
+            it.is_whole && it.cached_prompts.iter().any(|it| it.prompt == PromptKey(7))
+        }
         _ => false,
     });
     assert!(is_told, "{effects:?}");
@@ -298,7 +300,7 @@
         let mut world = World::numbered(own);
         world.event(Event::Configured(Arc::new(configuration(1))));
         world.event(Event::Listed(engines_in(0), 10.into()));
-        let knowledge = Knowledge { version: 1, ..Knowledge::default() };
+        let knowledge = StoreView { version: 1, ..StoreView::default() };
         for number in 0..600u16 {
             let [high, low] = number.to_be_bytes();
             let sender = SocketAddr::from(([10, 9, high, low], 7000));
@@ -306,7 +308,7 @@
         }
         // It has heard the others when it next decides whether it follows the store itself.
         world.pass(Duration::from_secs(2));
-        let newer = Knowledge { version: 2, ..Knowledge::default() };
+        let newer = StoreView { version: 2, ..StoreView::default() };
         let sender = SocketAddr::from(([10, 9, 0, 0], 7000));
         let message = Message { sender, ..heartbeat(2, 2, newer) };
         let effects = world.event(Event::Heard(message));
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -17,7 +17,7 @@
 use hollyspoke_gateway::intake::Word;
 use hollyspoke_gateway::message::{Eras, Extension, Format, Message};
 use hollyspoke_gateway::permit::{Ask, Outcome, Reply};
-use hollyspoke_gateway::snapshot::{Question, Snapshot};
+use hollyspoke_gateway::snapshot::{Snapshot, SnapshotRequest};
 use hollyspoke_server::datagram::{read, write};
 use hollyspoke_server::handover::format::{
     Asked, read_question, read_snapshot, write_question, write_snapshot,
@@ -89,7 +89,7 @@
 /// What the first version of the later format has written is read, and written as it was.
 #[test]
 fn first_later_datagrams_are_read() {
-    let told = Message { extension: first_extension().filled(), ..later_partial() };
+    let told = Message { extension: first_extension().non_empty(), ..later_partial() };
     assert_eq!(read(&recorded("permits")).expect("it is read"), told);
     assert_eq!(write(&told, Format::Permits).expect("it is written"), recorded("permits"));
 }
@@ -98,7 +98,7 @@
 #[test]
 fn datagrams_without_eras_are_read() {
     let told = |message, format| Message {
-        extension: extension().filled(),
+        extension: extension().non_empty(),
         format: Some(format),
         ..message
     };
@@ -121,7 +121,10 @@
 
 #[test]
 fn old_handovers_are_read() {
-    assert_eq!(read_first::<Question>(&recorded("question")).expect("it is read"), question());
+    assert_eq!(
+        read_first::<SnapshotRequest>(&recorded("question")).expect("it is read"),
+        question()
+    );
     assert_eq!(read_first::<Snapshot>(&recorded("snapshot")).expect("it is read"), snapshot());
     assert_eq!(read_first::<Snapshot>(&recorded("changes")).expect("it is read"), changes());
 }
@@ -163,7 +166,7 @@
     assert_eq!(write_first(&question()), recorded("question"));
     assert_eq!(write_first(&snapshot()), recorded("snapshot"));
     assert_eq!(write_first(&changes()), recorded("changes"));
-    let extended = |message| Message { extension: extension().filled(), ..message };
+    let extended = |message| Message { extension: extension().non_empty(), ..message };
     let bytes = write(&extended(partial()), Format::First).expect("it is written");
     assert_eq!(bytes, recorded("partial"));
     let bytes = write(&extended(whole()), Format::First).expect("it is written");
@@ -176,7 +179,7 @@
 #[test]
 fn new_boxes_tell_each_other_all() {
     for (told, format) in [(whole(), Format::Eras), (partial(), Format::Permits)] {
-        let told = Message { extension: extension().filled(), format: Some(format), ..told };
+        let told = Message { extension: extension().non_empty(), format: Some(format), ..told };
         let bytes = write(&told, Format::Permits).expect("it is written");
         assert_eq!(bytes[0], MARK);
         assert_eq!(read(&bytes).expect("it is read"), told);
@@ -191,7 +194,7 @@
     let mixed = Eras { store: 9, engines: 8, since: 7, changes: 8, evacuation: 0 };
     for eras in [all, mixed] {
         let mut told = Message { format: Some(Format::Eras), ..whole() };
-        told.enter(eras);
+        told.set_eras(eras);
         assert_eq!(told.eras(), eras);
         let bytes = write(&told, Format::Eras).expect("it is written");
         assert_eq!(read(&bytes).expect("it is read"), told);
@@ -203,7 +206,7 @@
     };
     let bytes = write_snapshot(&told, Format::Eras).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
-    let asked = Question { revision: Some(Revision::new(3, 70)), ..question() };
+    let asked = SnapshotRequest { revision: Some(Revision::new(3, 70)), ..question() };
     let bytes = write_question(&asked, Format::Eras).expect("it is written");
     assert_eq!(read_question(&bytes).expect("it is read").question, asked);
 }
@@ -219,7 +222,7 @@
 /// A later version may add fields, and say so: the ones that are known are read.
 #[test]
 fn later_fields_are_passed_over() {
-    let told = Message { extension: extension().filled(), ..later_partial() };
+    let told = Message { extension: extension().non_empty(), ..later_partial() };
     let mut bytes = write(&told, Format::Permits).expect("it is written");
     bytes[1] = 9;
     // A map of five fields becomes one of six, with a text under number 200.
@@ -234,7 +237,7 @@
 #[test]
 fn sizes() {
     let size = |message: &Message, format| write(message, format).expect("it is written").len();
-    let told = Message { extension: extension().filled(), ..partial() };
+    let told = Message { extension: extension().non_empty(), ..partial() };
     let first = size(&told, Format::First);
     let later = size(&told, Format::Permits);
     assert!(later - first <= 8 + 8 * 40, "{first} and {later} bytes");
@@ -248,7 +251,7 @@
     /// No bytes make a reader fail but by an error.
     #[test]
     fn spoilt_bytes(place in 0..400usize, byte: u8, cut in 0..400usize) {
-        let told = Message { extension: extension().filled(), ..whole() };
+        let told = Message { extension: extension().non_empty(), ..whole() };
         let mut bytes = write(&told, Format::Permits).expect("it is written");
         let place = place % bytes.len();
         bytes[place] = byte;
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -13,8 +13,8 @@
 use hollyspoke_gateway::engine::{EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Event, Kind};
 use hollyspoke_gateway::message::{
-    DataCentreKey, Demand, EngineNews, Full, Knowledge, Load, Message, Named, Standing, Switching,
-    Usage,
+    DataCentreKey, Demand, EngineUpdate, Load, Message, PeerAddress, Readiness, Rejection,
+    StageSwitch, StoreView, Usage,
 };
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
 use hollyspoke_platform::DIALECT;
@@ -34,12 +34,16 @@
 
 /// Draws work.
 fn load() -> impl Strategy<Value = Load> {
-    (number(), number(), number()).prop_map(|(reading, calls, held)| Load { reading, calls, held })
+    (number(), number(), number()).prop_map(|(prefill_tokens, calls, held_tokens)| Load {
+        prefill_tokens,
+        calls,
+        held_tokens,
+    })
 }
 
 /// Draws how a box stands.
-fn standing() -> impl Strategy<Value = Standing> {
-    prop_oneof![Just(Standing::Starting), Just(Standing::Ready), Just(Standing::Stopping)]
+fn standing() -> impl Strategy<Value = Readiness> {
+    prop_oneof![Just(Readiness::Starting), Just(Readiness::Ready), Just(Readiness::Stopping)]
 }
 
 /// Draws what a box has let through for customers.
@@ -51,7 +55,7 @@
             level,
         });
     (prop::collection::vec(account, 0..4), any::<bool>(), number())
-        .prop_map(|(accounts, is_complete, boxes)| Usage { accounts, is_complete, boxes })
+        .prop_map(|(accounts, is_complete, peak_boxes)| Usage { accounts, is_complete, peak_boxes })
 }
 
 /// Draws a revision.
@@ -60,7 +64,7 @@
 }
 
 /// Draws changes of engines.
-fn news() -> impl Strategy<Value = EngineNews> {
+fn news() -> impl Strategy<Value = EngineUpdate> {
     let change = (0..40u8, revision(), any::<bool>()).prop_map(|(it, revision, is_put)| {
         if is_put {
             EngineChange::Put(engine(it, "model", Some(Stage::Decode)), revision)
@@ -69,24 +73,27 @@
         }
     });
     (revision(), prop::collection::vec(change, 0..4))
-        .prop_map(|(since, changes)| EngineNews { since, changes })
+        .prop_map(|(since, changes)| EngineUpdate { since, changes })
 }
 
 /// Draws what a box tells of itself.
 fn from_a_box() -> impl Strategy<Value = Message> {
-    let cadence = (number(), number()).prop_map(|(near_ms, far_ms)| Cadence { near_ms, far_ms });
-    let knowledge = (any::<u64>(), revision(), any::<bool>())
-        .prop_map(|(version, revision, is_blind)| Knowledge { version, revision, is_blind });
+    let cadence = (number(), number()).prop_map(|(local_interval_ms, remote_interval_ms)| {
+        Cadence { local_interval_ms, remote_interval_ms }
+    });
+    let knowledge = (any::<u64>(), revision(), any::<bool>()).prop_map(
+        |(version, revision, has_lost_store)| StoreView { version, revision, has_lost_store },
+    );
     let who = (2..5u8, any::<u64>(), any::<u64>(), 0..3u32, any::<bool>());
     (who, standing(), prop::option::of(cadence), knowledge, any::<bool>(), usage()).prop_map(
-        |(who, standing, cadence, knowledge, is_whole, usage)| {
+        |(who, readiness, cadence, knowledge, is_whole, usage)| {
             let (number, incarnation, sequence, data_centre, is_relayed) = who;
             Message {
                 incarnation,
                 sequence,
                 data_centre: DataCentreKey(data_centre),
                 is_relayed,
-                standing,
+                readiness,
                 cadence,
                 is_whole,
                 usage,
@@ -100,42 +107,45 @@
 fn datagram() -> impl Strategy<Value = Message> {
     let loads = prop::collection::vec((some_engine(), load()), 0..6);
     let demand = (any::<u64>(), number(), number(), number()).prop_map(
-        |(service, reading, held, requests)| (service, Demand { reading, held, requests }),
+        |(service, prefill_tokens_per_s, held_tokens, requests)| {
+            (service, Demand { prefill_tokens_per_s, held_tokens, requests })
+        },
     );
-    let switching =
-        (some_engine(), any::<bool>(), number()).prop_map(|(engine, reads, span_ms)| {
+    let stage_switches =
+        (some_engine(), any::<bool>(), number()).prop_map(|(engine, reads, duration_ms)| {
             let stage = if reads { Stage::Prefill } else { Stage::Decode };
-            Switching { engine, stage, span_ms }
+            StageSwitch { engine, stage, duration_ms }
         });
-    let full = (some_engine(), number()).prop_map(|(engine, held)| Full { engine, held });
-    let kept = (any::<u64>(), some_engine())
+    let rejections = (some_engine(), number())
+        .prop_map(|(engine, held_tokens)| Rejection { engine, held_tokens });
+    let cached_prompts = (any::<u64>(), some_engine())
         .prop_map(|(prompt, engine)| Kept { prompt: PromptKey(prompt), engine });
     let address = (any::<[u8; 4]>(), any::<u16>()).prop_map(SocketAddr::from);
-    let peer = (address, 0..3u32).prop_map(|(address, data_centre)| Named {
+    let peer = (address, 0..3u32).prop_map(|(address, data_centre)| PeerAddress {
         address,
         data_centre: DataCentreKey(data_centre),
     });
     let engines = || prop::collection::vec(some_engine(), 0..3);
     let lists = (
         prop::collection::vec(demand, 0..3),
-        prop::collection::vec(switching, 0..3),
-        prop::collection::vec(full, 0..3),
-        prop::collection::vec(kept, 0..3),
+        prop::collection::vec(stage_switches, 0..3),
+        prop::collection::vec(rejections, 0..3),
+        prop::collection::vec(cached_prompts, 0..3),
         prop::collection::vec(peer, 0..5),
     );
     (from_a_box(), loads, lists, engines(), engines(), prop::option::of(news())).prop_map(
-        |(message, loads, lists, replaced, missed, news)| {
-            let (demand, switching, full, kept, peers) = lists;
+        |(message, loads, lists, replaced, unreachable, news)| {
+            let (demand, stage_switches, rejections, cached_prompts, peers) = lists;
             Message {
                 loads,
                 demand,
-                switching,
-                full,
-                kept,
+                stage_switches,
+                rejections,
+                cached_prompts,
                 peers,
                 replaced,
-                missed,
-                news: news.map(Box::new),
+                unreachable,
+                engine_update: news.map(Box::new),
                 ..message
             }
         },
--- a/tests/tests/gateway_census.rs
+++ b/tests/tests/gateway_census.rs
@@ -6,7 +6,7 @@
 use hollyspoke::store::{Answer, Operation};
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::event::{Event, Kind};
-use hollyspoke_gateway::message::{Knowledge, Message, Standing};
+use hollyspoke_gateway::message::{Message, Readiness, StoreView};
 use hollyspoke_tests::gateway::{World, configuration, engines, heartbeat};
 
 /// A box, the store, and other boxes that tell that they live.
@@ -54,7 +54,7 @@
             self.sequence += 1;
             effects.clear();
             for &number in &self.others {
-                let beat = heartbeat(number, self.sequence, Knowledge::default());
+                let beat = heartbeat(number, self.sequence, StoreView::default());
                 effects.extend(self.world.event(Event::Heard(beat)));
             }
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Configuration)));
@@ -97,7 +97,7 @@
             self.world.now = self.world.now + Duration::from_millis(10);
             for effect in self.world.gateway.step(self.world.now, Event::Tick) {
                 if let Effect::Tell(_, message) = effect {
-                    boxes = Some(message.usage.boxes);
+                    boxes = Some(message.usage.peak_boxes);
                 }
             }
         }
@@ -152,8 +152,8 @@
     site.pass(Duration::from_secs(3));
     assert_eq!(site.told(), 3);
     site.sequence += 1;
-    let stopping = heartbeat(3, site.sequence, Knowledge::default());
-    site.world.event(Event::Heard(Message { standing: Standing::Stopping, ..stopping }));
+    let stopping = heartbeat(3, site.sequence, StoreView::default());
+    site.world.event(Event::Heard(Message { readiness: Readiness::Stopping, ..stopping }));
     site.others = vec![2];
     site.pass(Duration::from_secs(3));
     assert_eq!(site.told(), 2);
@@ -165,8 +165,8 @@
     let mut site = writing();
     let stopped = site.others.pop().expect("there are two");
     site.sequence += 1;
-    let stopping = heartbeat(stopped, site.sequence, Knowledge::default());
-    site.world.event(Event::Heard(Message { standing: Standing::Stopping, ..stopping }));
+    let stopping = heartbeat(stopped, site.sequence, StoreView::default());
+    site.world.event(Event::Heard(Message { readiness: Readiness::Stopping, ..stopping }));
     site.pass(Duration::from_secs(50));
     assert_eq!(site.object.1, "3");
     site.pass(Duration::from_secs(20));
--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -13,7 +13,7 @@
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event};
-use hollyspoke_gateway::member::number;
+use hollyspoke_gateway::member::address_hash;
 use hollyspoke_gateway::route::{Configuration, RouteKind, Service};
 use hollyspoke_tests::gateway::{
     PLAIN, World, configuration_of, engine, only_refusal, ran, request, route, settings,
@@ -108,7 +108,7 @@
     for place in 0..boxes {
         let [high, low] = place.to_be_bytes();
         let address = ([10, 0, high, low], 7000).into();
-        let part = Part { number: number(&address), boxes: known };
+        let part = Part { number: address_hash(&address), boxes: known };
         let mut turns = Turns::default();
         for step in 0..50u64 {
             let now = Time::from_millis(1000 + step * 50 + u64::from(place) % 50);
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::customer::{Caller, Customer, CustomerKey, Customers, Unit};
 use hollyspoke_gateway::effect::{Effect, NotRunReason, Note, Refusal};
 use hollyspoke_gateway::event::{CallEvent, Event};
-use hollyspoke_gateway::message::{Knowledge, Message, Usage};
+use hollyspoke_gateway::message::{Message, StoreView, Usage};
 use hollyspoke_gateway::region::Homes;
 use hollyspoke_gateway::request::{FlightKey, Request};
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind};
@@ -179,7 +179,7 @@
 #[test]
 fn behind() {
     let mut world = world(0.0);
-    let knowledge = Knowledge { version: 2, ..Knowledge::default() };
+    let knowledge = StoreView { version: 2, ..StoreView::default() };
     world.event(Event::Heard(heartbeat(2, 1, knowledge)));
     let (_, effects) = world.arrive(keyed("safe", b"newer"));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -260,8 +260,8 @@
 /// Gives what another box has let through for the customer `press`.
 fn told(number: u8, sequence: u64, total: u32, is_complete: bool) -> Message {
     let account = Account { customer: CustomerKey::of("press"), total, level: Some(0) };
-    let usage = Usage { accounts: vec![account], is_complete, boxes: 0 };
-    Message { usage, ..heartbeat(number, sequence, Knowledge::default()) }
+    let usage = Usage { accounts: vec![account], is_complete, peak_boxes: 0 };
+    Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
 }
 
 /// What another box lets through counts here, however often it is told.
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -9,8 +9,8 @@
 use hollyspoke_gateway::engine::{Engine, EngineChange};
 use hollyspoke_gateway::evacuation::{Change, Evacuation};
 use hollyspoke_gateway::event::{Event, Kind};
-use hollyspoke_gateway::message::{EngineNews, Knowledge, Message};
-use hollyspoke_gateway::snapshot::Question;
+use hollyspoke_gateway::message::{EngineUpdate, Message, StoreView};
+use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_tests::gateway::{PLAIN, World, configuration, engine, engines, heartbeat, request};
 
 /// The last revision that was read before the return.
@@ -166,9 +166,9 @@
 
 /// Gives a datagram with changes that another box has read.
 fn news(since: Revision, changes: Vec<EngineChange>) -> Event {
-    let knowledge = Knowledge { version: 1, revision: COPY, is_blind: false };
-    let news = Some(Box::new(EngineNews { since, changes }));
-    Event::Heard(Message { news, era: COPY.era, ..heartbeat(2, 1000, knowledge) })
+    let knowledge = StoreView { version: 1, revision: COPY, has_lost_store: false };
+    let engine_update = Some(Box::new(EngineUpdate { since, changes }));
+    Event::Heard(Message { engine_update, era: COPY.era, ..heartbeat(2, 1000, knowledge) })
 }
 
 /// Whether changes to another era's list are taken that were told by a box which knew as much as this
@@ -193,7 +193,8 @@
     let mut provider = world(both(first(100)));
     put(&mut provider, Engine { slots: 4, ..first(100) }, LOST);
     come_back(&mut provider, both(leaving(100)));
-    let ask = |it| provider.gateway.snapshot(Question { version: 1, revision: Some(it) }).listing;
+    let ask =
+        |it| provider.gateway.snapshot(SnapshotRequest { version: 1, revision: Some(it) }).listing;
     let is_changes = |it: Revision| {
         matches!(ask(it), Some(hollyspoke_gateway::snapshot::Listing::Changes { .. }))
     };
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -12,8 +12,8 @@
 use hollyspoke_gateway::engine::{Engine, Stage};
 use hollyspoke_gateway::evacuation::{Change, Evacuation};
 use hollyspoke_gateway::event::{CallEvent, Event, Kind};
-use hollyspoke_gateway::message::{Knowledge, Message};
-use hollyspoke_gateway::snapshot::Question;
+use hollyspoke_gateway::message::{Message, StoreView};
+use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_tests::gateway::{
     MODEL, PLAIN, World, configuration, engine, heartbeat, only_refusal, only_send, ran, read,
     request, settings, turned_away,
@@ -74,7 +74,7 @@
 
 /// Gives a datagram of another box with a state.
 fn heard(sequence: u64, evacuation: Evacuation) -> Message {
-    Message { evacuation, ..heartbeat(2, sequence, Knowledge::default()) }
+    Message { evacuation, ..heartbeat(2, sequence, StoreView::default()) }
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let mut world = World::numbered(2);
     world.event(Event::Fetched(
         settings(2).peer,
-        Box::new(provider.gateway.snapshot(Question::default())),
+        Box::new(provider.gateway.snapshot(SnapshotRequest::default())),
     ));
     assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
 }
--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -7,14 +7,15 @@
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::EngineChange;
 use hollyspoke_gateway::event::{Event, Kind};
-use hollyspoke_gateway::message::{EngineNews, Knowledge, Message};
+use hollyspoke_gateway::message::{EngineUpdate, Message, StoreView};
 use hollyspoke_tests::gateway::{PLAIN, World, engine, engines, heartbeat, request};
 
 /// What a box knows that follows the store and is not behind [`World::new`].
-const SEEING: Knowledge = Knowledge { version: 1, revision: Revision::new(0, 10), is_blind: false };
+const SEEING: StoreView =
+    StoreView { version: 1, revision: Revision::new(0, 10), has_lost_store: false };
 
 /// Lets a second pass with heartbeats of boxes 2 to 9, and gives what the box did.
-fn second(world: &mut World, sequence: u64, knowledge: Knowledge) -> Vec<Effect> {
+fn second(world: &mut World, sequence: u64, knowledge: StoreView) -> Vec<Effect> {
     let mut effects = Vec::new();
     for step in 0..4 {
         for number in 2..=9 {
@@ -52,7 +53,7 @@
 #[test]
 fn followers_lose_the_store() {
     let mut world = spared();
-    let blind = Knowledge { is_blind: true, ..SEEING };
+    let blind = StoreView { has_lost_store: true, ..SEEING };
     assert_eq!(follows(&second(&mut world, 2, blind)), Some(true));
     assert_eq!(follows(&second(&mut world, 3, SEEING)), Some(false));
 }
@@ -72,8 +73,8 @@
 fn news_is_taken() {
     let mut world = spared();
     let change = EngineChange::Left("engine-1".into(), 12.into());
-    let news = EngineNews { since: 10.into(), changes: vec![change] };
-    let message = Message { news: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
+    let news = EngineUpdate { since: 10.into(), changes: vec![change] };
+    let message = Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
     world.event(Event::Heard(message));
     for _ in 0..6 {
         let (_, send) = world.sent(request("safe"));
@@ -86,14 +87,14 @@
 fn gap_is_read() {
     let mut world = spared();
     let change = EngineChange::Put(engine(3, PLAIN, None), 14.into());
-    let news = EngineNews { since: 12.into(), changes: vec![change] };
-    let message = Message { news: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
+    let news = EngineUpdate { since: 12.into(), changes: vec![change] };
+    let message = Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
     world.event(Event::Heard(message));
     for _ in 0..12 {
         let (_, send) = world.sent(request("safe"));
         assert_ne!(&*send.engine.id, "engine-3");
     }
-    let ahead = Knowledge { revision: 14.into(), ..SEEING };
+    let ahead = StoreView { revision: 14.into(), ..SEEING };
     let effects = second(&mut world, 300, ahead);
     assert!(effects.contains(&Effect::Read(Kind::Engines)));
     assert!(!effects.contains(&Effect::Read(Kind::Configuration)));
@@ -102,7 +103,7 @@
 #[test]
 fn newer_configuration_is_read() {
     let mut world = spared();
-    let ahead = Knowledge { version: 2, ..SEEING };
+    let ahead = StoreView { version: 2, ..SEEING };
     let effects = second(&mut world, 2, ahead);
     assert!(effects.contains(&Effect::Read(Kind::Configuration)));
 }
@@ -111,7 +112,7 @@
 #[test]
 fn newer_configuration_is_read_at_once() {
     let mut world = spared();
-    let ahead = Knowledge { version: 2, ..SEEING };
+    let ahead = StoreView { version: 2, ..SEEING };
     let now = world.now;
     let first = world.gateway.step(now, Event::Heard(heartbeat(2, 1000, ahead)));
     assert!(first.contains(&Effect::Read(Kind::Configuration)));
@@ -129,8 +130,8 @@
     let effects = world.gateway.step(now, Event::Changed(vec![change.clone()]));
     let passed = effects.iter().any(|it| match it {
         Effect::Tell(_, message) => {
-            let news = EngineNews { since: 10.into(), changes: vec![change.clone()] };
-            message.news == Some(Box::new(news))
+            let news = EngineUpdate { since: 10.into(), changes: vec![change.clone()] };
+            message.engine_update == Some(Box::new(news))
         }
         _ => false,
     });
@@ -138,9 +139,9 @@
 }
 
 /// Gives the changes of engines that were passed on.
-fn passed_on(effects: &[Effect]) -> Vec<EngineNews> {
+fn passed_on(effects: &[Effect]) -> Vec<EngineUpdate> {
     let news = effects.iter().filter_map(|it| match it {
-        Effect::Tell(_, message) => message.news.as_deref().cloned(),
+        Effect::Tell(_, message) => message.engine_update.as_deref().cloned(),
         _ => None,
     });
     news.collect()
@@ -157,7 +158,7 @@
     let now = world.now;
     let effects = world.gateway.step(now, Event::Listed(listed, 30.into()));
     let changes = vec![EngineChange::Left(gone.id, 30.into())];
-    assert_eq!(passed_on(&effects), [EngineNews { since: 10.into(), changes }]);
+    assert_eq!(passed_on(&effects), [EngineUpdate { since: 10.into(), changes }]);
 }
 
 /// Gives 40 new engines, each with a revision of its own.
@@ -168,9 +169,10 @@
 }
 
 /// Gives what a box does that hears datagrams of news.
-fn hears(world: &mut World, news: impl IntoIterator<Item = EngineNews>) {
+fn hears(world: &mut World, news: impl IntoIterator<Item = EngineUpdate>) {
     for (sequence, news) in (2000..).zip(news) {
-        let message = Message { news: Some(Box::new(news)), ..heartbeat(2, sequence, SEEING) };
+        let message =
+            Message { engine_update: Some(Box::new(news)), ..heartbeat(2, sequence, SEEING) };
         world.event(Event::Heard(message));
     }
 }
@@ -186,7 +188,7 @@
     assert!(news.len() > 1, "more than fits into one datagram");
     let mut other = spared();
     hears(&mut other, news);
-    let knows = Knowledge { revision: 59.into(), ..SEEING };
+    let knows = StoreView { revision: 59.into(), ..SEEING };
     let effects = second(&mut other, 900, knows);
     assert!(!effects.contains(&Effect::Read(Kind::Engines)), "nothing is missing");
 }
@@ -202,7 +204,7 @@
     news.remove(1);
     let mut other = spared();
     hears(&mut other, news);
-    let knows = Knowledge { revision: 59.into(), ..SEEING };
+    let knows = StoreView { revision: 59.into(), ..SEEING };
     let effects = second(&mut other, 900, knows);
     assert!(effects.contains(&Effect::Read(Kind::Engines)));
 }
@@ -219,7 +221,7 @@
     effects.extend(world.gateway.step(world.now, Event::Tick));
     assert_eq!(passed_on(&effects), []);
     let told = effects.iter().filter_map(|it| match it {
-        Effect::Tell(_, message) => Some(message.knowledge.revision),
+        Effect::Tell(_, message) => Some(message.store_view.revision),
         _ => None,
     });
     assert_eq!(told.max(), Some(Revision::default()), "no change of an engine is known");
@@ -230,7 +232,7 @@
     let does_follow = |own: &u8| {
         let mut world = World::numbered(*own);
         for number in (1..=9).filter(|it| it != own) {
-            let knowledge = Knowledge { is_blind: blind.contains(&number), ..SEEING };
+            let knowledge = StoreView { has_lost_store: blind.contains(&number), ..SEEING };
             world.event(Event::Heard(heartbeat(number, 1, knowledge)));
         }
         follows(&tick_for(&mut world, Duration::from_millis(400))) != Some(false)
@@ -264,7 +266,7 @@
 /// Gives whether the last heartbeat called the box blind.
 fn is_blind(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|it| match it {
-        Effect::Tell(_, message) if message.is_whole => Some(message.knowledge.is_blind),
+        Effect::Tell(_, message) if message.is_whole => Some(message.store_view.has_lost_store),
         _ => None,
     })
 }
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -5,14 +5,15 @@
 use hollyspoke_gateway::effect::{Effect, Task};
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::event::{CallEvent, Event};
-use hollyspoke_gateway::message::{Full, Knowledge, Message};
+use hollyspoke_gateway::message::{Message, Rejection, StoreView};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{World, heartbeat, only_send, read, request, turned_away};
 
 /// Gives the word of another box that both engines that generate had no room.
-fn both_full(held: u32) -> Event {
-    let full = ["engine-21", "engine-22"].map(|it| Full { engine: EngineKey::of(it), held });
-    Event::Heard(Message { full: full.to_vec(), ..heartbeat(2, 1, Knowledge::default()) })
+fn both_full(held_tokens: u32) -> Event {
+    let full =
+        ["engine-21", "engine-22"].map(|it| Rejection { engine: EngineKey::of(it), held_tokens });
+    Event::Heard(Message { rejections: full.to_vec(), ..heartbeat(2, 1, StoreView::default()) })
 }
 
 /// Gives a request with a prompt of some tokens.
@@ -42,15 +43,16 @@
 #[test]
 fn own_refusal_is_told() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     let (_, reading) = world.sent(sized(5000));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     let refused = Event::Call(generating.call, CallEvent::Answered(turned_away()));
     let effects = world.gateway.step(world.now, refused);
     let is_told = effects.iter().any(|it| match it {
-        Effect::Tell(_, message) => {
-            message.full.iter().any(|it| it.engine == generating.engine.key && it.held > 5000)
-        }
+        Effect::Tell(_, message) => message
+            .rejections
+            .iter()
+            .any(|it| it.engine == generating.engine.key && it.held_tokens > 5000),
         _ => false,
     });
     assert!(is_told, "{effects:?}");
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -11,17 +11,18 @@
 use hollyspoke_gateway::effect::{Effect, Refusal};
 use hollyspoke_gateway::engine::EngineChange;
 use hollyspoke_gateway::event::{Event, Kind};
-use hollyspoke_gateway::message::{DataCentreKey, Knowledge};
+use hollyspoke_gateway::message::{DataCentreKey, StoreView};
 use hollyspoke_gateway::region::Homes;
 use hollyspoke_gateway::request::Request;
-use hollyspoke_gateway::snapshot::{Listing, Question, Snapshot};
+use hollyspoke_gateway::snapshot::{Listing, Snapshot, SnapshotRequest};
 use hollyspoke_tests::gateway::{
     PLAIN, World, configuration, engine, engines, heartbeat, only_refusal, only_send, request,
     settings,
 };
 
 /// What a box knows that follows the store.
-const NEWEST: Knowledge = Knowledge { version: 2, revision: Revision::new(0, 12), is_blind: false };
+const NEWEST: StoreView =
+    StoreView { version: 2, revision: Revision::new(0, 12), has_lost_store: false };
 
 /// Gives the usual configuration with the customer `press` and its keys.
 fn with_keys(version: u64, keys: &[&[u8]]) -> Event {
@@ -48,15 +49,15 @@
     let mut provider = World::numbered(2);
     provider.event(Event::Listed(engines(), 12.into()));
     provider.event(with_keys(2, &[b"newer"]));
-    let bytes =
-        bincode::DefaultOptions::new().serialize(&provider.gateway.snapshot(Question::default()));
+    let bytes = bincode::DefaultOptions::new()
+        .serialize(&provider.gateway.snapshot(SnapshotRequest::default()));
     let bytes = bytes.expect("it can be written");
     let snapshot: Snapshot = bincode::DefaultOptions::new().deserialize(&bytes).expect("whole");
     Event::Fetched(settings(2).peer, Box::new(snapshot))
 }
 
 /// Lets time pass while another box tells with each heartbeat what it knows; gives the boxes asked.
-fn asked(world: &mut World, knowledge: Knowledge, beats: u64) -> usize {
+fn asked(world: &mut World, knowledge: StoreView, beats: u64) -> usize {
     let mut asked = 0;
     for beat in 0..beats {
         world.event(Event::Heard(heartbeat(2, 1000 + beat, knowledge)));
@@ -142,9 +143,9 @@
 fn nobody_to_ask() {
     let mut world = World::unconfigured();
     world.event(Event::StoreFailed(Kind::Engines));
-    let starting = Knowledge::default();
+    let starting = StoreView::default();
     let mut message = heartbeat(2, 1000, starting);
-    message.standing = hollyspoke_gateway::message::Standing::Starting;
+    message.readiness = hollyspoke_gateway::message::Readiness::Starting;
     world.event(Event::Heard(message));
     let effects = world.pass(Duration::from_secs(1));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Fetch(_))));
@@ -167,10 +168,10 @@
         enter(&mut provider, number, 20 + u64::from(number));
     }
     enter(&mut behind, 31, 51);
-    let question = behind.gateway.question();
-    assert_eq!(question, Question { version: 1, revision: Some(51.into()) });
+    let question = behind.gateway.snapshot_request();
+    assert_eq!(question, SnapshotRequest { version: 1, revision: Some(51.into()) });
     let snapshot = provider.gateway.snapshot(question);
-    assert_eq!(snapshot.version, None);
+    assert_eq!(snapshot.configuration, None);
     let Some(Listing::Changes { changes, revision: Revision { era: 0, number: 55 } }) =
         &snapshot.listing
     else {
@@ -180,8 +181,8 @@
     behind.event(Event::Fetched(settings(2).peer, Box::new(snapshot)));
     assert_eq!(behind.gateway.engine_count(), provider.gateway.engine_count());
     assert_eq!(behind.gateway.engine_revision(), 55.into());
-    let nothing = provider.gateway.snapshot(behind.gateway.question());
-    assert_eq!((nothing.version, nothing.listing), (None, None));
+    let nothing = provider.gateway.snapshot(behind.gateway.snapshot_request());
+    assert_eq!((nothing.configuration, nothing.listing), (None, None));
 }
 
 /// What a list has changed is handed on as changes too, also an engine that has left.
@@ -194,10 +195,10 @@
     listed.remove(0);
     listed.push(engine(31, PLAIN, None));
     provider.event(Event::Listed(listed, 40.into()));
-    let snapshot = provider.gateway.snapshot(behind.gateway.question());
+    let snapshot = provider.gateway.snapshot(behind.gateway.snapshot_request());
     assert!(matches!(snapshot.listing, Some(Listing::Changes { .. })), "{snapshot:?}");
     behind.event(Event::Fetched(settings(2).peer, Box::new(snapshot)));
-    let list = |world: &World| match world.gateway.snapshot(Question::default()).listing {
+    let list = |world: &World| match world.gateway.snapshot(SnapshotRequest::default()).listing {
         Some(Listing::Whole { mut engines, revision }) => {
             engines.sort_by_key(|it| it.key);
             (engines, revision)
@@ -211,13 +212,13 @@
 #[test]
 fn all_where_changes_are_forgotten() {
     let mut provider = World::new();
-    let question = Question { version: 1, revision: Some(11.into()) };
+    let question = SnapshotRequest { version: 1, revision: Some(11.into()) };
     for revision in 11..5_011 {
         enter(&mut provider, 31 + (revision % 200) as u8, revision);
     }
     let snapshot = provider.gateway.snapshot(question);
     assert!(matches!(snapshot.listing, Some(Listing::Whole { .. })));
-    let recent = Question { version: 1, revision: Some(5_000.into()) };
+    let recent = SnapshotRequest { version: 1, revision: Some(5_000.into()) };
     let snapshot = provider.gateway.snapshot(recent);
     let Some(Listing::Changes { changes, .. }) = snapshot.listing else { panic!("changes") };
     assert_eq!(changes.len(), 10);
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -14,7 +14,7 @@
 use hollyspoke_gateway::engine::{Engine, EngineKey, Stage};
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
-use hollyspoke_gateway::message::{DataCentreKey, Knowledge, Message};
+use hollyspoke_gateway::message::{DataCentreKey, Message, StoreView};
 use hollyspoke_gateway::region::{Homes, Regions};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Route, RouteKind};
@@ -152,7 +152,7 @@
     let data_centre = DataCentreKey::of(data_centre);
     Message {
         data_centre,
-        ..heartbeat(number, 1, Knowledge { version: 1, ..Knowledge::default() })
+        ..heartbeat(number, 1, StoreView { version: 1, ..StoreView::default() })
     }
 }
 
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -12,10 +12,10 @@
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::intake;
-use hollyspoke_gateway::message::{Extension, Format, Knowledge, Message};
+use hollyspoke_gateway::message::{Extension, Format, Message, StoreView};
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::Request;
-use hollyspoke_gateway::snapshot::Question;
+use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
@@ -374,15 +374,15 @@
 /// Gives word that the first plain engine leaves in a life.
 fn word(born: u64, age_ms: u32) -> Message {
     let departures = vec![Word { engine: first(None).key, born: Some(born), age_ms }];
-    let extension = Extension { departures, ..Extension::default() }.filled();
-    Message { extension, ..heartbeat(2, 1, Knowledge::default()) }
+    let extension = Extension { departures, ..Extension::default() }.non_empty();
+    Message { extension, ..heartbeat(2, 1, StoreView::default()) }
 }
 
 /// A box tells the others at once, repeats it with its heartbeats, and tells a box that greets it.
 #[test]
 fn told_to_the_others() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     let key = first(None).key;
     let effects = world.gateway.step(world.now, Event::Stated(key, leaving()));
     assert_eq!(told(&effects, key), 1);
@@ -390,7 +390,7 @@
     let effects = world.gateway.step(world.now, Event::Tick);
     assert_eq!(told(&effects, key), 1);
     let greeting =
-        Message { format: Some(Format::Permits), ..heartbeat(3, 1, Knowledge::default()) };
+        Message { format: Some(Format::Permits), ..heartbeat(3, 1, StoreView::default()) };
     let effects = world.gateway.step(world.now, Event::Heard(greeting));
     assert!(told(&effects, key) >= 1, "{effects:?}");
 }
@@ -426,7 +426,7 @@
     let mut provider = one_leaves();
     provider.pass(Duration::from_secs(3));
     let mut world = World::numbered(2);
-    let snapshot = provider.gateway.snapshot(Question::default());
+    let snapshot = provider.gateway.snapshot(SnapshotRequest::default());
     world.event(Event::Fetched(settings(1).peer, Box::new(snapshot)));
     let served = plain_go_to(&mut world);
     assert!(!served.is_empty() && !served.contains(&first(None).key), "{served:?}");
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -14,7 +14,7 @@
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event};
 use hollyspoke_gateway::intake::Told;
-use hollyspoke_gateway::message::{Knowledge, Load, Message};
+use hollyspoke_gateway::message::{Load, Message, StoreView};
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind, Service};
@@ -268,7 +268,7 @@
 fn beside_another(engines: Vec<Engine>) -> World {
     let mut world = World::new();
     world.event(Event::Listed(engines.clone(), 20.into()));
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     for engine in engines {
         world.event(Event::Stated(engine.key, takes(3.0)));
     }
@@ -289,7 +289,7 @@
         });
         assert!(is_done, "request {number} of {route}: {effects:?}");
         world.event(Event::ClientLeft(flight));
-        world.event(Event::Heard(heartbeat(2, number + 2, Knowledge::default())));
+        world.event(Event::Heard(heartbeat(2, number + 2, StoreView::default())));
     }
 }
 
@@ -305,12 +305,16 @@
 /// is refused as others are that find no room, and is not held until its deadline.
 #[test]
 fn no_room_left_after_a_question() {
-    let full = Load { reading: 0, calls: 4, held: u32::try_from(MEMORY).expect("it is small") };
+    let full = Load {
+        prefill_tokens: 0,
+        calls: 4,
+        held_tokens: u32::try_from(MEMORY).expect("it is small"),
+    };
     let taken = [21, 22].map(|it| (engine(it, MODEL, None).key, full));
     let mut asked = 0;
     for other in 2..60 {
         let mut world = World::new();
-        world.event(Event::Heard(heartbeat(other, 1, Knowledge::default())));
+        world.event(Event::Heard(heartbeat(other, 1, StoreView::default())));
         for number in [11, 12] {
             let reader = engine(number, MODEL, None).key;
             world.event(Event::Stated(reader, takes(3.0)));
@@ -321,7 +325,7 @@
         }
         asked += 1;
         let loads = taken.to_vec();
-        let beat = Message { loads, ..heartbeat(other, 2, Knowledge::default()) };
+        let beat = Message { loads, ..heartbeat(other, 2, StoreView::default()) };
         world.event(Event::Heard(beat));
         let effects = world.pass(Duration::from_millis(400));
         only_refusal(&effects);
--- a/tests/tests/gateway_peers.rs
+++ b/tests/tests/gateway_peers.rs
@@ -8,12 +8,12 @@
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::event::Event;
 use hollyspoke_gateway::gateway::Gateway;
-use hollyspoke_gateway::message::{Knowledge, Load, Message, Standing};
+use hollyspoke_gateway::message::{Load, Message, Readiness, StoreView};
 use hollyspoke_tests::gateway::{self, MEMORY, World, request, settings};
 
 /// Gives a heartbeat of another box that knows nothing of the store.
 fn heartbeat(number: u8, sequence: u64) -> Message {
-    gateway::heartbeat(number, sequence, Knowledge::default())
+    gateway::heartbeat(number, sequence, StoreView::default())
 }
 
 /// Gives where a box listens for clients.
@@ -100,7 +100,7 @@
 fn stopping_peer_leaves_the_answer() {
     let mut world = World::new();
     world.event(Event::Heard(heartbeat(2, 1)));
-    let stopping = Message { standing: Standing::Stopping, ..heartbeat(2, 2) };
+    let stopping = Message { readiness: Readiness::Stopping, ..heartbeat(2, 2) };
     world.event(Event::Heard(stopping));
     assert_eq!(world.gateway.fronts(None), [front(1)]);
 }
@@ -120,7 +120,7 @@
 fn late_datagram_is_ignored() {
     let mut world = World::new();
     world.event(Event::Heard(heartbeat(2, 5)));
-    let stale = Message { standing: Standing::Stopping, ..heartbeat(2, 4) };
+    let stale = Message { readiness: Readiness::Stopping, ..heartbeat(2, 4) };
     world.event(Event::Heard(stale));
     assert_eq!(world.gateway.fronts(None).len(), 2);
 }
@@ -128,7 +128,7 @@
 #[test]
 fn peers_work_takes_room() {
     let mut world = World::new();
-    let full = Load { reading: 0, calls: 9, held: MEMORY as u32 };
+    let full = Load { prefill_tokens: 0, calls: 9, held_tokens: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
     let message = Message { loads: loads.to_vec(), ..heartbeat(2, 1) };
     world.event(Event::Heard(message));
@@ -142,7 +142,7 @@
 #[test]
 fn dead_peers_work_is_forgotten() {
     let mut world = World::new();
-    let full = Load { reading: 0, calls: 9, held: MEMORY as u32 };
+    let full = Load { prefill_tokens: 0, calls: 9, held_tokens: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
     let message = Message { loads: loads.to_vec(), ..heartbeat(2, 1) };
     world.event(Event::Heard(message));
@@ -160,7 +160,7 @@
     let effects = world.gateway.step(now, arrived);
     let (to, message) = told(&effects);
     assert_eq!(to, [SocketAddr::from(([10, 0, 0, 2], 7000))]);
-    assert!(message.loads.iter().any(|(_, load)| load.reading == 5000));
+    assert!(message.loads.iter().any(|(_, load)| load.prefill_tokens == 5000));
 }
 
 /// Gives the last datagram among effects and whom it goes to.
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -5,7 +5,7 @@
 use hollyspoke_gateway::effect::{Effect, Prompt, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event};
-use hollyspoke_gateway::message::{Knowledge, Message};
+use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
 use hollyspoke_gateway::request::{FlightKey, Request};
 use hollyspoke_tests::gateway::{
@@ -24,8 +24,8 @@
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn told(sequence: u64, engine: EngineKey) -> Event {
-    let kept = vec![Kept { prompt: PromptKey(7), engine }];
-    Event::Heard(Message { kept, ..heartbeat(2, sequence, Knowledge::default()) })
+    let cached_prompts = vec![Kept { prompt: PromptKey(7), engine }];
+    Event::Heard(Message { cached_prompts, ..heartbeat(2, sequence, StoreView::default()) })
 }
 
 /// Has a stream begin whose client then leaves; gives its engines, the reading one first.
@@ -67,13 +67,14 @@
 #[test]
 fn told_to_other_nodes() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     let (_, reading) = world.sent(named("resumed"));
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     let began = Event::Call(generating.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
     let kept = Kept { prompt: PromptKey(7), engine: generating.engine.key };
-    let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.kept == [kept]);
+    let is_told =
+        |it: &Effect| matches!(it, Effect::Tell(_, message) if message.cached_prompts == [kept]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
@@ -128,8 +129,8 @@
     world.event(told(1, numbered(21).key));
     world.pass(Duration::from_secs(13));
     world.event(Event::Heard(Message {
-        kept: vec![Kept { prompt: PromptKey(8), engine: numbered(21).key }],
-        ..heartbeat(2, 2, Knowledge::default())
+        cached_prompts: vec![Kept { prompt: PromptKey(8), engine: numbered(21).key }],
+        ..heartbeat(2, 2, StoreView::default())
     }));
     let (_, again) = world.sent(resuming());
     assert_eq!(again.task, Task::Read);
--- a/tests/tests/gateway_reach.rs
+++ b/tests/tests/gateway_reach.rs
@@ -5,13 +5,13 @@
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::event::{CallEvent, Event};
-use hollyspoke_gateway::message::{Knowledge, Message};
+use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_tests::gateway::{World, heartbeat, ran, request};
 
 /// Gives the word of a box that it has not reached engines.
 fn missed(node: u8, sequence: u64, engines: &[u8]) -> Event {
-    let missed = engines.iter().map(|it| EngineKey::of(&format!("engine-{it}"))).collect();
-    Event::Heard(Message { missed, ..heartbeat(node, sequence, Knowledge::default()) })
+    let unreachable = engines.iter().map(|it| EngineKey::of(&format!("engine-{it}"))).collect();
+    Event::Heard(Message { unreachable, ..heartbeat(node, sequence, StoreView::default()) })
 }
 
 /// Sends some plain requests; gives how many went to engine 1.
@@ -64,10 +64,11 @@
 #[test]
 fn own_miss_is_told() {
     let mut world = World::new();
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     let (_, send) = world.sent(request("safe"));
     let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::Unsent));
     let key = send.engine.key;
-    let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.missed == [key]);
+    let is_told =
+        |it: &Effect| matches!(it, Effect::Tell(_, message) if message.unreachable == [key]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
--- a/tests/tests/gateway_relay.rs
+++ b/tests/tests/gateway_relay.rs
@@ -7,14 +7,14 @@
 
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::event::Event;
-use hollyspoke_gateway::message::{DataCentreKey, Knowledge, Message};
+use hollyspoke_gateway::message::{DataCentreKey, Message, StoreView};
 use hollyspoke_tests::gateway::{World, heartbeat, request, settings};
 
 /// Gives a heartbeat of a box in a data centre.
 fn beat_from(number: u8, sequence: u64, data_centre: &str) -> Message {
     Message {
         data_centre: DataCentreKey::of(data_centre),
-        ..heartbeat(number, sequence, Knowledge::default())
+        ..heartbeat(number, sequence, StoreView::default())
     }
 }
 
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -8,7 +8,7 @@
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
-use hollyspoke_gateway::message::{Knowledge, Message};
+use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::fleet::{BOUND, Behaviour, Fleet};
@@ -245,6 +245,6 @@
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn keeper_told(number: u64) -> Event {
-    let kept = vec![Kept { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
-    Event::Heard(Message { kept, ..heartbeat(2, number + 1, Knowledge::default()) })
+    let cached_prompts = vec![Kept { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
+    Event::Heard(Message { cached_prompts, ..heartbeat(2, number + 1, StoreView::default()) })
 }
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -10,7 +10,7 @@
 use hollyspoke_gateway::effect::{Effect, Refusal};
 use hollyspoke_gateway::event::Event;
 use hollyspoke_gateway::gateway::Gateway;
-use hollyspoke_gateway::message::{Knowledge, Message, Standing, Usage};
+use hollyspoke_gateway::message::{Message, Readiness, StoreView, Usage};
 use hollyspoke_gateway::region::Homes;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{
@@ -21,9 +21,9 @@
 const KEY: &[u8] = b"press-key";
 
 /// Gives another box's heartbeat that tells how many boxes it knows.
-fn beat(number: u8, sequence: u64, boxes: u32) -> Message {
-    let usage = Usage { boxes, ..Usage::default() };
-    Message { usage, ..heartbeat(number, sequence, Knowledge::default()) }
+fn beat(number: u8, sequence: u64, peak_boxes: u32) -> Message {
+    let usage = Usage { peak_boxes, ..Usage::default() };
+    Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
 }
 
 /// Lets time pass and gives how many boxes the box tells of in the end.
@@ -34,7 +34,7 @@
         world.now = world.now + Duration::from_millis(10);
         for effect in world.gateway.step(world.now, Event::Tick) {
             if let Effect::Tell(_, message) = effect {
-                boxes = Some(message.usage.boxes);
+                boxes = Some(message.usage.peak_boxes);
             }
         }
     }
@@ -93,7 +93,7 @@
     world.event(Event::Heard(beat(2, 1, 0)));
     world.event(Event::Heard(beat(3, 1, 0)));
     assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 3);
-    let stopping = Message { standing: Standing::Stopping, ..beat(3, 2, 0) };
+    let stopping = Message { readiness: Readiness::Stopping, ..beat(3, 2, 0) };
     world.event(Event::Heard(stopping));
     world.event(Event::Heard(beat(2, 2, 0)));
     assert_eq!(told_boxes(&mut world, Duration::from_secs(2)), 2);
@@ -115,7 +115,7 @@
 fn stopped_long_ago() {
     let mut world = World::new();
     world.event(Event::Heard(beat(2, 1, 40)));
-    let stopping = Message { standing: Standing::Stopping, ..beat(2, 2, 40) };
+    let stopping = Message { readiness: Readiness::Stopping, ..beat(2, 2, 40) };
     world.event(Event::Heard(stopping));
     assert_eq!(told_boxes(&mut world, Duration::from_secs(70)), 39);
 }
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -7,7 +7,7 @@
 use hollyspoke_gateway::engine::{EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::intake::Told;
-use hollyspoke_gateway::message::{Knowledge, Switching};
+use hollyspoke_gateway::message::{StageSwitch, StoreView};
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::gateway::{
     World, engine, heartbeat, only_send, ran, read, request, settings,
@@ -195,7 +195,7 @@
         let mut sequence = 0;
         for _ in 0..50 {
             sequence += 1;
-            let beat = heartbeat(other, sequence, Knowledge::default());
+            let beat = heartbeat(other, sequence, StoreView::default());
             it.world.event(Event::Heard(beat));
             it.play(FULL, 3000, Duration::from_millis(200));
         }
@@ -208,10 +208,11 @@
 #[test]
 fn switching_engine_gets_nothing() {
     let mut world = World::new();
-    let told = |span_ms| {
-        let mut message = heartbeat(2, u64::from(span_ms) + 1, Knowledge::default());
+    let told = |duration_ms| {
+        let mut message = heartbeat(2, u64::from(duration_ms) + 1, StoreView::default());
         let key = EngineKey::of("engine-21");
-        message.switching = vec![Switching { engine: key, stage: Stage::Prefill, span_ms }];
+        message.stage_switches =
+            vec![StageSwitch { engine: key, stage: Stage::Prefill, duration_ms }];
         Event::Heard(message)
     };
     world.event(told(5000));
--- a/tests/tests/gateway_survey.rs
+++ b/tests/tests/gateway_survey.rs
@@ -6,7 +6,7 @@
 use hollyspoke_gateway::effect::{Effect, Prompt, Task};
 use hollyspoke_gateway::engine::{EngineKey, Stage};
 use hollyspoke_gateway::event::Event;
-use hollyspoke_gateway::message::Knowledge;
+use hollyspoke_gateway::message::StoreView;
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{
@@ -55,7 +55,7 @@
 fn nodes_share_the_engines() {
     let mut world = World::new();
     for number in 2..=40 {
-        world.event(Event::Heard(heartbeat(number, 1, Knowledge::default())));
+        world.event(Event::Heard(heartbeat(number, 1, StoreView::default())));
     }
     let asked = asked_within(&mut world, Duration::from_millis(200));
     assert!(asked.len() < generators().len(), "39 others ask the rest");
@@ -72,7 +72,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let mut asked = asked_within(&mut world, Duration::from_millis(250));
     for number in 2..=40 {
-        world.event(Event::Heard(heartbeat(number, 1, Knowledge::default())));
+        world.event(Event::Heard(heartbeat(number, 1, StoreView::default())));
         asked.extend(asked_within(&mut world, Duration::from_millis(5)));
     }
     assert_eq!(asked, [], "others are still heard for the first time");
@@ -103,7 +103,7 @@
     let (_, effects) = world.arrive(resuming());
     assert_eq!(effects, []);
     world.pass(Duration::from_millis(200));
-    world.event(Event::Heard(heartbeat(2, 1, Knowledge::default())));
+    world.event(Event::Heard(heartbeat(2, 1, StoreView::default())));
     let effects = world.pass(Duration::from_millis(420));
     assert_eq!(only_send(&effects).task, Task::Read);
 }
--- a/tests/tests/platform_peers.rs
+++ b/tests/tests/platform_peers.rs
@@ -7,7 +7,7 @@
 
 use hollyspoke::quota::Account;
 use hollyspoke_gateway::customer::CustomerKey;
-use hollyspoke_gateway::message::{Format, Knowledge, Message, Usage};
+use hollyspoke_gateway::message::{Format, Message, StoreView, Usage};
 use hollyspoke_server::peers::Peers;
 use hollyspoke_tests::gateway::heartbeat;
 use slog::{Discard, Logger, o};
@@ -25,8 +25,8 @@
         level: Some(i32::MIN + number as i32),
     };
     let usage =
-        Usage { accounts: (0..customers).map(account).collect(), is_complete: true, boxes: 0 };
-    Message { usage, ..heartbeat(2, 1, Knowledge::default()) }
+        Usage { accounts: (0..customers).map(account).collect(), is_complete: true, peak_boxes: 0 };
+    Message { usage, ..heartbeat(2, 1, StoreView::default()) }
 }
 
 /// Binds a socket of a box.
--- a/tests/tests/run_lengths.rs
+++ b/tests/tests/run_lengths.rs
@@ -46,8 +46,8 @@
         meter.arrive(3000, 3100, Time::from_millis(1000 + step * 100));
     }
     let demand = meter.demand(Time::from_millis(3000), Duration::from_secs(3));
-    assert!((27_000..33_000).contains(&demand.reading), "{demand:?}");
-    assert!((84_000..102_000).contains(&demand.held), "{demand:?}");
+    assert!((27_000..33_000).contains(&demand.prefill_tokens_per_s), "{demand:?}");
+    assert!((84_000..102_000).contains(&demand.held_tokens), "{demand:?}");
     assert!((15..=20).contains(&demand.requests), "{demand:?}");
 }
 
@@ -58,5 +58,5 @@
         meter.arrive(3000, 3100, Time::from_millis(step * 100));
     }
     let demand = meter.demand(Time::from_millis(40_000), Duration::from_secs(3));
-    assert!(demand.requests == 0 && demand.reading < 1000, "{demand:?}");
+    assert!(demand.requests == 0 && demand.prefill_tokens_per_s < 1000, "{demand:?}");
 }
--- a/tests/tests/stage_ratio.rs
+++ b/tests/tests/stage_ratio.rs
@@ -10,7 +10,8 @@
     let capacity = (1_000.0..100_000.0, 1_000.0..100_000.0);
     let split = (1u32..100, 1u32..100);
     (demand, capacity, split).prop_map(|(demand, capacity, split)| {
-        let demand = Demand { reading: demand.0, held: demand.1, requests: 100 };
+        let demand =
+            Demand { prefill_tokens_per_s: demand.0, held_tokens: demand.1, requests: 100 };
         let capacity = Capacity { reading: capacity.0, memory: capacity.1 };
         (demand, capacity, Split { readers: split.0, generators: split.1 })
     })
@@ -47,7 +48,7 @@
     #[test]
     fn burst_changes_nothing((demand, capacity, split) in any_case(), times in 2u32..4) {
         let engines = split.readers + split.generators;
-        let more = Demand { reading: demand.reading * times, held: demand.held * times, ..demand };
+        let more = Demand { prefill_tokens_per_s: demand.prefill_tokens_per_s * times, held_tokens: demand.held_tokens * times, ..demand };
         let before = best(demand, capacity, engines);
         let after = best(more, capacity, engines).expect("there are two engines");
         let is_as_good = before.is_some_and(|it| {
