--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -7,7 +7,7 @@
 use crate::event::{Answer, CallEvent, Execution};
 use crate::in_flight::Call;
 use crate::load::Urgency;
-use crate::message::{Full, Load};
+use crate::message::{Load, Rejection};
 use crate::prompt::Kept;
 use crate::request::{CallKey, RequestKey};
 use crate::rest;
@@ -114,8 +114,9 @@
             self.directory.replace(call.engine.key, now);
             self.unannounced.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.turn_away(call.load.held, now);
-            self.unannounced.full.push(Full { engine: call.engine.key, held: call.load.held });
+            known.turn_away(call.load.held_tokens, now);
+            self.unannounced.rejections
+                .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
         }
         let rests = matches!(answer.statement.rest, rest::Told::Span(_));
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
@@ -266,16 +267,16 @@
     /// at an engine with much free memory can wait: nobody waits for what it frees.
     fn end_urgency(&self, call: &Call) -> Urgency {
         let is_free = !self.is_scarce(call.engine.key);
-        let can_wait = self.members.is_large() && call.load.reading == 0 && is_free;
+        let can_wait = self.members.is_large() && call.load.prefill_tokens == 0 && is_free;
         if can_wait { Urgency::Later } else { Urgency::Now }
     }
 
     /// Notes that an engine has read the prompt of a call that goes on.
     fn finish_prefill(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
-        let read = Load { reading: call.load.reading, calls: 0, held: 0 };
-        call.load.reading = 0;
-        if read.reading > 0 {
+        let read = Load { prefill_tokens: call.load.prefill_tokens, calls: 0, held_tokens: 0 };
+        call.load.prefill_tokens = 0;
+        if read.prefill_tokens > 0 {
             self.ledger.remove(call.engine.key, read, Urgency::Now);
         }
     }
@@ -334,7 +335,7 @@
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
         let span = known.health.miss(now);
-        self.unannounced.missed.push(call.engine.key);
+        self.unannounced.unreachable.push(call.engine.key);
         self.log(LogEvent::Avoided { id: call.engine.id.clone(), span });
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -114,7 +114,7 @@
         let Some(proof) = Trace::clean().not_run() else { return };
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let (least, most) = RETRY_AFTER_RANGE;
-        let wait = if self.members.seeks(self.now) { UNHEARD_RETRY } else { wait };
+        let wait = if self.members.greets_seeds_often(self.now) { UNHEARD_RETRY } else { wait };
         let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(least, most);
         self.log_refusal(request, "over limit", Some(customer));
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
@@ -170,7 +170,7 @@
         let boxes = self.sharing_boxes();
         let picture = match self.settings.sharing {
             Sharing::Parts => Visibility::isolated(boxes),
-            Sharing::Totals => Visibility::connected(boxes, self.members.punctual(self.now)),
+            Sharing::Totals => Visibility::connected(boxes, self.members.on_time_count(self.now)),
         };
         self.quota.set_visibility(self.now, picture);
     }
@@ -235,7 +235,7 @@
     /// Gives what is told of limits without any account: how many boxes share them.
     fn bare_usage(&self) -> Usage {
         let boxes = self.known_boxes().unwrap_or(0);
-        Usage { boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
+        Usage { peak_boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -91,7 +91,7 @@
         };
         self.earn_retries(&service);
         let is_client_retry = self.is_client_retry(&route, &request);
-        self.meter(&service, &request);
+        self.record_demand(&service, &request);
         let in_flight = InFlight {
             ends: self.now + held,
             signature: Signature::of(
@@ -146,7 +146,7 @@
         if !in_flight.may_run_again() {
             return self.give_up(key, NotRunReason::Rejected);
         }
-        if let Some(until) = self.waits_for_survey(in_flight) {
+        if let Some(until) = self.survey_wait_until(in_flight) {
             return self.wait_for_survey(key, until);
         }
         self.note_kept_away(key);
@@ -400,11 +400,11 @@
 fn call_load(in_flight: &InFlight, task: &Task) -> Load {
     let narrow = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX / 4);
     let tokens = narrow(in_flight.request.prompt_tokens_or_estimate());
-    let held = narrow(in_flight.request.mean_held_tokens());
+    let held_tokens = narrow(in_flight.request.mean_held_tokens());
     match task {
-        Task::Plain => Load { reading: 0, calls: 1, held: 0 },
-        Task::Prefill => Load { reading: tokens, calls: 1, held: tokens },
-        Task::Decode(Prompt::NotPrefilled) => Load { reading: tokens, calls: 1, held },
-        Task::Decode(_) => Load { reading: 0, calls: 1, held },
+        Task::Plain => Load { prefill_tokens: 0, calls: 1, held_tokens: 0 },
+        Task::Prefill => Load { prefill_tokens: tokens, calls: 1, held_tokens: tokens },
+        Task::Decode(Prompt::NotPrefilled) => Load { prefill_tokens: tokens, calls: 1, held_tokens },
+        Task::Decode(_) => Load { prefill_tokens: 0, calls: 1, held_tokens },
     }
 }
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -63,7 +63,7 @@
             info!(log, "call failed";
             "request" => %request, "signature" => signature.short(), "path" => %path, "engine" => %engine, "how" => outcome, "status" => status,
             "told" => told.map(|it| format!("{},{},{}", it.running, it.waiting, it.slots)),
-            "held" => known.held, "calls" => known.calls)
+            "held" => known.held_tokens, "calls" => known.calls)
         }
         LogEvent::Ended { request, customer, units, exclusions, outcome, after } => {
             info!(log, "request ended";
@@ -97,7 +97,7 @@
         LogEvent::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
             "engine" => %id, "stage" => stage_name(*stage),
             "readers" => engines.readers, "generators" => engines.generators,
-            "reading" => demand.reading, "held" => demand.held, "requests" => demand.requests),
+            "reading" => demand.prefill_tokens_per_s, "held" => demand.held_tokens, "requests" => demand.requests),
         LogEvent::Ordered { id, stage, token, before } => info!(log, "order sent";
             "engine" => %id, "stage" => stage_name(*stage), "token" => token, "before" => before),
         LogEvent::OrderEnded { id, outcome } => {
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -195,7 +195,7 @@
         let mut sequence = 0;
         for _ in 0..50 {
             sequence += 1;
-            let beat = heartbeat(other, sequence, Knowledge::default());
+            let beat = heartbeat(other, sequence, StoreView::default());
             it.world.event(Event::Received(beat));
             it.play(FULL, 3000, Duration::from_millis(200));
         }
@@ -208,10 +208,11 @@
 #[test]
 fn switching_engine_gets_nothing() {
     let mut world = World::new();
-    let told = |span_ms| {
-        let mut message = heartbeat(2, u64::from(span_ms) + 1, Knowledge::default());
+    let told = |duration_ms| {
+        let mut message = heartbeat(2, u64::from(duration_ms) + 1, StoreView::default());
         let key = EngineKey::of("engine-21");
-        message.switching = vec![Switching { engine: key, stage: Stage::Prefill, span_ms }];
+        message.stage_switches =
+            vec![StageSwitch { engine: key, stage: Stage::Prefill, duration_ms }];
         Event::Received(message)
     };
     world.event(told(5000));
