--- a/crates/hollyspoke-gateway/src/customer.rs
+++ b/crates/hollyspoke-gateway/src/customer.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Customers {
     /// The customers by their keys.
-    holders: HashMap<KeyDigest, Arc<Customer>>,
+    by_key: HashMap<KeyDigest, Arc<Customer>>,
     /// All customers, also those without a key.
     all: Vec<Arc<Customer>>,
 }
@@ -78,18 +78,18 @@
     /// Makes the lookup of some customers. Of two that hold the same key the first has it.
     pub fn new(customers: Vec<Customer>) -> Customers {
         let all: Vec<_> = customers.into_iter().map(Arc::new).collect();
-        let mut holders = HashMap::new();
+        let mut by_key = HashMap::new();
         for customer in &all {
             for &digest in &customer.credentials {
-                holders.entry(digest).or_insert_with(|| customer.clone());
+                by_key.entry(digest).or_insert_with(|| customer.clone());
             }
         }
-        Customers { holders, all }
+        Customers { by_key, all }
     }
 
     /// Finds the customer that holds a key.
-    pub fn holder(&self, key: KeyDigest) -> Option<&Arc<Customer>> {
-        self.holders.get(&key)
+    pub fn find_by_key(&self, key: KeyDigest) -> Option<&Arc<Customer>> {
+        self.by_key.get(&key)
     }
 
     /// Goes over all customers.
--- a/crates/hollyspoke-gateway/src/directory.rs
+++ b/crates/hollyspoke-gateway/src/directory.rs
@@ -14,7 +14,7 @@
 
 use crate::engine::{Engine, EngineChange, EngineKey, Stage};
 use crate::health::Health;
-use crate::statement::ToldLoad;
+use crate::statement::ReportedLoad;
 
 pub use index::Group;
 
@@ -43,7 +43,7 @@
     /// What its answers tell of its health.
     pub health: Health,
     /// The load that it last told, and when.
-    pub told: Option<(ToldLoad, Time)>,
+    pub told: Option<(ReportedLoad, Time)>,
     /// Its measured rate of reading, in tokens a millisecond, and when it was measured.
     rate: Option<(f64, Time)>,
     /// Whether another incarnation answered at its address.
--- a/crates/hollyspoke-gateway/src/effect.rs
+++ b/crates/hollyspoke-gateway/src/effect.rs
@@ -7,19 +7,19 @@
 use hollyspoke::outcome::NotRun;
 use hollyspoke::store::{Operation, Revision};
 
+use crate::back_off;
 use crate::customer::Caller;
 use crate::departure;
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::event::Kind;
 use crate::intake::Change;
 use crate::message::{Demand, Load, Message};
-use crate::quarantine::About;
+use crate::quarantine::RequestSummary;
 use crate::ratio::Split;
 use crate::request::{CallKey, FlightKey};
-use crate::rest;
 use crate::signature::Signature;
-use crate::statement::ToldLoad;
-use crate::terms::Bar;
+use crate::statement::ReportedLoad;
+use crate::terms::Restriction;
 
 /// Where a prompt that was read lies.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -182,7 +182,7 @@
     /// The engine's id.
     pub engine: Arc<str>,
     /// Why not.
-    pub by: Bar,
+    pub by: Restriction,
 }
 
 /// A decision worth a line in the log.
@@ -280,7 +280,7 @@
         /// The engine's id.
         id: Arc<str>,
         /// What has become of it.
-        change: rest::Change,
+        change: back_off::Change,
     },
     /// A call was sent.
     Sent {
@@ -329,7 +329,7 @@
         /// The status, 0 if none came.
         status: u16,
         /// The load that the engine told last.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
         /// The work of all boxes at the engine, as this box knows it.
         known: Load,
     },
@@ -362,7 +362,7 @@
         /// The request.
         signature: Signature,
         /// What is known of it, if this box has seen it.
-        about: Option<About>,
+        about: Option<RequestSummary>,
         /// The engines that crashed.
         engines: String,
         /// Until when, in seconds of Unix time.
--- a/crates/hollyspoke-gateway/src/flight.rs
+++ b/crates/hollyspoke-gateway/src/flight.rs
@@ -10,12 +10,12 @@
 use crate::effect::{Prompt, Source, Task};
 use crate::engine::{Engine, EngineKey};
 use crate::message::Load;
-use crate::quarantine::Stand;
+use crate::quarantine::Progress;
 use crate::region::{ANYWHERE, Homes};
 use crate::request::{CallKey, FlightKey, Request};
 use crate::route::{Route, RouteKind, Service};
 use crate::signature::Signature;
-use crate::terms::Bar;
+use crate::terms::Restriction;
 
 /// The most times that engines may turn one request away before it is given up.
 const MOST_REJECTIONS: u32 = 3;
@@ -105,7 +105,7 @@
     /// The engine.
     pub engine: EngineKey,
     /// Why not.
-    pub by: Bar,
+    pub by: Restriction,
 }
 
 /// A question for a permit to go to an engine in need.
@@ -129,7 +129,7 @@
     /// What the engine was asked to do.
     pub task: Task,
     /// How far the request's case was when it was sent.
-    pub stand: Stand,
+    pub stand: Progress,
     /// Whether a repeat was taken for it from the service's budget.
     pub is_repeat: bool,
     /// When the call was sent.
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -62,7 +62,7 @@
 use crate::terms::Terms;
 
 pub use cases::KIND as CASES;
-pub use quarantine::Held;
+pub use quarantine::HeldRequest;
 
 /// How boxes share customers' limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -282,8 +282,8 @@
             Event::Inspected(engine, count) => self.inspected(engine, count),
             Event::Ordered(engine, answer) => self.ordered(engine, answer),
             Event::Probed(engine, probe) => self.probed(engine, probe),
-            Event::Stated(engine, says) => self.stated(engine, &says),
-            Event::Lift(short) => self.lift(&short),
+            Event::Stated(engine, says) => self.handle_statement(engine, &says),
+            Event::Lift(short) => self.release_held(&short),
             Event::Suspended(span) => self.resume(span),
             Event::Stop => self.stop(),
             Event::Tick => {}
@@ -299,10 +299,10 @@
         self.expire();
         self.beat();
         self.seek();
-        self.keep_cases();
-        self.tell_words();
-        self.tell_limits();
-        self.tell_departures();
+        self.sync_cases();
+        self.announce_cases();
+        self.announce_limits();
+        self.announce_departures();
         self.tell_changes();
         std::mem::take(&mut self.effects)
     }
@@ -321,7 +321,7 @@
             self.stages.due(),
             self.cases_due(),
             self.permits.next_start(self.now),
-            self.terms.rests.next_end(self.now),
+            self.terms.back_offs.next_end(self.now),
         ];
         times.into_iter().flatten().fold(self.next_heartbeat, Time::min)
     }
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -3,6 +3,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
+use crate::back_off;
 use crate::effect::{Effect, NotRunReason, Note, Prompt, Source, Task};
 use crate::event::{Answer, CallEvent, Execution};
 use crate::flight::Call;
@@ -10,7 +11,6 @@
 use crate::message::{Full, Load};
 use crate::prompt::Kept;
 use crate::request::{CallKey, FlightKey};
-use crate::rest;
 
 /// The status of an answer as asked for.
 const OK: u16 = 200;
@@ -38,7 +38,7 @@
     fn call_unsent(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.miss(&call);
-        self.judge_return(&call, false);
+        self.record_return_answer(&call, false);
         self.note_failure(&call, "not reached", 0);
         self.give_repeat_back(&call);
         if call.is_run()
@@ -54,7 +54,7 @@
     fn call_began(&mut self, key: CallKey, answer: &Answer) {
         let Some(call) = self.calls.get(&key).cloned() else { return };
         self.learn(&call, answer);
-        self.terms.rests.release(call.engine.key, call.sent);
+        self.terms.back_offs.release(call.engine.key, call.sent);
         self.finish_reading(key);
         if let Some(call) = self.calls.get_mut(&key) {
             call.has_begun = true;
@@ -117,17 +117,17 @@
             known.turn_away(call.load.held, now);
             self.untold.full.push(Full { engine: call.engine.key, held: call.load.held });
         }
-        let rests = matches!(answer.says.rest, rest::Told::Span(_));
+        let backs_off = matches!(answer.says.back_off, back_off::Reported::Duration(_));
         let Some(flight) = self.flights.get_mut(&call.flight) else { return };
         flight.rejections += 1;
         match call.task {
             Task::Read => {
                 flight.arrivals += 1;
                 // Another engine may read for it that does not rest; one try more is worth it.
-                flight.reading_failed = !rests || flight.rejections > 1;
+                flight.reading_failed = !backs_off || flight.rejections > 1;
             }
             // One that rests says nothing of the prompt.
-            Task::Generate(Prompt::Read(_)) if rests => {}
+            Task::Generate(Prompt::Read(_)) if backs_off => {}
             Task::Generate(Prompt::Read(_)) => self.handle_turned_away(call.flight),
             Task::Generate(_) | Task::Plain => {}
         }
@@ -184,7 +184,7 @@
         let Some(flight) = self.flights.get_mut(&call.flight) else { return };
         flight.trace.mark_sent();
         let signature = flight.signature;
-        self.acquit(signature);
+        self.close_case(signature);
         if call.has_begun {
             self.effects.push(Effect::Finish(call.flight));
             return self.end(call.flight, "whole");
@@ -214,7 +214,7 @@
     fn call_broken(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.note_failure(&call, "broken", 0);
-        self.judge_return(&call, false);
+        self.record_return_answer(&call, false);
         self.fail(&call);
         self.suspect(&call);
         self.lost(&call);
@@ -248,7 +248,7 @@
     pub(super) fn take_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
         if !call.has_begun {
-            self.terms.rests.release(call.engine.key, call.sent);
+            self.terms.back_offs.release(call.engine.key, call.sent);
         }
         let urgency = self.end_urgency(&call);
         self.ledger.remove(call.engine.key, call.load, urgency);
@@ -283,14 +283,14 @@
     /// Learns from an answer: load, health (an answer that comes late counts as failed), and the
     /// rate of reading. One of another engine at the same address says nothing of this one.
     fn learn(&mut self, call: &Call, answer: &Answer) {
-        if !self.is_of_this_life(call) || answer.execution == Execution::Moved {
+        if !self.is_current_incarnation(call) || answer.execution == Execution::Moved {
             return;
         }
         self.learn_limit(call, answer);
         self.learn_terms(call, &answer.says);
         let now = self.now;
         let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
-        self.judge_return(call, is_good);
+        self.record_return_answer(call, is_good);
         if let Some(known) = self.directory.get_mut(call.engine.key) {
             known.told = answer.says.load.map(|it| (it, now)).or(known.told);
             match self.flights.get(&call.flight) {
@@ -317,7 +317,7 @@
     /// Notes that an engine failed a call.
     fn fail(&mut self, call: &Call) {
         let now = self.now;
-        if self.is_of_this_life(call)
+        if self.is_current_incarnation(call)
             && let Some(known) = self.directory.get_mut(call.engine.key)
         {
             known.health.fail(now);
@@ -326,7 +326,7 @@
 
     /// Notes that an engine could not be reached, or fell silent.
     pub(super) fn miss(&mut self, call: &Call) {
-        if !self.is_of_this_life(call) {
+        if !self.is_current_incarnation(call) {
             return;
         }
         let now = self.now;
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -16,24 +16,25 @@
 
 /// When a client may come back whose key may be in a configuration that is being read. Boxes have
 /// a version within some tens of milliseconds of each other.
-const BEHIND_RETRY: Duration = Duration::from_millis(250);
+const STALE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// When a client may come back whose customer's limit is all but used up for a box that has just
 /// started and heard nobody yet. Boxes that start at once hear the first after 0.1 to 0.4 s.
-const UNHEARD_RETRY: Duration = Duration::from_millis(250);
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// How often a box looks which others it hears, before it goes by a customer's limit: a small part
 /// of the silence after which a heartbeat is overdue.
-const SEE_EVERY: Duration = Duration::from_millis(50);
+const SHARING_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Of how many heartbeats one tells all accounts, so that a box that missed some is set right.
-const COMPLETE_EVERY: u32 = 16;
+const COMPLETE_USAGE_PERIOD: u32 = 16;
 
 /// The share by which times to come back after a customer's limit are spread.
 const RETRY_SPREAD: f64 = 0.5;
 
 /// The bounds of the time after which a client may come back whose customer is over its limit.
-const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+const RETRY_DELAY_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(10));
 
 /// Who sent a request.
 pub(super) struct Identity {
@@ -55,7 +56,7 @@
     let Some(customers) = &configuration.customers else {
         return Ok(Identity { customer: None, caller: Caller::Unchecked });
     };
-    let customer = request.credential.and_then(|it| customers.holder(it)).cloned();
+    let customer = request.credential.and_then(|it| customers.find_by_key(it)).cloned();
     match customer {
         Some(customer) => {
             let caller = Caller::Customer(customer.name.clone());
@@ -71,7 +72,7 @@
     /// does not say that the key is unknown.
     pub(super) fn refuse_unknown_key(&mut self, key: FlightKey, request: &Request) {
         if self.is_behind() {
-            return self.refuse_unsent(key, request, NotRunReason::Behind, BEHIND_RETRY);
+            return self.refuse_unsent(key, request, NotRunReason::Behind, STALE_RETRY_DELAY);
         }
         self.note_refusal(request, "unknown key", None);
         self.effects.push(Effect::Refuse(key, Refusal::UnknownKey));
@@ -79,7 +80,7 @@
 
     /// Takes a request from its customer's limit and gives the units taken; none if the limit
     /// forbids it, which is then refused.
-    pub(super) fn take_units(
+    pub(super) fn charge_units(
         &mut self,
         key: FlightKey,
         request: &Request,
@@ -87,7 +88,7 @@
     ) -> Option<u64> {
         let Some(customer) = customer else { return Some(0) };
         let units = customer.unit.of(request);
-        self.see_boxes();
+        self.update_sharing();
         match self.quota.take(self.now, customer.key, units) {
             Ok(()) => Some(units),
             Err(wait) => {
@@ -107,15 +108,15 @@
     ) {
         let Some(proof) = Trace::clean().not_run() else { return };
         let spread = (self.draw() % 1000) as f64 / 1000.0;
-        let (least, most) = RETRY_BOUNDS;
-        let wait = if self.members.seeks(self.now) { UNHEARD_RETRY } else { wait };
-        let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(least, most);
+        let (min, max) = RETRY_DELAY_BOUNDS;
+        let wait = if self.members.seeks(self.now) { STARTUP_RETRY_DELAY } else { wait };
+        let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(min, max);
         self.note_refusal(request, "over limit", Some(customer));
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
     }
 
     /// Gives back what was taken for a request that has not run.
-    pub(super) fn give_units_back(&mut self, key: FlightKey) {
+    pub(super) fn refund_units(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         let units = std::mem::take(&mut flight.units);
         if let Some(customer) = &flight.customer
@@ -127,18 +128,18 @@
 
     /// Takes the limits of a new configuration, and refuses the requests that wait with a key that
     /// is not known any more.
-    pub(super) fn take_customers(&mut self) {
+    pub(super) fn apply_customers(&mut self) {
         let customers = self.configuration.as_ref().and_then(|it| it.customers.as_ref());
         let limits = customers.map(|it| it.limits()).unwrap_or_default();
         self.quota.set_limits(self.now, limits);
         for key in self.waiting.clone() {
-            self.check_again(key);
+            self.recheck_key(key);
         }
     }
 
     /// Looks a request's key up again if the configuration has changed since; refuses the request
     /// and tells so if the key is not known any more.
-    pub(super) fn check_again(&mut self, key: FlightKey) -> bool {
+    pub(super) fn recheck_key(&mut self, key: FlightKey) -> bool {
         let Some(configuration) = &self.configuration else { return true };
         let Some(flight) = self.flights.get_mut(&key) else { return true };
         if flight.checked == configuration.version || is_allowed(configuration, flight) {
@@ -149,18 +150,18 @@
             self.give_up(key, NotRunReason::TurnedAway);
             return false;
         }
-        self.give_units_back(key);
+        self.refund_units(key);
         self.effects.push(Effect::Refuse(key, Refusal::UnknownKey));
         self.end(key, "unknown key");
         false
     }
 
     /// Brings the picture of the boxes that share customers' limits up to date.
-    fn see_boxes(&mut self) {
+    fn update_sharing(&mut self) {
         if self.now < self.sees_boxes_at {
             return;
         }
-        self.sees_boxes_at = self.now + SEE_EVERY;
+        self.sees_boxes_at = self.now + SHARING_UPDATE_INTERVAL;
         let boxes = self.sharing_boxes();
         let picture = match self.settings.sharing {
             Sharing::Parts => Picture::alone(boxes),
@@ -180,19 +181,19 @@
 
     /// Takes in what another box has let through. A box that has just started hears it before it
     /// knows any limit.
-    pub(super) fn hear_usage(&mut self, message: &Message) {
+    pub(super) fn receive_usage(&mut self, message: &Message) {
         let may_count = self.configuration.is_none() || self.quota.has_limits();
         if self.settings.sharing == Sharing::Totals && may_count {
-            self.see_boxes();
+            self.update_sharing();
             let usage = &message.usage;
-            let (sender, life) = (message.sender, message.incarnation);
-            self.quota.hear(self.now, sender, life, &usage.accounts, usage.is_complete);
+            let (sender, incarnation) = (message.sender, message.incarnation);
+            self.quota.hear(self.now, sender, incarnation, &usage.accounts, usage.is_complete);
         }
     }
 
     /// Gives what this box is to tell of customers with a heartbeat.
     pub(super) fn heartbeat_usage(&mut self) -> Usage {
-        if self.heartbeats.is_multiple_of(COMPLETE_EVERY) {
+        if self.heartbeats.is_multiple_of(COMPLETE_USAGE_PERIOD) {
             self.quota.take_untold(self.now);
             return self.complete_usage();
         }
@@ -205,23 +206,23 @@
             Sharing::Parts => Vec::new(),
             Sharing::Totals => self.quota.take_untold(self.now),
         };
-        Usage { accounts, ..self.bare_usage() }
+        Usage { accounts, ..self.usage_without_accounts() }
     }
 
     /// Gives all that this box has let through for customers.
     pub(super) fn complete_usage(&self) -> Usage {
         match self.settings.sharing {
-            Sharing::Parts => self.bare_usage(),
+            Sharing::Parts => self.usage_without_accounts(),
             Sharing::Totals => Usage {
                 accounts: self.quota.accounts(self.now),
                 is_complete: true,
-                ..self.bare_usage()
+                ..self.usage_without_accounts()
             },
         }
     }
 
     /// Gives what is told of limits without any account: how many boxes share them.
-    fn bare_usage(&self) -> Usage {
+    fn usage_without_accounts(&self) -> Usage {
         let boxes = self.known_boxes().unwrap_or(0);
         Usage { boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
     }
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -29,7 +29,7 @@
         if flight.ends <= self.now {
             return self.time_out(key);
         }
-        if self.is_asked_in_vain(flight) {
+        if self.has_failed_question(flight) {
             return self.proceed(key);
         }
         if flight.waits_until.is_some_and(|it| it <= self.now) {
@@ -82,7 +82,7 @@
     pub(super) fn client_left(&mut self, key: FlightKey) {
         self.drop_call(key);
         if self.flights.get(&key).is_some_and(|it| !it.trace.is_sent()) {
-            self.give_units_back(key);
+            self.refund_units(key);
         }
         self.end(key, "client left");
     }
@@ -114,7 +114,7 @@
             Refusal::Late => "time passed",
         };
         if matches!(refusal, Refusal::NotRun(..)) {
-            self.give_units_back(key);
+            self.refund_units(key);
         }
         self.effects.push(Effect::Refuse(key, refusal));
         self.end(key, how);
@@ -131,7 +131,7 @@
     /// prompt by itself.
     pub(super) fn free(&mut self, source: Option<Source>) {
         if let Some(source) = source
-            && self.takes_aside(source.engine)
+            && self.accepts_auxiliary(source.engine)
         {
             self.effects.push(Effect::Free(source));
         }
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -49,7 +49,7 @@
 
     /// Takes what a box handed over, as far as it is newer.
     pub(super) fn take_snapshot(&mut self, provider: SocketAddr, snapshot: Snapshot) {
-        self.hear_departures(provider, &snapshot.departures);
+        self.receive_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
         self.hear_era(listed.max(snapshot.evacuation.revision.era), provider);
         self.evacuate(snapshot.evacuation);
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -14,7 +14,7 @@
 use crate::message::{Extension, Message};
 
 /// The lowest status of an answer that is no success.
-const NO_SUCCESS: u16 = 300;
+const MIN_UNSUCCESSFUL_STATUS: u16 = 300;
 
 impl Gateway {
     /// Learns from the answer to a call. One that is no success may come from a part of the engine
@@ -22,13 +22,14 @@
     /// said, long before.
     pub(super) fn learn_limit(&mut self, call: &Call, answer: &Answer) {
         if !call.has_begun {
-            let may_lift = answer.execution == Execution::Ran && answer.status < NO_SUCCESS;
+            let may_lift =
+                answer.execution == Execution::Ran && answer.status < MIN_UNSUCCESSFUL_STATUS;
             self.learn_limit_of(call.engine.key, answer.says.limit, call.sent, may_lift);
         }
     }
 
     /// Takes a limit that an engine names in its answer to an order or a question.
-    pub(super) fn named(&mut self, engine: EngineKey, told: Told) {
+    pub(super) fn learn_reported_limit(&mut self, engine: EngineKey, told: Told) {
         self.learn_limit_of(engine, told, Time::ZERO, false);
     }
 
@@ -38,42 +39,42 @@
         let change = self.terms.limits.learn(&known.engine, told, sent, may_lift, self.now);
         if let Some(change) = change {
             self.untold.limits.push(engine);
-            self.limit_changed(engine, change, None, Duration::ZERO);
+            self.handle_limit_change(engine, change, None, Duration::ZERO);
         }
     }
 
     /// Takes what another box tells of limits.
-    pub(super) fn hear_limits(&mut self, sender: SocketAddr, told: &Extension) {
+    pub(super) fn receive_limits(&mut self, sender: SocketAddr, told: &Extension) {
         let asked = told.asks.iter().map(|it| &it.word);
         for word in told.limits.iter().chain(asked) {
-            self.hear_limit(word, sender);
+            self.receive_limit(word, sender);
         }
     }
 
     /// Takes what another box tells of one engine's limit.
-    fn hear_limit(&mut self, word: &Word, sender: SocketAddr) {
+    fn receive_limit(&mut self, word: &Word, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
         if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
             let age = Duration::from_millis(u64::from(word.age_ms));
-            self.limit_changed(word.engine, change, Some(sender), age);
+            self.handle_limit_change(word.engine, change, Some(sender), age);
         }
     }
 
     /// Forgets an engine's limit, since the box that issues its permits knows that it has none.
     pub(super) fn forget_limit(&mut self, engine: EngineKey) {
         self.terms.limits.forget(engine);
-        self.limit_changed(engine, Change::Lifted, None, Duration::ZERO);
+        self.handle_limit_change(engine, Change::Lifted, None, Duration::ZERO);
     }
 
     /// Goes by a change of what an engine takes, and adds it to the log.
-    fn limit_changed(
+    fn handle_limit_change(
         &mut self,
         engine: EngineKey,
         change: Change,
         told_by: Option<SocketAddr>,
         age: Duration,
     ) {
-        self.permits.held.reopen(engine);
+        self.permits.held.clear_refusal(engine);
         self.begin_to_issue(engine);
         self.may_have_room = true;
         if let Some(known) = self.directory.get(engine) {
@@ -84,7 +85,7 @@
 
     /// Tells all boxes at once of the limits that have changed by the engines' own word. What others
     /// have told is not passed on: all would tell all.
-    pub(super) fn tell_limits(&mut self) {
+    pub(super) fn announce_limits(&mut self) {
         let changed = std::mem::take(&mut self.untold.limits);
         let limits: Vec<_> =
             changed.into_iter().filter_map(|it| self.terms.limits.word(it, self.now)).collect();
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -83,9 +83,9 @@
         }
         if let Some(extension) = &message.extension {
             // It holds also if a later datagram has overtaken it.
-            self.hear_limits(message.sender, extension);
-            self.hear_departures(message.sender, &extension.departures);
-            self.hear_permits(message.sender, extension);
+            self.receive_limits(message.sender, extension);
+            self.receive_departures(message.sender, &extension.departures);
+            self.receive_permits(message.sender, extension);
         }
         self.hear_era(message.era, message.sender);
         let knows_this_one = self.members.was_greeted(message.sender, self.now);
@@ -100,8 +100,8 @@
                 self.answer_new(message);
             }
         }
-        self.hear_usage(message);
-        self.hear_words(message);
+        self.receive_usage(message);
+        self.receive_cases(message);
         self.members.introduce(self.settings.peer, &message.peers, self.now);
         self.read_if_newer(message.knowledge.version);
         if message.evacuation.revision > self.evacuations.newest().revision {
@@ -183,8 +183,8 @@
         }
         message.usage = self.heartbeat_usage();
         message.crashes = self.quarantine.reminder();
-        let limits = self.limits_to_tell();
-        let departures = self.departures_to_tell();
+        let limits = self.limits_to_announce();
+        let departures = self.departures_to_announce();
         message.extension = Extension { limits, departures, ..Extension::default() }.filled();
         // Where boxes are many, keepers of prompts are not told by themselves.
         message.kept = self.prompts.take_untold();
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -12,33 +12,33 @@
 use crate::intake::Word;
 use crate::message::{DataCentreKey, Extension, Message};
 use crate::permit::{
-    ANSWERED_WITHIN, ASKED_AGAIN_AFTER, Ask, Holder, Issuer, Outcome, PARTS, Reply, Side,
+    ANSWER_TIMEOUT, Ask, Holder, Issuer, Outcome, PART_COUNT, RETRY_DELAY, Reply, Side,
 };
 use crate::placement::Asking;
 use crate::request::FlightKey;
-use crate::terms::Bar;
+use crate::terms::Restriction;
 
 /// The most questions for permits of one call. Each takes a datagram and its answer; where all
 /// engines of a service are in need, a fifth one seldom finds what four did not.
-const MOST_ASKS: u32 = 4;
+const MAX_ASKS: u32 = 4;
 
 /// The share of the target for which a request waits for permits before it is refused: as for room.
 const WAIT_SHARE: f64 = 0.22;
 
 /// The engines in need of which a box looks with one heartbeat whether it issues their permits. Each
 /// look goes over all boxes: what a heartbeat costs must not grow with boxes times engines.
-const MOST_LOOKED_AT_IN_TURN: usize = 256;
+const MAX_CHECKED_PER_HEARTBEAT: usize = 256;
 
 /// How long a question is kept for its answer.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(1);
+const QUESTION_RETENTION: Duration = Duration::from_secs(1);
 
 /// Whether a request may be sent to an engine now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Leave {
+pub(super) enum Permission {
     /// It may.
-    Given,
+    Granted,
     /// It waits for a permit.
-    Awaited,
+    Pending,
     /// There is no permit in time.
     Refused,
 }
@@ -64,11 +64,11 @@
     /// Its questions for others.
     questions: BTreeMap<u64, Question>,
     /// The number of the last question.
-    last: u64,
+    last_number: u64,
     /// The engines whose permits this box issues, of those that it looked at with its last heartbeat.
     issued: Vec<EngineKey>,
     /// The last of the engines in need that it looked at, if there are more.
-    looked_to: Option<EngineKey>,
+    last_checked: Option<EngineKey>,
 }
 
 impl Permits {
@@ -83,7 +83,9 @@
     pub(super) fn asking(&self, flight: &Flight) -> Asking {
         match flight.asked {
             Some(asked) if self.is_waiting_for(&asked) => Asking::At(asked.engine),
-            _ if flight.asks >= MOST_ASKS || self.permit_end(flight) <= self.now => Asking::Never,
+            _ if flight.asks >= MAX_ASKS || self.permit_deadline(flight) <= self.now => {
+                Asking::Never
+            }
             _ => Asking::Open(self.patience(flight)),
         }
     }
@@ -95,50 +97,50 @@
     }
 
     /// Tells whether a request has asked for a permit that does not come.
-    pub(super) fn is_asked_in_vain(&self, flight: &Flight) -> bool {
+    pub(super) fn has_failed_question(&self, flight: &Flight) -> bool {
         flight.asked.is_some_and(|it| !self.is_waiting_for(&it))
     }
 
     /// Gives until when a request may wait for permits.
-    pub(super) fn permit_end(&self, flight: &Flight) -> Time {
-        let span = flight.route.target.mul_f64(WAIT_SHARE);
+    pub(super) fn permit_deadline(&self, flight: &Flight) -> Time {
+        let duration = flight.route.target.mul_f64(WAIT_SHARE);
         if flight.source.is_some() {
             return flight.handle_end();
         }
         let begun = if flight.sends == 0 { flight.arrived } else { self.now };
-        (begun + span).min(flight.ends)
+        (begun + duration).min(flight.ends)
     }
 
     /// Gets a permit for a request that is to go to an engine, if it needs one.
-    pub(super) fn seek_permit(&mut self, key: FlightKey, engine: EngineKey) -> Leave {
+    pub(super) fn acquire_permit(&mut self, key: FlightKey, engine: EngineKey) -> Permission {
         if self.terms.limits.of(engine).is_none() || self.permits.held.has(engine, self.now) {
-            return Leave::Given;
+            return Permission::Granted;
         }
-        self.drop_vain_question(key);
-        let Some(flight) = self.flights.get_mut(&key) else { return Leave::Refused };
+        self.drop_failed_question(key);
+        let Some(flight) = self.flights.get_mut(&key) else { return Permission::Refused };
         if flight.asked.is_some_and(|it| it.engine == engine) {
-            return Leave::Awaited;
+            return Permission::Pending;
         }
         flight.asks += 1;
         let patience = self.flights.get(&key).map_or(Duration::ZERO, |it| self.patience(it));
         let issuer = self.issuer(engine);
         if issuer == self.settings.peer {
-            self.issue_to_own(key, engine, patience)
+            self.issue_locally(key, engine, patience)
         } else {
             self.ask_for_permit(key, engine, patience, issuer);
-            Leave::Awaited
+            Permission::Pending
         }
     }
 
     /// Forgets a question that brings no permit any more: one without an answer is not asked again at
     /// once.
-    fn drop_vain_question(&mut self, key: FlightKey) {
+    fn drop_failed_question(&mut self, key: FlightKey) {
         let Some(asked) = self.flights.get(&key).and_then(|it| it.asked) else { return };
         if self.is_waiting_for(&asked) {
             return;
         }
         if !asked.is_issued {
-            self.permits.held.refuse(asked.engine, ASKED_AGAIN_AFTER, self.now);
+            self.permits.held.refuse(asked.engine, RETRY_DELAY, self.now);
         }
         self.end_question(key, asked.engine);
     }
@@ -148,27 +150,32 @@
     fn end_question(&mut self, key: FlightKey, engine: EngineKey) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         flight.asked.take_if(|it| it.engine == engine);
-        flight.keep_from(KeptFrom { engine, by: Bar::Limit });
+        flight.keep_from(KeptFrom { engine, by: Restriction::RateLimit });
     }
 
     /// Issues a permit to a request of this box.
-    fn issue_to_own(&mut self, key: FlightKey, engine: EngineKey, patience: Duration) -> Leave {
+    fn issue_locally(
+        &mut self,
+        key: FlightKey,
+        engine: EngineKey,
+        patience: Duration,
+    ) -> Permission {
         match self.issue(engine, patience) {
             Outcome::Issued(0) => {
                 self.permits.held.add(engine, self.now);
-                Leave::Given
+                Permission::Granted
             }
-            Outcome::Unlimited => Leave::Given,
+            Outcome::Unlimited => Permission::Granted,
             Outcome::Issued(in_ms) => {
                 let from = self.now + millis(in_ms);
                 self.permits.held.add(engine, from);
-                let until = from + ANSWERED_WITHIN;
+                let until = from + ANSWER_TIMEOUT;
                 self.await_permit(key, Asked { engine, until, is_issued: true });
-                Leave::Awaited
+                Permission::Pending
             }
             Outcome::Refused(wait_ms) => {
-                self.keep_away(key, engine, millis(wait_ms));
-                Leave::Refused
+                self.exclude_engine(key, engine, millis(wait_ms));
+                Permission::Refused
             }
         }
     }
@@ -182,12 +189,12 @@
         issuer: SocketAddr,
     ) {
         let Some(word) = self.terms.limits.word(engine, self.now) else { return };
-        self.permits.last += 1;
-        let number = self.permits.last;
-        let patience_ms = whole_millis(patience);
+        self.permits.last_number += 1;
+        let number = self.permits.last_number;
+        let patience_ms = millis_rounded_up(patience);
         let question = Question { flight: key, engine, at: self.now };
         self.permits.questions.insert(number, question);
-        let until = self.now + ANSWERED_WITHIN;
+        let until = self.now + ANSWER_TIMEOUT;
         self.await_permit(key, Asked { engine, until, is_issued: false });
         let asks = vec![Ask { number, word, patience_ms }];
         let extension = Extension { asks, ..Extension::default() }.filled();
@@ -198,7 +205,7 @@
     /// Gives for how long a request may wait for its turn: the higher its rank, the longer, so that
     /// the next turns are left to the higher ranks.
     fn patience(&self, flight: &Flight) -> Duration {
-        let left = self.permit_end(flight).since(self.now);
+        let left = self.permit_deadline(flight).since(self.now);
         left / (1 + u32::from(flight.rank()))
     }
 
@@ -213,7 +220,7 @@
     }
 
     /// Notes that a request can't go to an engine, and that no other can for a time.
-    fn keep_away(&mut self, key: FlightKey, engine: EngineKey, wait: Duration) {
+    fn exclude_engine(&mut self, key: FlightKey, engine: EngineKey, wait: Duration) {
         self.permits.held.refuse(engine, wait, self.now);
         self.end_question(key, engine);
     }
@@ -231,8 +238,8 @@
         let Some(limit) = self.terms.limits.of(engine) else { return Outcome::Unlimited };
         let side = self.side(engine);
         match self.permits.issuer.issue(engine, limit.rate, side, patience, self.now) {
-            Ok(wait) => Outcome::Issued(whole_millis(wait)),
-            Err(wait) => Outcome::Refused(whole_millis(wait).max(1)),
+            Ok(wait) => Outcome::Issued(millis_rounded_up(wait)),
+            Err(wait) => Outcome::Refused(millis_rounded_up(wait).max(1)),
         }
     }
 
@@ -240,13 +247,13 @@
     fn side(&self, engine: EngineKey) -> Side {
         let boxes = self.sharing_boxes();
         if (1 + self.members.punctual(self.now)) * 2 > boxes {
-            return Side::Most;
+            return Side::Majority;
         }
-        Side::Parts(self.members.first_heard(self.settings.peer, engine, PARTS, boxes))
+        Side::Minority(self.members.first_heard(self.settings.peer, engine, PART_COUNT, boxes))
     }
 
     /// Takes in questions for permits, and answers to this box's own.
-    pub(super) fn hear_permits(&mut self, sender: SocketAddr, told: &Extension) {
+    pub(super) fn receive_permits(&mut self, sender: SocketAddr, told: &Extension) {
         let replies: Vec<_> = told.asks.iter().map(|it| self.answer(it)).collect();
         if !replies.is_empty() {
             let extension = Extension { replies, ..Extension::default() }.filled();
@@ -254,7 +261,7 @@
             self.tell(vec![sender], answer);
         }
         for reply in &told.replies {
-            self.hear_reply(reply);
+            self.handle_reply(reply);
         }
     }
 
@@ -265,16 +272,16 @@
         let outcome = if self.issuer(engine) == self.settings.peer {
             self.issue(engine, millis(ask.patience_ms))
         } else {
-            Outcome::Refused(whole_millis(ASKED_AGAIN_AFTER))
+            Outcome::Refused(millis_rounded_up(RETRY_DELAY))
         };
         Reply { number: ask.number, engine, outcome }
     }
 
     /// Takes the answer to a question for a permit.
-    fn hear_reply(&mut self, reply: &Reply) {
+    fn handle_reply(&mut self, reply: &Reply) {
         let Some(question) = self.permits.questions.remove(&reply.number) else { return };
         let Question { flight: key, engine, at } = question;
-        if engine != reply.engine || self.now.since(at) > ANSWERED_WITHIN {
+        if engine != reply.engine || self.now.since(at) > ANSWER_TIMEOUT {
             return;
         }
         self.may_have_room = true;
@@ -282,16 +289,16 @@
             Outcome::Issued(in_ms) => {
                 let from = self.now + millis(in_ms);
                 self.permits.held.add(engine, from);
-                let until = from + ANSWERED_WITHIN;
-                self.put_off(key, Asked { engine, until, is_issued: true });
+                let until = from + ANSWER_TIMEOUT;
+                self.extend_wait(key, Asked { engine, until, is_issued: true });
             }
-            Outcome::Refused(wait_ms) => self.keep_away(key, engine, millis(wait_ms)),
+            Outcome::Refused(wait_ms) => self.exclude_engine(key, engine, millis(wait_ms)),
             Outcome::Unlimited => self.forget_limit(engine),
         }
     }
 
     /// Has a request that asked go on waiting, for a permit that can be used later.
-    fn put_off(&mut self, key: FlightKey, asked: Asked) {
+    fn extend_wait(&mut self, key: FlightKey, asked: Asked) {
         let waits = self.flights.get(&key).and_then(|it| it.asked);
         if waits.is_some_and(|it| it.engine == asked.engine) {
             self.await_permit(key, asked);
@@ -301,8 +308,8 @@
     /// Gives after which time an engine in need takes one more request, if it is in need.
     pub(super) fn permit_wait(&self, engine: EngineKey) -> Option<Duration> {
         let limit = self.terms.limits.of(engine)?;
-        let usual = Duration::from_secs_f64(1.0 / limit.rate);
-        Some(self.permits.held.wait(engine, self.now).unwrap_or(usual))
+        let average = Duration::from_secs_f64(1.0 / limit.rate);
+        Some(self.permits.held.wait(engine, self.now).unwrap_or(average))
     }
 
     /// Forgets permits and questions that are over, and goes by which engines' permits this box issues
@@ -314,15 +321,15 @@
             directory.get(engine).is_some_and(|it| born.is_none() || it.engine.born <= born)
         });
         self.permits.held.sweep(now);
-        self.permits.questions.retain(|_, it| now.since(it.at) < FORGOTTEN_AFTER);
-        let intakes = &self.terms.limits;
-        self.permits.issuer.retain(|it| intakes.of(it).is_some());
-        let looked_at =
-            self.terms.limits.limited_after(self.permits.looked_to, MOST_LOOKED_AT_IN_TURN);
-        let has_more = looked_at.len() == MOST_LOOKED_AT_IN_TURN;
-        self.permits.looked_to = looked_at.last().copied().filter(|_| has_more);
+        self.permits.questions.retain(|_, it| now.since(it.at) < QUESTION_RETENTION);
+        let limits = &self.terms.limits;
+        self.permits.issuer.retain(|it| limits.of(it).is_some());
+        let checked =
+            self.terms.limits.limited_after(self.permits.last_checked, MAX_CHECKED_PER_HEARTBEAT);
+        let has_more = checked.len() == MAX_CHECKED_PER_HEARTBEAT;
+        self.permits.last_checked = checked.last().copied().filter(|_| has_more);
         let (issued, others): (Vec<_>, Vec<_>) =
-            looked_at.into_iter().partition(|&it| self.issues(it));
+            checked.into_iter().partition(|&it| self.issues(it));
         others.into_iter().for_each(|it| self.permits.issuer.end(it));
         issued.iter().for_each(|&it| self.permits.issuer.begin(it, now));
         self.permits.issued = issued;
@@ -330,7 +337,7 @@
 
     /// Gives the limits that this box's heartbeat tells: those of the engines whose permits it issues,
     /// so that each is told by one box, and those that were lifted of late.
-    pub(super) fn limits_to_tell(&self) -> Vec<Word> {
+    pub(super) fn limits_to_announce(&self) -> Vec<Word> {
         let issued = self.permits.issued.iter().copied();
         let lifted = self.terms.limits.lifted().filter(|&it| self.issues(it));
         issued.chain(lifted).filter_map(|it| self.terms.limits.word(it, self.now)).collect()
@@ -355,6 +362,6 @@
 }
 
 /// Gives a span in milliseconds, rounded up.
-fn whole_millis(span: Duration) -> u32 {
-    u32::try_from(span.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
+fn millis_rounded_up(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -8,30 +8,30 @@
 use std::time::Duration;
 
 use super::Gateway;
-use super::cases::BACKUP_AFTER;
+use super::cases::BACKUP_DELAY;
 use crate::effect::{Effect, NotRunReason, Note, Refusal};
 use crate::engine::{Engine, EngineKey};
 use crate::event::Probe;
 use crate::flight::{Call, Flight};
 use crate::message::Message;
-use crate::quarantine::{About, HELD_FOR, Life, Proof, Verdict};
+use crate::quarantine::{HOLD_DURATION, Incarnation, Proof, RequestSummary, Verdict};
 use crate::request::FlightKey;
 use crate::signature::Signature;
 
 /// When a client may come back whose request is held back until it is known whether its engines
 /// have crashed: about as long as these take to be back.
-const DOUBTED_RETRY: Duration = Duration::from_secs(2);
+const UNCONFIRMED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// How long a request waits while the same one is tried: most are answered or broken by then.
-const TRIAL_WAIT: Duration = Duration::from_millis(600);
+const MAX_TRIAL_WAIT: Duration = Duration::from_millis(600);
 
 /// How long an engine must be missing in the list for its crash to be taken for proven: longer than
 /// word of an engine that has just entered itself takes to come to all boxes.
-const UNLISTED_FOR: Duration = Duration::from_secs(4);
+const UNLISTED_PROOF_DELAY: Duration = Duration::from_secs(4);
 
 /// A request that is held back, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldRequest {
     /// The shown part of its signature.
     pub short: String,
     /// The customer that sent it, if it is known.
@@ -50,7 +50,7 @@
 
 impl Gateway {
     /// Gives the Unix time, in seconds.
-    pub(super) fn unix(&self) -> u64 {
+    pub(super) fn unix_time(&self) -> u64 {
         self.settings.unix_start + self.now.since(hollyspoke::time::Time::ZERO).as_secs()
     }
 
@@ -63,15 +63,18 @@
         }
         let is_back = known.engine.born != call.engine.born;
         let Some(flight) = self.flights.get(&call.flight) else { return };
-        let (signature, about) = (flight.signature, about(flight));
+        let (signature, about) = (flight.signature, summary(flight));
         let engine = &call.engine;
         if !self.quarantine.suspect(signature, call.stand, engine, about, self.now) {
             return;
         }
         if is_back {
-            return self.confirm(Life { engine: engine.key, born: engine.born }, Proof::Proven);
+            return self.confirm(
+                Incarnation { engine: engine.key, started_at: engine.born },
+                Proof::Proven,
+            );
         }
-        if self.takes_probe(engine.key) && self.probing.insert(engine.key) {
+        if self.accepts_probe(engine.key) && self.probing.insert(engine.key) {
             self.effects.push(Effect::Probe(call.engine.clone()));
         }
     }
@@ -79,10 +82,10 @@
     /// Takes an engine's answer to the question whether it lives.
     pub(super) fn probed(&mut self, engine: EngineKey, probe: Probe) {
         self.probing.remove(&engine);
-        let asked = Life { engine, born: None };
+        let asked = Incarnation { engine, started_at: None };
         match probe {
-            Probe::Lives(born) => {
-                self.quarantine.clear(Life { engine, born }, self.now);
+            Probe::Lives(started_at) => {
+                self.quarantine.clear(Incarnation { engine, started_at }, self.now);
                 // What is still in question broke in an earlier life.
                 self.confirm(asked, Proof::Proven);
             }
@@ -92,10 +95,10 @@
     }
 
     /// Notes how well it is known that an engine has crashed.
-    fn confirm(&mut self, ended: Life, proof: Proof) {
-        let unix = self.unix();
+    fn confirm(&mut self, ended: Incarnation, proof: Proof) {
+        let unix = self.unix_time();
         let held = self.quarantine.confirm(ended, proof, self.now, unix);
-        self.note_held(&held);
+        self.log_held(&held);
     }
 
     /// Takes the engines that have ended without a word: whatever broke there crashed with them, and
@@ -104,7 +107,10 @@
         for engine in self.directory.take_ended() {
             // One that had said that it leaves has ended as planned.
             if !self.terms.is_leaving(&engine) {
-                self.confirm(Life { engine: engine.key, born: engine.born }, Proof::Proven);
+                self.confirm(
+                    Incarnation { engine: engine.key, started_at: engine.born },
+                    Proof::Proven,
+                );
             }
             self.prompts.forget(engine.key);
             self.terms.limits.forget(engine.key);
@@ -122,31 +128,31 @@
     }
 
     /// Notes that a request was answered whole.
-    pub(super) fn acquit(&mut self, signature: Signature) {
-        if self.quarantine.acquit(signature, self.now) {
+    pub(super) fn close_case(&mut self, signature: Signature) {
+        if self.quarantine.close_case(signature, self.now) {
             self.note(Note::Released { signature, how: "answered" });
         }
     }
 
     /// Lets the requests go whose signature begins as shown.
-    pub(super) fn lift(&mut self, short: &str) {
-        for signature in self.quarantine.find(short) {
-            self.quarantine.acquit(signature, self.now);
+    pub(super) fn release_held(&mut self, short: &str) {
+        for signature in self.quarantine.find_held(short) {
+            self.quarantine.close_case(signature, self.now);
             self.note(Note::Released { signature, how: "lifted" });
         }
     }
 
     /// Gives the requests that are held back.
-    pub fn held(&self) -> Vec<Held> {
+    pub fn held(&self) -> Vec<HeldRequest> {
         let held = self.quarantine.held();
-        held.map(|(signature, case)| Held {
+        held.map(|(signature, case)| HeldRequest {
             short: signature.short(),
             customer: case.about.as_ref().and_then(|it| it.customer.clone()),
             path: case.about.as_ref().map(|it| it.path.clone()),
             engines: case.crashes().map(|it| self.engine_name(it.engine)).collect(),
             is_proven: case.crashes().all(|it| it.proof == Proof::Proven),
             since: case.at,
-            until: case.at + HELD_FOR.as_secs(),
+            until: case.at + HOLD_DURATION.as_secs(),
         })
         .collect()
     }
@@ -165,32 +171,34 @@
         if verdict == Verdict::Clear {
             return true;
         }
-        let about = about(flight);
-        self.quarantine.see(signature, self.now, || about);
+        let about = summary(flight);
+        self.quarantine.record_seen(signature, self.now, || about);
         match verdict {
             Verdict::Clear | Verdict::Suspect => return true,
-            Verdict::Trial if !self.is_tried(key, signature) => return true,
+            Verdict::Trial if !self.has_running_trial(key, signature) => return true,
             Verdict::Trial => self.wait_for_trial(key),
-            Verdict::Doubted => self.give_up_until(key, NotRunReason::Doubted, DOUBTED_RETRY),
-            Verdict::Held => self.hold_back(key),
+            Verdict::Unconfirmed => {
+                self.give_up_until(key, NotRunReason::Doubted, UNCONFIRMED_RETRY_DELAY)
+            }
+            Verdict::Held => self.refuse_held(key),
         }
         false
     }
 
     /// Gives an answer to a request that is held back that does not ask the client to come again. One
     /// that has run at an engine can't be told that it has not.
-    fn hold_back(&mut self, key: FlightKey) {
+    fn refuse_held(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get(&key) else { return };
         let Some(proof) = flight.trace.not_run().filter(|_| !flight.has_begun) else {
             return self.give_up(key, NotRunReason::Doubted);
         };
-        self.give_units_back(key);
+        self.refund_units(key);
         self.effects.push(Effect::Refuse(key, Refusal::Harmful(proof)));
         self.end(key, "held back");
     }
 
     /// Tells whether another try of the same request is under way.
-    fn is_tried(&self, key: FlightKey, signature: Signature) -> bool {
+    fn has_running_trial(&self, key: FlightKey, signature: Signature) -> bool {
         let of = |it: &Call| self.flights.get(&it.flight).map(|it| it.signature);
         self.calls.values().any(|it| it.flight != key && of(it) == Some(signature))
     }
@@ -201,7 +209,7 @@
         if flight.waits_until.is_some() {
             return;
         }
-        let until = flight.ends.min(self.now + TRIAL_WAIT);
+        let until = flight.ends.min(self.now + MAX_TRIAL_WAIT);
         flight.waits_until = Some(until);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
@@ -209,27 +217,31 @@
 
     /// Gives the engines at which requests are tried that are all but held back.
     pub(super) fn trials(&self) -> Vec<EngineKey> {
-        self.calls.values().filter(|it| it.stand.is_last()).map(|it| it.engine.key).collect()
+        self.calls
+            .values()
+            .filter(|it| it.stand.is_next_to_last())
+            .map(|it| it.engine.key)
+            .collect()
     }
 
     /// Takes what another box tells of requests under which engines have crashed.
-    pub(super) fn hear_words(&mut self, message: &Message) {
+    pub(super) fn receive_cases(&mut self, message: &Message) {
         if message.crashes.is_empty() {
             return;
         }
-        let saves_at = self.follows_store().then(|| self.now + BACKUP_AFTER);
-        for word in &message.crashes {
-            if self.quarantine.hear(word, self.now, saves_at) {
-                self.note_held(&[word.signature]);
+        let save_due_at = self.follows_store().then(|| self.now + BACKUP_DELAY);
+        for announcement in &message.crashes {
+            if self.quarantine.receive(announcement, self.now, save_due_at) {
+                self.log_held(&[announcement.signature]);
             }
         }
         self.may_have_room = true;
     }
 
     /// Tells all boxes of the cases that have changed.
-    pub(super) fn tell_words(&mut self) {
-        while self.quarantine.has_untold() {
-            let crashes = self.quarantine.take_untold();
+    pub(super) fn announce_cases(&mut self) {
+        while self.quarantine.has_unannounced() {
+            let crashes = self.quarantine.take_unannounced();
             if !crashes.is_empty() {
                 let message = Message { crashes, ..self.message(false) };
                 self.tell_all(message);
@@ -239,49 +251,51 @@
 
     /// Takes the crashes for proven whose engine is listed in a later life, or not any more. A box that
     /// has started since sees no change that tells it.
-    fn prove_by_list(&mut self) {
+    fn prove_from_directory(&mut self) {
         if self.quarantine.is_empty() || !self.is_listed || self.missing_until().is_some() {
             return;
         }
-        for (life, since) in self.quarantine.unproven() {
-            let is_gone = match self.directory.get(life.engine) {
-                Some(known) => life.born.is_some() && known.engine.born > life.born,
-                None => self.now.since(since) >= UNLISTED_FOR,
+        for (incarnation, since) in self.quarantine.unproven() {
+            let is_gone = match self.directory.get(incarnation.engine) {
+                Some(known) => {
+                    incarnation.started_at.is_some() && known.engine.born > incarnation.started_at
+                }
+                None => self.now.since(since) >= UNLISTED_PROOF_DELAY,
             };
             if is_gone {
-                self.confirm(life, Proof::Proven);
+                self.confirm(incarnation, Proof::Proven);
             }
         }
     }
 
     /// Proves what can be proven, and drops what is out of date.
     pub(super) fn sweep_quarantine(&mut self) {
-        self.prove_by_list();
-        let unix = self.unix();
+        self.prove_from_directory();
+        let unix = self.unix_time();
         self.quarantine.sweep(self.now, unix);
     }
 
     /// Logs requests that are held back from now on.
-    pub(super) fn note_held(&mut self, signatures: &[Signature]) {
+    pub(super) fn log_held(&mut self, signatures: &[Signature]) {
         for &signature in signatures {
             let Some(case) = self.quarantine.case(signature) else { continue };
             let engines: Vec<_> = case.crashes().map(|it| self.engine_name(it.engine)).collect();
-            let (about, until) = (case.about.clone(), case.at + HELD_FOR.as_secs());
+            let (about, until) = (case.about.clone(), case.at + HOLD_DURATION.as_secs());
             self.note(Note::Held { signature, about, engines: engines.join(" "), until });
         }
     }
 
     /// Tells whether a call goes to the life of its engine that is listed: what became of one that
     /// went to an earlier life says nothing about this one.
-    pub(super) fn is_of_this_life(&self, call: &Call) -> bool {
+    pub(super) fn is_current_incarnation(&self, call: &Call) -> bool {
         let known = self.directory.get(call.engine.key);
         known.is_none_or(|it| it.engine.born == call.engine.born)
     }
 }
 
 /// Gives what operators see of a request.
-fn about(flight: &Flight) -> About {
-    About {
+fn summary(flight: &Flight) -> RequestSummary {
+    RequestSummary {
         customer: flight.customer.as_ref().map(|it| it.name.clone()),
         path: flight.request.path.as_str().into(),
     }
--- a/crates/hollyspoke-gateway/src/gateway/room.rs
+++ b/crates/hollyspoke-gateway/src/gateway/room.rs
@@ -35,7 +35,7 @@
     /// Has a request wait for room, or gives it up if no room can come.
     pub(super) fn wait_for_room(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get(&key) else { return };
-        if let Some(wait) = self.kept_for(flight) {
+        if let Some(wait) = self.blocked_for(flight) {
             return self.wait_or_refuse(key, wait);
         }
         if flight.service.staged.is_none() || !self.can_find_room(flight) {
@@ -89,8 +89,8 @@
 
     /// Refuses a request for which no room came in time.
     pub(super) fn refuse_for_room(&mut self, key: FlightKey) {
-        if let Some(wait) = self.flights.get(&key).and_then(|it| self.kept_for(it)) {
-            return self.refuse_kept(key, wait);
+        if let Some(wait) = self.flights.get(&key).and_then(|it| self.blocked_for(it)) {
+            return self.refuse_blocked(key, wait);
         }
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let wait = self.runs.mean(self.now).mul_f64(0.8 + 0.5 * spread);
@@ -121,7 +121,7 @@
         let leaving_for = self.leaving_for(flight);
         open.any(|it| {
             let is_able = it.engine.stage == Some(Stage::Decode) && self.is_home(flight, it);
-            is_able && self.terms.stays(&it.engine, leaving_for, self.now)
+            is_able && self.terms.is_usable(&it.engine, leaving_for, self.now)
         })
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -303,7 +303,7 @@
         let open = self.directory.open(service, self.now);
         // Orders are requests too, and one in need or about to leave is of little use in another stage.
         let candidates = open.filter(|it| it.engine.stage == Some(from));
-        let candidates = candidates.filter(|it| self.takes_aside(it.engine.key));
+        let candidates = candidates.filter(|it| self.accepts_auxiliary(it.engine.key));
         let chosen = candidates.min_by_key(|it| {
             let readers = readers_near(it);
             let readers = if change == Change::ToGenerating { -readers } else { readers };
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -125,7 +125,9 @@
                 continue;
             }
             let known = self.directory.get(step.engine);
-            let Some(known) = known.filter(|_| self.takes_aside(step.engine)) else { continue };
+            let Some(known) = known.filter(|_| self.accepts_auxiliary(step.engine)) else {
+                continue;
+            };
             let engine = known.engine.clone();
             self.stages.moves[index].phase = Phase::Sent;
             self.stages.moves[index].tries += 1;
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -11,7 +11,7 @@
 use crate::engine::EngineKey;
 use crate::flight::{Call, Flight, task_name};
 use crate::gateway::customer::identify;
-use crate::gateway::permits::Leave;
+use crate::gateway::permits::Permission;
 use crate::message::Load;
 use crate::placement::{Choice, View};
 use crate::quarantine::Verdict;
@@ -85,7 +85,7 @@
                 NO_CONFIGURATION_RETRY,
             );
         };
-        let Some(units) = self.take_units(key, &request, identity.customer.as_ref()) else {
+        let Some(units) = self.charge_units(key, &request, identity.customer.as_ref()) else {
             return;
         };
         self.earn_repeats(&service);
@@ -135,7 +135,7 @@
 
     /// Sends the next call of a request, has it wait for room, or gives it up.
     pub(super) fn proceed(&mut self, key: FlightKey) {
-        if !self.check_again(key) {
+        if !self.recheck_key(key) {
             return;
         }
         if !self.may_run(key) {
@@ -148,7 +148,7 @@
         if let Some(until) = self.waits_for_survey(flight) {
             return self.wait_for_survey(key, until);
         }
-        self.note_kept_away(key);
+        self.record_exclusions(key);
         let Some(next) = self.next_permitted(key) else { return };
         let Some(flight) = self.flights.get(&key) else { return };
         let is_repeat = flight.arrivals > 0;
@@ -177,10 +177,10 @@
                 self.refuse_overloaded(key, wait);
                 return None;
             }
-            match self.seek_permit(key, next.choice.engine.key) {
-                Leave::Given => return Some(next),
-                Leave::Awaited => return None,
-                Leave::Refused => {}
+            match self.acquire_permit(key, next.choice.engine.key) {
+                Permission::Granted => return Some(next),
+                Permission::Pending => return None,
+                Permission::Refused => {}
             }
         }
     }
@@ -230,7 +230,7 @@
         self.unreserve(key);
         self.reserve(key, next.generator);
         let Some(flight) = self.flights.get_mut(&key) else { return };
-        let stand = self.quarantine.stand(flight.signature);
+        let stand = self.quarantine.progress(flight.signature);
         let Next { task, choice, .. } = next;
         flight.waits_until = None;
         flight.waits_for_permit = false;
@@ -263,7 +263,7 @@
         let engine = choice.engine.clone();
         self.note_cold(engine.key);
         self.permits.held.take(engine.key, now);
-        self.terms.rests.send(engine.key);
+        self.terms.back_offs.record_send(engine.key);
         self.ledger.add(engine.key, load);
         if matches!(task, Task::Generate(_)) {
             self.runs.begin(now);
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -182,7 +182,7 @@
         let routes = configuration.route_count();
         self.note(Note::Configured { version: configuration.version, routes });
         self.configuration = Some(configuration);
-        self.take_customers();
+        self.apply_customers();
         self.beat_with_news();
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -91,7 +91,7 @@
         let mut nodes = self.members.alive();
         nodes.push(self.settings.peer);
         let own = number(&self.settings.peer);
-        let engines = self.directory.all().filter(|it| self.takes_aside(it.engine.key));
+        let engines = self.directory.all().filter(|it| self.accepts_auxiliary(it.engine.key));
         let generators = engines.filter(|it| it.engine.stage == Some(Stage::Decode));
         let falls_here =
             |engine: EngineKey| rank::first(engine.0, nodes.iter().map(number)) == Some(own);
--- a/crates/hollyspoke-gateway/src/lib.rs
+++ b/crates/hollyspoke-gateway/src/lib.rs
@@ -5,11 +5,12 @@
 //! answers into events and carries the effects out.
 //!
 //! Imports go one way: `route`, `engine` and `request` at the ground, with what engines say of
-//! themselves (`statement`; `intake`, `departure` and `rest` keep it, together `terms`); `message`,
+//! themselves (`statement`; `intake`, `departure` and `back_off` keep it, together `terms`); `message`,
 //! `event` and `effect` above them; then one mechanism a file (`budget`, `health`, `load`, `directory`,
 //! `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`, `cold`, `permit`); `flight`
 //! follows one request; `gateway` composes all.
 
+pub mod back_off;
 pub mod budget;
 pub mod cadence;
 pub mod cold;
@@ -36,7 +37,6 @@
 pub mod ratio;
 pub mod region;
 pub mod request;
-pub mod rest;
 pub mod route;
 pub mod signature;
 pub mod snapshot;
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -13,7 +13,7 @@
 use crate::evacuation::Evacuation;
 use crate::permit::{Ask, Reply};
 use crate::prompt::Kept;
-use crate::quarantine::Word;
+use crate::quarantine::Announcement;
 use crate::{departure, intake};
 
 /// The short name of a data centre: a hash of its name, the same on all boxes.
@@ -213,7 +213,7 @@
     /// Engines that the sender has just not reached, or that fell silent to it.
     pub missed: Vec<EngineKey>,
     /// Requests under which engines have crashed.
-    pub crashes: Vec<Word>,
+    pub crashes: Vec<Announcement>,
     /// Engines that had no room for a request of the sender's.
     pub full: Vec<Full>,
     /// Changes that the sender has just read.
--- a/crates/hollyspoke-gateway/src/permit.rs
+++ b/crates/hollyspoke-gateway/src/permit.rs
@@ -9,8 +9,8 @@
 //! come first of all known ones for the engine. Engines count over 4 s; in any such time, with all
 //! restarts, since a box begins with nothing, the sum is at most
 //!
-//! - `USED_SHARE` of the limit over that time and the life of a permit, and `DEPTH`;
-//! - [`PARTS`] times `PART_SHARE` of the limit over the same time, and one for each part;
+//! - `USED_SHARE` of the limit over that time and the life of a permit, and `BURST`;
+//! - [`PART_COUNT`] times `PART_SHARE` of the limit over the same time, and one for each part;
 //! - what a side issues on until it misses the boxes that were cut off: `USED_SHARE` for as long.
 //!
 //! With 1.3 s for the last, that is 5.95 times the limit, and 5, where 6 times the limit and 5 are
@@ -31,29 +31,29 @@
 /// The permits that such a side issues at once at most, when none was asked for in a while. Where twice
 /// the work of a limit of 1 to 3.5 a second comes, one alone leaves 0.28 to 0.32 of the limit unused,
 /// two leave 0.07 to 0.09 (66 boxes in virtual time, 200 s).
-const DEPTH: f64 = 2.0;
+const BURST: f64 = 2.0;
 
 /// The parts of a limit that belong to boxes which do not hear most of the others.
-pub const PARTS: usize = 3;
+pub const PART_COUNT: usize = 3;
 
 /// The share of a limit that is one part. All parts together leave the other side what it may use.
-const PART_SHARE: f64 = 0.2 / PARTS as f64;
+const PART_SHARE: f64 = 0.2 / PART_COUNT as f64;
 
 /// How long a permit can be used. A request waits for it, so that it is used at once; one whose
 /// request has gone elsewhere is left for the next.
-const LIFE: Duration = Duration::from_millis(100);
+const PERMIT_LIFETIME: Duration = Duration::from_millis(100);
 
 /// How long an answer to a question for a permit may take; a datagram and its answer take up to 30 ms
 /// between regions. Later ones are worth nothing, so that what is sent does not gather.
-pub const ANSWERED_WITHIN: Duration = Duration::from_millis(60);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// How long nothing more is asked for an engine after a question got no answer, or was asked of a box
 /// that does not issue its permits: boxes that differ on who lives agree with the next heartbeats.
-pub const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(100);
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How long it is believed at most that there is no permit: the box that issues them, or what it may
 /// issue, may be another one by then.
-const REFUSED_FOR: Duration = Duration::from_secs(1);
+const MAX_REFUSAL_DURATION: Duration = Duration::from_secs(1);
 
 /// A question for a permit.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -92,9 +92,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
     /// It hears most of all boxes.
-    Most,
+    Majority,
     /// It does not; so many parts belong to the boxes that it hears.
-    Parts(usize),
+    Minority(usize),
 }
 
 /// What a box may issue of one engine's limit.
@@ -103,18 +103,18 @@
     /// Permits a second.
     rate: f64,
     /// Permits at once.
-    depth: f64,
+    burst: f64,
 }
 
 impl Side {
     /// Gives what the side may issue of a limit, if anything.
     fn share(self, limit: f64) -> Option<Share> {
         match self {
-            Side::Most => Some(Share { rate: limit * USED_SHARE, depth: DEPTH }),
-            Side::Parts(0) => None,
-            Side::Parts(parts) => {
+            Side::Majority => Some(Share { rate: limit * USED_SHARE, burst: BURST }),
+            Side::Minority(0) => None,
+            Side::Minority(parts) => {
                 let parts = parts as f64;
-                Some(Share { rate: limit * PART_SHARE * parts, depth: parts })
+                Some(Share { rate: limit * PART_SHARE * parts, burst: parts })
             }
         }
     }
@@ -122,7 +122,7 @@
 
 impl Share {
     /// Gives the time in which one permit comes.
-    fn pause(self) -> Duration {
+    fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.rate)
     }
 }
@@ -165,16 +165,16 @@
         now: Time,
     ) -> Result<Duration, Duration> {
         self.begin(engine, now);
-        let share = side.share(limit).ok_or(ASKED_AGAIN_AFTER)?;
-        let meter = self.meters.get_mut(&engine).ok_or(ASKED_AGAIN_AFTER)?;
-        let pause = share.pause();
-        let empty = meter.since + pause.mul_f64(share.depth);
+        let share = side.share(limit).ok_or(RETRY_DELAY)?;
+        let meter = self.meters.get_mut(&engine).ok_or(RETRY_DELAY)?;
+        let interval = share.interval();
+        let empty = meter.since + interval.mul_f64(share.burst);
         let spent_until = meter.spent_until.unwrap_or(empty);
-        let wait = spent_until.since(now + pause.mul_f64(share.depth - 1.0));
+        let wait = spent_until.since(now + interval.mul_f64(share.burst - 1.0));
         if wait > patience {
             return Err(wait);
         }
-        meter.spent_until = Some(spent_until.max(now) + pause);
+        meter.spent_until = Some(spent_until.max(now) + interval);
         Ok(wait)
     }
 
@@ -199,12 +199,12 @@
 impl Permit {
     /// Tells whether it can be used now.
     fn is_valid(self, now: Time) -> bool {
-        self.from <= now && now < self.from + LIFE
+        self.from <= now && now < self.from + PERMIT_LIFETIME
     }
 
     /// Tells whether it can be used now or later.
     fn is_left(self, now: Time) -> bool {
-        now < self.from + LIFE
+        now < self.from + PERMIT_LIFETIME
     }
 }
 
@@ -252,12 +252,12 @@
 
     /// Notes that the next permit comes after a time.
     pub fn refuse(&mut self, engine: EngineKey, wait: Duration, now: Time) {
-        let until = now + wait.min(REFUSED_FOR);
+        let until = now + wait.min(MAX_REFUSAL_DURATION);
         self.refusals.insert(engine, Refusal { until, next: now + wait });
     }
 
     /// Notes that what is known of an engine's permits may not hold any more.
-    pub fn reopen(&mut self, engine: EngineKey) {
+    pub fn clear_refusal(&mut self, engine: EngineKey) {
         self.refusals.remove(&engine);
     }
 
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -12,7 +12,7 @@
 use crate::permit::Holder;
 use crate::region::{Homes, Regions};
 use crate::route::{Service, Staged};
-use crate::terms::{Bar, Terms};
+use crate::terms::{Restriction, Terms};
 
 /// How long the load that an engine told with an answer counts.
 const TOLD_LIFE: Duration = Duration::from_millis(400);
@@ -282,10 +282,10 @@
     /// Tells whether an engine's own word lets the request go there.
     fn is_admitted(&self, known: &Known) -> bool {
         let engine = known.engine.key;
-        match self.terms.bar(&known.engine, self.leaving_for, self.now) {
+        match self.terms.restriction(&known.engine, self.leaving_for, self.now) {
             None => true,
-            Some(Bar::Leaving | Bar::Rest) => false,
-            Some(Bar::Limit) => !self.must_ask(engine) || self.may_ask(engine),
+            Some(Restriction::Leaving | Restriction::BackOff) => false,
+            Some(Restriction::RateLimit) => !self.must_ask(engine) || self.may_ask(engine),
         }
     }
 
--- a/crates/hollyspoke-gateway/src/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/quarantine.rs
@@ -20,14 +20,15 @@
 use crate::signature::Signature;
 
 pub use case::{
-    About, Case, Crash, Crashes, HELD_FOR, Life, MOST_CRASHES, Proof, Stand, Verdict, Word,
+    Announcement, Case, Crash, Crashes, HOLD_DURATION, Incarnation, MAX_CRASHES, Progress, Proof,
+    RequestSummary, Verdict,
 };
 
 /// The most cases at one box: some 300 bytes each.
-const MOST_CASES: usize = 2048;
+const MAX_CASES: usize = 2048;
 
 /// The cases that are told with each heartbeat, at most.
-pub const MOST_TOLD: usize = 24;
+pub const MAX_ANNOUNCED: usize = 24;
 
 /// All cases that one box knows.
 #[derive(Debug, Clone, Default)]
@@ -36,9 +37,9 @@
     cases: HashMap<Signature, Case>,
     /// The cases that the other boxes have yet to hear of. Kept apart, since it is looked at with each
     /// event.
-    untold: BTreeSet<Signature>,
+    unannounced: BTreeSet<Signature>,
     /// When the first of the cases is to be saved that the store lacks.
-    saves_at: Option<Time>,
+    save_due_at: Option<Time>,
 }
 
 impl Quarantine {
@@ -48,10 +49,10 @@
     }
 
     /// Gives how far a request's case is.
-    pub fn stand(&self, signature: Signature) -> Stand {
+    pub fn progress(&self, signature: Signature) -> Progress {
         self.cases
             .get(&signature)
-            .map_or(Stand::default(), |it| Stand { epoch: it.epoch, crashes: it.count() })
+            .map_or(Progress::default(), |it| Progress { epoch: it.epoch, crashes: it.count() })
     }
 
     /// Gives a case.
@@ -61,7 +62,7 @@
 
     /// Goes over the cases of requests that are held back, in a fixed order.
     pub fn held(&self) -> impl Iterator<Item = (Signature, &Case)> {
-        let held = self.cases.iter().filter(|(_, it)| it.count() == MOST_CRASHES);
+        let held = self.cases.iter().filter(|(_, it)| it.count() == MAX_CRASHES);
         let held: BTreeMap<_, _> = held.map(|(&signature, it)| (signature, it)).collect();
         held.into_iter()
     }
@@ -71,12 +72,12 @@
     pub fn suspect(
         &mut self,
         signature: Signature,
-        stand: Stand,
+        stand: Progress,
         engine: &Engine,
-        about: About,
+        about: RequestSummary,
         now: Time,
     ) -> bool {
-        self.make_room(signature);
+        self.evict_for(signature);
         let case = self.cases.entry(signature).or_insert_with(|| Case::new(now));
         case.about.get_or_insert(about);
         if case.epoch != stand.epoch || case.count() > stand.crashes {
@@ -91,16 +92,23 @@
 
     /// Notes that a life of an engine goes on that was asked: what broke there was the connection
     /// alone.
-    pub fn clear(&mut self, lives: Life, now: Time) {
-        let cleared = self.cases.iter_mut().filter_map(|(&key, it)| it.clear(lives).then_some(key));
-        let ended = cleared.collect();
-        self.change(ended, now);
+    pub fn clear(&mut self, running: Incarnation, now: Time) {
+        let changed_keys =
+            self.cases.iter_mut().filter_map(|(&key, it)| it.clear(running).then_some(key));
+        let ended = changed_keys.collect();
+        self.mark_changed(ended, now);
     }
 
     /// Notes how well it is known that a life of an engine has ended, at a Unix time in seconds. If
     /// the life is not known, that holds for all of it. Gives the requests that are held back from
     /// now on.
-    pub fn confirm(&mut self, ended: Life, proof: Proof, now: Time, unix: u64) -> Vec<Signature> {
+    pub fn confirm(
+        &mut self,
+        ended: Incarnation,
+        proof: Proof,
+        now: Time,
+        unix: u64,
+    ) -> Vec<Signature> {
         let mut changed = Vec::new();
         for (&signature, case) in &mut self.cases {
             if case.confirm(ended, proof) {
@@ -110,145 +118,157 @@
         }
         changed.sort();
         let mut held = changed.clone();
-        held.retain(|it| self.cases.get_mut(it).is_some_and(Case::becomes_held));
-        self.change(changed, now);
+        held.retain(|it| self.cases.get_mut(it).is_some_and(Case::update_held));
+        self.mark_changed(changed, now);
         held
     }
 
     /// Notes changes of cases that others are to hear of, and the store is to have.
-    fn change(&mut self, signatures: Vec<Signature>, now: Time) {
+    fn mark_changed(&mut self, signatures: Vec<Signature>, now: Time) {
         for signature in signatures {
             let Some(case) = self.cases.get_mut(&signature) else { continue };
-            (case.changed, case.saves_at) = (now, Some(now));
-            self.untold.insert(signature);
-            self.saves_at = Some(now);
+            (case.changed, case.save_due_at) = (now, Some(now));
+            self.unannounced.insert(signature);
+            self.save_due_at = Some(now);
         }
     }
 
     /// Ends the case of a request that was answered whole, or that an operator lets go; tells whether
     /// there was one.
-    pub fn acquit(&mut self, signature: Signature, now: Time) -> bool {
+    pub fn close_case(&mut self, signature: Signature, now: Time) -> bool {
         let Some(case) = self.cases.get_mut(&signature).filter(|it| it.count() > 0) else {
             return false;
         };
         case.end(Crashes::default());
-        self.change(vec![signature], now);
+        self.mark_changed(vec![signature], now);
         true
     }
 
     /// Finds the held requests whose signature begins as shown.
-    pub fn find(&self, short: &str) -> Vec<Signature> {
+    pub fn find_held(&self, short: &str) -> Vec<Signature> {
         let held = self.held().map(|(signature, _)| signature);
         held.filter(|it| !short.is_empty() && it.text().starts_with(short)).collect()
     }
 
     /// Takes what another box, or the store, tells of a case, which this box saves from a time on if
     /// nobody else has; tells whether a request is held back from now on.
-    pub fn hear(&mut self, word: &Word, now: Time, saves_at: Option<Time>) -> bool {
-        let is_empty = word.crashes.iter().flatten().next().is_none();
-        if is_empty && !self.cases.contains_key(&word.signature) {
+    pub fn receive(
+        &mut self,
+        announcement: &Announcement,
+        now: Time,
+        save_due_at: Option<Time>,
+    ) -> bool {
+        let is_empty = announcement.crashes.iter().flatten().next().is_none();
+        if is_empty && !self.cases.contains_key(&announcement.signature) {
             return false;
         }
-        self.make_room(word.signature);
-        let case = self.cases.entry(word.signature).or_insert_with(|| Case::new(now));
-        if case.join(word) {
+        self.evict_for(announcement.signature);
+        let case = self.cases.entry(announcement.signature).or_insert_with(|| Case::new(now));
+        if case.merge(announcement) {
             (case.changed, case.seen) = (now, now);
-            case.saves_at = case.saves_at.or(saves_at);
-            self.saves_at = [self.saves_at, saves_at].into_iter().flatten().min();
-        } else if word.epoch < case.epoch && case.sets_right(now) {
-            self.untold.insert(word.signature);
+            case.save_due_at = case.save_due_at.or(save_due_at);
+            self.save_due_at = [self.save_due_at, save_due_at].into_iter().flatten().min();
+        } else if announcement.epoch < case.epoch && case.should_correct(now) {
+            self.unannounced.insert(announcement.signature);
         }
-        case.becomes_held()
+        case.update_held()
     }
 
     /// Drops crashes that were not proven in time, and cases that are over.
     pub fn sweep(&mut self, now: Time, unix: u64) {
-        let lapsed = self.cases.iter_mut().filter_map(|(&key, it)| it.lapse(now).then_some(key));
-        let lapsed = lapsed.collect();
-        self.change(lapsed, now);
+        let expired = self.cases.iter_mut().filter_map(|(&key, it)| it.expire(now).then_some(key));
+        let expired = expired.collect();
+        self.mark_changed(expired, now);
         self.cases.retain(|_, it| !it.is_over(now, unix));
     }
 
     /// Gives the lives of engines whose crashes are likely and not proven, and since when nothing has
     /// changed about them.
-    pub fn unproven(&self) -> Vec<(Life, Time)> {
+    pub fn unproven(&self) -> Vec<(Incarnation, Time)> {
         let cases = self.cases.values();
         let crashes = cases.flat_map(|case| case.crashes().map(|it| (it, case.changed)));
         let likely = crashes.filter(|(it, _)| it.proof == Proof::Likely);
-        likely.map(|(it, at)| (Life { engine: it.engine, born: it.born }, at)).collect()
+        likely
+            .map(|(it, at)| (Incarnation { engine: it.engine, started_at: it.born }, at))
+            .collect()
     }
 
     /// Takes the words that the other boxes have yet to hear.
-    pub fn take_untold(&mut self) -> Vec<Word> {
-        let mut words = Vec::new();
-        while words.len() < MOST_TOLD
-            && let Some(signature) = self.untold.pop_first()
+    pub fn take_unannounced(&mut self) -> Vec<Announcement> {
+        let mut announcements = Vec::new();
+        while announcements.len() < MAX_ANNOUNCED
+            && let Some(signature) = self.unannounced.pop_first()
         {
-            words.extend(self.cases.get(&signature).map(|it| it.word(signature)));
+            announcements.extend(self.cases.get(&signature).map(|it| it.announcement(signature)));
         }
-        words
+        announcements
     }
 
     /// Tells whether the other boxes have yet to hear of a case.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    pub fn has_unannounced(&self) -> bool {
+        !self.unannounced.is_empty()
     }
 
     /// Gives what each heartbeat tells, for boxes that missed it: the requests that are held back or
     /// nearly so, those with the latest crash if there are many.
-    pub fn reminder(&self) -> Vec<Word> {
-        let mut words: Vec<_> = self
+    pub fn reminder(&self) -> Vec<Announcement> {
+        let mut announcements: Vec<_> = self
             .cases
             .iter()
-            .filter(|(_, it)| it.count() + 1 >= MOST_CRASHES)
-            .map(|(&signature, it)| it.word(signature))
+            .filter(|(_, it)| it.count() + 1 >= MAX_CRASHES)
+            .map(|(&signature, it)| it.announcement(signature))
             .collect();
-        words.sort_by_key(|it| (std::cmp::Reverse(it.at), it.signature));
-        words.truncate(MOST_TOLD);
-        words
+        announcements.sort_by_key(|it| (std::cmp::Reverse(it.at), it.signature));
+        announcements.truncate(MAX_ANNOUNCED);
+        announcements
     }
 
     /// Tells whether the store is to have something that it lacks: of cases with at least so many
     /// crashes, and of those that it had and that have ended.
-    pub fn has_unsaved(&self, least: usize, now: Time) -> bool {
-        if self.saves_at.is_none_or(|it| it > now) {
+    pub fn has_unsaved(&self, min: usize, now: Time) -> bool {
+        if self.save_due_at.is_none_or(|it| it > now) {
             return false;
         }
-        let is_due = |it: &Case| it.saves_at.is_some_and(|it| it <= now);
-        self.cases.values().any(|it| is_due(it) && (it.count() >= least || it.epoch > 0))
+        let is_due = |it: &Case| it.save_due_at.is_some_and(|it| it <= now);
+        self.cases.values().any(|it| is_due(it) && (it.count() >= min || it.epoch > 0))
     }
 
     /// Gives the cases for the store: of those with at least so many crashes the latest ones.
-    pub fn to_save(&self, least: usize, most: usize) -> Vec<(Word, Option<About>)> {
-        let mut saved: Vec<_> = self
+    pub fn to_save(&self, min: usize, max: usize) -> Vec<(Announcement, Option<RequestSummary>)> {
+        let mut mark_saved: Vec<_> = self
             .cases
             .iter()
-            .filter(|(_, it)| it.count() >= least)
-            .map(|(&signature, it)| (it.word(signature), it.about.clone()))
+            .filter(|(_, it)| it.count() >= min)
+            .map(|(&signature, it)| (it.announcement(signature), it.about.clone()))
             .collect();
-        saved.sort_by_key(|(it, _)| (std::cmp::Reverse(it.at), it.signature));
-        saved.truncate(most);
-        saved
+        mark_saved.sort_by_key(|(it, _)| (std::cmp::Reverse(it.at), it.signature));
+        mark_saved.truncate(max);
+        mark_saved
     }
 
     /// Notes that the store has what was to be saved, or will have.
-    pub fn saved(&mut self) {
-        self.saves_at = None;
+    pub fn mark_saved(&mut self) {
+        self.save_due_at = None;
         for case in self.cases.values_mut() {
-            case.saves_at = None;
+            case.save_due_at = None;
         }
     }
 
     /// Notes that the store may lack everything.
-    pub fn not_saved(&mut self, now: Time) {
-        self.saves_at = Some(now);
+    pub fn mark_unsaved(&mut self, now: Time) {
+        self.save_due_at = Some(now);
         for case in self.cases.values_mut().filter(|it| it.count() > 0) {
-            case.saves_at.get_or_insert(now);
+            case.save_due_at.get_or_insert(now);
         }
     }
 
     /// Notes that a request with a case has come, and what operators see of it.
-    pub fn see(&mut self, signature: Signature, now: Time, about: impl FnOnce() -> About) {
+    pub fn record_seen(
+        &mut self,
+        signature: Signature,
+        now: Time,
+        about: impl FnOnce() -> RequestSummary,
+    ) {
         if let Some(case) = self.cases.get_mut(&signature) {
             case.seen = now;
             case.about.get_or_insert_with(about);
@@ -268,12 +288,12 @@
     /// Makes room for a request's case. The case with the fewest crashes goes, and of those the one
     /// whose request has not come for the longest: whoever fills the list with requests that come
     /// once displaces these first.
-    fn make_room(&mut self, signature: Signature) {
-        if self.cases.len() < MOST_CASES || self.cases.contains_key(&signature) {
+    fn evict_for(&mut self, signature: Signature) {
+        if self.cases.len() < MAX_CASES || self.cases.contains_key(&signature) {
             return;
         }
-        let least = self.cases.iter().min_by_key(|(key, it)| (it.count(), it.seen, **key));
-        if let Some((&key, _)) = least {
+        let min = self.cases.iter().min_by_key(|(key, it)| (it.count(), it.seen, **key));
+        if let Some((&key, _)) = min {
             self.cases.remove(&key);
         }
     }
--- a/crates/hollyspoke-gateway/src/quarantine/case.rs
+++ b/crates/hollyspoke-gateway/src/quarantine/case.rs
@@ -11,24 +11,24 @@
 
 /// The crashes one after the other at which a request is held back: the users allow three, and few
 /// repeats after them.
-pub const MOST_CRASHES: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// How long a crash that was not proven counts. An engine that has crashed is back, or its entry
 /// lapses, within some seconds; a connection that was cut leaves neither.
-const PROVEN_WITHIN: Duration = Duration::from_secs(10);
+const PROOF_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The least pause between two answers to word of an ended case.
-const SET_RIGHT_EVERY: Duration = Duration::from_millis(200);
+const MIN_CORRECTION_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a case lasts that holds nothing back, after its last change.
-const SUSPECT_FOR: Duration = Duration::from_secs(600);
+const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 
 /// How long a request is held back: until engines may have got other software, which operators
 /// install by day.
-pub const HELD_FOR: Duration = Duration::from_secs(24 * 3600);
+pub const HOLD_DURATION: Duration = Duration::from_secs(24 * 3600);
 
 /// How long an ended case is kept, so that word of it that comes late does not open it again.
-const ENDED_FOR: Duration = Duration::from_secs(60);
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// How well it is known that an engine has crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -54,37 +54,39 @@
 
 /// A life of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Life {
+pub struct Incarnation {
     /// The engine.
     pub engine: EngineKey,
     /// When the life began, if that is known.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 impl Crash {
     /// Tells whether it may have ended a life, as far as the beginnings are known.
-    fn is_of(&self, life: Life) -> bool {
-        let is_same = self.born.is_none() || life.born.is_none() || self.born == life.born;
-        self.engine == life.engine && is_same
+    fn matches(&self, incarnation: Incarnation) -> bool {
+        let is_same = self.born.is_none()
+            || incarnation.started_at.is_none()
+            || self.born == incarnation.started_at;
+        self.engine == incarnation.engine && is_same
     }
 }
 
 /// The crashes under one request, in their places.
-pub type Crashes = [Option<Crash>; MOST_CRASHES];
+pub type Crashes = [Option<Crash>; MAX_CRASHES];
 
 /// How far a case was when a call was sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Stand {
+pub struct Progress {
     /// The case's epoch.
     pub(super) epoch: u32,
     /// The crashes that counted.
     pub(super) crashes: usize,
 }
 
-impl Stand {
+impl Progress {
     /// Tells whether one more crash would hold the request back.
-    pub fn is_last(self) -> bool {
-        self.crashes + 1 == MOST_CRASHES
+    pub fn is_next_to_last(self) -> bool {
+        self.crashes + 1 == MAX_CRASHES
     }
 }
 
@@ -98,14 +100,14 @@
     /// One more crash holds it back: it runs once at a time.
     Trial,
     /// It is held back while it is found out whether its engines have crashed.
-    Doubted,
+    Unconfirmed,
     /// It is held back.
     Held,
 }
 
 /// What operators see of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct About {
+pub struct RequestSummary {
     /// The customer that sent it, if it is known.
     pub customer: Option<Arc<str>>,
     /// Its path.
@@ -114,7 +116,7 @@
 
 /// What boxes tell each other of a case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Announcement {
     /// The request.
     pub signature: Signature,
     /// The epoch.
@@ -135,7 +137,7 @@
     /// When the last crash was counted, in seconds of Unix time.
     pub at: u64,
     /// What operators see of the request, if this box has seen it.
-    pub about: Option<About>,
+    pub about: Option<RequestSummary>,
     /// Whether it was noted that the request is held back.
     pub(super) is_held: bool,
     /// When it last changed here.
@@ -143,9 +145,9 @@
     /// When the request last came here, or word of it.
     pub(super) seen: Time,
     /// From when on the store is to have it, if it has yet to.
-    pub(super) saves_at: Option<Time>,
+    pub(super) save_due_at: Option<Time>,
     /// When word of an earlier epoch was last answered.
-    pub(super) set_right: Option<Time>,
+    pub(super) corrected_at: Option<Time>,
 }
 
 impl Case {
@@ -159,8 +161,8 @@
             is_held: false,
             changed: now,
             seen: now,
-            saves_at: None,
-            set_right: None,
+            save_due_at: None,
+            corrected_at: None,
         }
     }
 
@@ -180,8 +182,8 @@
     }
 
     /// Tells whether the request is held back and was not the last time.
-    pub(super) fn becomes_held(&mut self) -> bool {
-        let is_held = self.count() == MOST_CRASHES;
+    pub(super) fn update_held(&mut self) -> bool {
+        let is_held = self.count() == MAX_CRASHES;
         let was_held = std::mem::replace(&mut self.is_held, is_held);
         is_held && !was_held
     }
@@ -190,18 +192,18 @@
     pub(super) fn verdict(&self) -> Verdict {
         match self.count() {
             0 => Verdict::Clear,
-            MOST_CRASHES if self.is_proven() => Verdict::Held,
-            MOST_CRASHES => Verdict::Doubted,
-            it if it + 1 == MOST_CRASHES => Verdict::Trial,
+            MAX_CRASHES if self.is_proven() => Verdict::Held,
+            MAX_CRASHES => Verdict::Unconfirmed,
+            it if it + 1 == MAX_CRASHES => Verdict::Trial,
             _ => Verdict::Suspect,
         }
     }
 
     /// Gives what others are told: the crashes that are more than a broken connection.
-    pub(super) fn word(&self, signature: Signature) -> Word {
-        let is_told = |it: &Crash| it.proof >= Proof::Likely;
-        let crashes = self.crashes.map(|it| it.filter(is_told));
-        Word { signature, epoch: self.epoch, crashes, at: self.at }
+    pub(super) fn announcement(&self, signature: Signature) -> Announcement {
+        let is_announced = |it: &Crash| it.proof >= Proof::Likely;
+        let crashes = self.crashes.map(|it| it.filter(is_announced));
+        Announcement { signature, epoch: self.epoch, crashes, at: self.at }
     }
 
     /// Ends the case; what is left of its crashes begins the next one.
@@ -211,29 +213,29 @@
     }
 
     /// Takes over word of a case; tells whether that changed something.
-    pub(super) fn join(&mut self, word: &Word) -> bool {
-        if word.epoch < self.epoch {
+    pub(super) fn merge(&mut self, announcement: &Announcement) -> bool {
+        if announcement.epoch < self.epoch {
             return false;
         }
         let before = (self.epoch, self.crashes);
-        if word.epoch > self.epoch {
-            (self.epoch, self.at) = (word.epoch, 0);
+        if announcement.epoch > self.epoch {
+            (self.epoch, self.at) = (announcement.epoch, 0);
             self.crashes = Crashes::default();
         }
-        for (own, told) in self.crashes.iter_mut().zip(word.crashes) {
-            *own = stronger(*own, told);
+        for (own, announced) in self.crashes.iter_mut().zip(announcement.crashes) {
+            *own = better_known(*own, announced);
         }
-        self.at = self.at.max(word.at);
+        self.at = self.at.max(announcement.at);
         before != (self.epoch, self.crashes)
     }
 
     /// Tells whether nothing is left to be known of it.
     pub(super) fn is_over(&self, now: Time, unix: u64) -> bool {
-        let rests = now.since(self.changed);
+        let unchanged_for = now.since(self.changed);
         match self.count() {
-            0 => rests >= ENDED_FOR,
-            MOST_CRASHES => unix.saturating_sub(self.at) >= HELD_FOR.as_secs(),
-            _ => rests >= SUSPECT_FOR,
+            0 => unchanged_for >= ENDED_RETENTION,
+            MAX_CRASHES => unix.saturating_sub(self.at) >= HOLD_DURATION.as_secs(),
+            _ => unchanged_for >= SUSPECT_RETENTION,
         }
     }
 
@@ -249,11 +251,11 @@
     }
 
     /// Drops the crashes of a life that goes on; tells whether others were told of one.
-    pub(super) fn clear(&mut self, lives: Life) -> bool {
-        let is_wrong = |it: &Crash| it.is_of(lives) && it.proof != Proof::Proven;
-        let worst = self.crashes().filter(|it| is_wrong(it)).map(|it| it.proof).max();
-        let left = self.crashes.map(|it| it.filter(|it| !is_wrong(it)));
-        match worst {
+    pub(super) fn clear(&mut self, running: Incarnation) -> bool {
+        let is_refuted = |it: &Crash| it.matches(running) && it.proof != Proof::Proven;
+        let strongest = self.crashes().filter(|it| is_refuted(it)).map(|it| it.proof).max();
+        let left = self.crashes.map(|it| it.filter(|it| !is_refuted(it)));
+        match strongest {
             Some(Proof::Likely | Proof::Proven) => {
                 self.end(left);
                 true
@@ -266,21 +268,21 @@
     }
 
     /// Notes how well it is known that a life has ended; tells whether that is news.
-    pub(super) fn confirm(&mut self, ended: Life, proof: Proof) -> bool {
-        let mut is_news = false;
+    pub(super) fn confirm(&mut self, ended: Incarnation, proof: Proof) -> bool {
+        let mut has_changed = false;
         for crash in self.crashes.iter_mut().flatten() {
-            if crash.is_of(ended) && crash.proof < proof {
+            if crash.matches(ended) && crash.proof < proof {
                 crash.proof = proof;
-                is_news = true;
+                has_changed = true;
             }
         }
-        is_news
+        has_changed
     }
 
     /// Drops the crashes that were not proven in time; tells whether there were any.
-    pub(super) fn lapse(&mut self, now: Time) -> bool {
-        let is_late = now.since(self.changed) >= PROVEN_WITHIN;
-        if !is_late || self.count() == 0 || self.is_proven() {
+    pub(super) fn expire(&mut self, now: Time) -> bool {
+        let is_overdue = now.since(self.changed) >= PROOF_TIMEOUT;
+        if !is_overdue || self.count() == 0 || self.is_proven() {
             return false;
         }
         let left = self.crashes.map(|it| it.filter(|it| it.proof == Proof::Proven));
@@ -289,17 +291,17 @@
     }
 
     /// Tells whether word of an ended case is to be told again, to a box that missed it.
-    pub(super) fn sets_right(&mut self, now: Time) -> bool {
-        let is_due = self.set_right.is_none_or(|it| now.since(it) >= SET_RIGHT_EVERY);
+    pub(super) fn should_correct(&mut self, now: Time) -> bool {
+        let is_due = self.corrected_at.is_none_or(|it| now.since(it) >= MIN_CORRECTION_INTERVAL);
         if is_due {
-            self.set_right = Some(now);
+            self.corrected_at = Some(now);
         }
         is_due
     }
 }
 
 /// Gives the better known of two crashes that stand in one place, the same on all boxes.
-fn stronger(own: Option<Crash>, told: Option<Crash>) -> Option<Crash> {
+fn better_known(own: Option<Crash>, announced: Option<Crash>) -> Option<Crash> {
     let rank = |it: &Crash| (it.proof, std::cmp::Reverse((it.engine, it.born)));
-    [own, told].into_iter().flatten().max_by_key(rank)
+    [own, announced].into_iter().flatten().max_by_key(rank)
 }
--- a/crates/hollyspoke-gateway/src/signature.rs
+++ b/crates/hollyspoke-gateway/src/signature.rs
@@ -13,11 +13,11 @@
 
 /// The bytes of a signature. Half of the digest: to find a second request to a given signature
 /// takes 2^128 tries, and it goes into datagrams.
-const LENGTH: usize = 16;
+const LENGTH_BYTES: usize = 16;
 
 /// The bytes of a signature that are shown: enough to tell requests apart that are held back, too few
 /// to confirm a guess of a body.
-const SHOWN: usize = 3;
+const SHORT_LENGTH_BYTES: usize = 3;
 
 /// The digest of a request's method, target and body.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
 
 /// The signature of a request, the same for all its tries at all boxes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Signature([u8; LENGTH]);
+pub struct Signature([u8; LENGTH_BYTES]);
 
 impl Signature {
     /// Makes the signature of a request, with the name of the customer that sent it, or the key that
@@ -61,15 +61,15 @@
             (None, Some(credential)) => credential.add_to(&mut digest),
             (None, None) => {}
         }
-        let whole: [u8; 32] = digest.finalize().into();
-        let mut signature = [0; LENGTH];
-        signature.copy_from_slice(&whole[..LENGTH]);
+        let full: [u8; 32] = digest.finalize().into();
+        let mut signature = [0; LENGTH_BYTES];
+        signature.copy_from_slice(&full[..LENGTH_BYTES]);
         Signature(signature)
     }
 
     /// Gives the part that logs and operators see.
     pub fn short(&self) -> String {
-        hex(&self.0[..SHOWN])
+        hex(&self.0[..SHORT_LENGTH_BYTES])
     }
 
     /// Gives the whole as text, for the store alone.
@@ -79,12 +79,12 @@
 
     /// Reads the whole from text; none if it is not one.
     pub fn parse(text: &str) -> Option<Signature> {
-        if text.len() != 2 * LENGTH || !text.is_ascii() {
+        if text.len() != 2 * LENGTH_BYTES || !text.is_ascii() {
             return None;
         }
-        let mut signature = [0; LENGTH];
-        for (place, byte) in signature.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * place..2 * place + 2], 16).ok()?;
+        let mut signature = [0; LENGTH_BYTES];
+        for (index, byte) in signature.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok()?;
         }
         Some(Signature(signature))
     }
--- a/crates/hollyspoke-gateway/src/statement.rs
+++ b/crates/hollyspoke-gateway/src/statement.rs
@@ -1,11 +1,11 @@
 //! What an engine says of itself, whichever call or question brought the answer.
 
+use crate::back_off;
 use crate::intake;
-use crate::rest;
 
 /// What an engine tells of its load with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
@@ -20,13 +20,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Statement {
     /// The engine's load, if it tells.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// The requests that it takes.
     pub limit: intake::Told,
     /// Whether it is about to leave.
     pub is_leaving: bool,
     /// For how long it wants nothing from the box that had asked.
-    pub rest: rest::Told,
+    pub back_off: back_off::Reported,
     /// When the life of the engine began that says so, in milliseconds of Unix time, if it tells.
     pub born: Option<u64>,
 }
--- a/crates/hollyspoke-server/src/directory.rs
+++ b/crates/hollyspoke-server/src/directory.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use hollyspoke_gateway::event::Event;
-use hollyspoke_gateway::gateway::Held;
+use hollyspoke_gateway::gateway::HeldRequest;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -142,7 +142,7 @@
 }
 
 /// Gives a held request as operators see it.
-fn held_text(held: Held) -> HeldText {
+fn held_text(held: HeldRequest) -> HeldText {
     HeldText {
         signature: held.short,
         customer: held.customer,
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off;
 use hollyspoke_gateway::effect::Note;
 use hollyspoke_gateway::engine::Stage;
 use hollyspoke_gateway::intake::Change;
-use hollyspoke_gateway::rest;
 use hollyspoke_metrics::Exporter;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
@@ -161,13 +161,13 @@
             Note::StoreReturned { era, .. } => self.record_era(*era),
             Note::Leaving { id, .. } => self.leaving.record(1, &[engine(id)]),
             Note::HasLeft { id, .. } => self.leaving.record(0, &[engine(id)]),
-            Note::Rest { id, change: rest::Change::Begun(_) } => {
+            Note::Rest { id, change: back_off::Change::Begun(_) } => {
                 self.resting.record(1, &[engine(id)]);
             }
-            Note::Rest { id, change: rest::Change::Ended(_) } => {
+            Note::Rest { id, change: back_off::Change::Ended(_) } => {
                 self.resting.record(0, &[engine(id)]);
             }
-            Note::Rest { change: rest::Change::Unreadable, .. } => {}
+            Note::Rest { change: back_off::Change::Unreadable, .. } => {}
             Note::Ordered { .. } | Note::Census { .. } | Note::CasesRead { .. } => {}
             Note::Released { .. } | Note::Suspended(_) => {}
             Note::Listed { .. }
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -5,8 +5,8 @@
 use hollyspoke_gateway::effect::{KeptFrom, Note};
 use hollyspoke_gateway::engine::Stage;
 use hollyspoke_gateway::intake::Change;
-use hollyspoke_gateway::terms::Bar;
-use hollyspoke_gateway::{departure, rest};
+use hollyspoke_gateway::terms::Restriction;
+use hollyspoke_gateway::{back_off, departure};
 use slog::{Logger, info, o, warn};
 
 /// Writes a line.
@@ -64,9 +64,9 @@
         Note::Ended { request, customer, units, kept_from, how, after } => {
             info!(log, "request ended";
             "request" => %request, "customer" => customer.as_deref(), "units" => units,
-            "limited" => kept_by(kept_from, Bar::Limit),
-            "leaving" => kept_by(kept_from, Bar::Leaving),
-            "resting" => kept_by(kept_from, Bar::Rest),
+            "limited" => kept_by(kept_from, Restriction::RateLimit),
+            "leaving" => kept_by(kept_from, Restriction::Leaving),
+            "resting" => kept_by(kept_from, Restriction::BackOff),
             "how" => how, "after_ms" => millis(after))
         }
         Note::Peers { heard, silent, alive } => info!(log, "peers changed";
@@ -110,12 +110,12 @@
 }
 
 /// Writes a line on an engine's rest.
-fn write_rest(log: &Logger, id: &str, change: &rest::Change) {
+fn write_rest(log: &Logger, id: &str, change: &back_off::Change) {
     match change {
-        rest::Change::Begun(span) => warn!(log, "engine rests";
+        back_off::Change::Begun(span) => warn!(log, "engine rests";
             "engine" => id, "for_ms" => millis(span)),
-        rest::Change::Unreadable => warn!(log, "engine rest not read"; "engine" => id),
-        rest::Change::Ended(after) => info!(log, "engine rest ended";
+        back_off::Change::Unreadable => warn!(log, "engine rest not read"; "engine" => id),
+        back_off::Change::Ended(after) => info!(log, "engine rest ended";
             "engine" => id, "after_ms" => millis(after)),
     }
 }
@@ -129,7 +129,7 @@
 }
 
 /// Gives the engines that a request was kept from for a reason, if there are any.
-fn kept_by(kept_from: &[KeptFrom], by: Bar) -> Option<String> {
+fn kept_by(kept_from: &[KeptFrom], by: Restriction) -> Option<String> {
     let engines: Vec<_> = kept_from.iter().filter(|it| it.by == by).map(|it| &*it.engine).collect();
     (!engines.is_empty()).then(|| engines.join(" "))
 }
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off;
 use hollyspoke_gateway::effect::{Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Probe};
-use hollyspoke_gateway::rest;
 use hollyspoke_gateway::statement::Statement;
 use rand::Rng;
 
@@ -35,7 +35,7 @@
             }
         }
         let turns_away = self.random.random_bool(self.behaviour.turns_away);
-        let is_turned_away = turns_away || says.rest != rest::Told::Nothing;
+        let is_turned_away = turns_away || says.back_off != back_off::Reported::Nothing;
         let is_failed = self.random.random_bool(self.behaviour.fails);
         let is_reading = send.task == Task::Read;
         let is_free = is_reading && !is_turned_away;
--- a/tests/src/permits.rs
+++ b/tests/src/permits.rs
@@ -11,7 +11,7 @@
 use hollyspoke::rank;
 use hollyspoke::time::Time;
 use hollyspoke_gateway::engine::EngineKey;
-use hollyspoke_gateway::permit::{Holder, Issuer, PARTS, Side};
+use hollyspoke_gateway::permit::{Holder, Issuer, PART_COUNT, Side};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -354,12 +354,12 @@
         let others = (0..boxes).filter(|it| *it != number);
         let heard = others.filter(|it| self.hears(number, *it, late + 1.0)).count();
         if (1 + heard) * 2 > boxes {
-            return Side::Most;
+            return Side::Majority;
         }
         // A box knows all others once it has heard them, for a minute.
         let has_heard_all = self.now.since(self.members[number].began) > Duration::from_secs(5);
-        let first = self.order.iter().take(PARTS);
+        let first = self.order.iter().take(PART_COUNT);
         let is_heard = |it: &&usize| **it == number || self.hears(number, **it, dead);
-        Side::Parts(if has_heard_all { first.filter(is_heard).count() } else { 0 })
+        Side::Minority(if has_heard_all { first.filter(is_heard).count() } else { 0 })
     }
 }
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -16,7 +16,7 @@
     Usage,
 };
 use hollyspoke_gateway::prompt::{Kept, PromptKey};
-use hollyspoke_gateway::quarantine::{Crash, Proof, Word};
+use hollyspoke_gateway::quarantine::{Announcement, Crash, Proof};
 use hollyspoke_gateway::region::Homes;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Configuration, RouteKind, Service};
@@ -59,7 +59,7 @@
         born: Some(1_790_000_000_123),
         proof: Proof::Proven,
     };
-    let word = Word {
+    let word = Announcement {
         signature: signature(),
         epoch: 2,
         crashes: [Some(crash), None, None],
--- a/tests/src/terms.rs
+++ b/tests/src/terms.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
+use hollyspoke_gateway::back_off::Reported;
 use hollyspoke_gateway::engine::EngineKey;
-use hollyspoke_gateway::rest::Told;
 use hollyspoke_gateway::statement::Statement;
 
 use crate::needs::Sender;
@@ -106,8 +106,10 @@
         }
         let is_leaving = self.leaving.contains_key(&engine);
         let most = self.most_said.unwrap_or(Duration::MAX);
-        let rest = self.rest_left(engine, now).map_or(Told::Nothing, |it| Told::Span(it.min(most)));
-        Statement { is_leaving, rest, ..Statement::default() }
+        let back_off = self
+            .rest_left(engine, now)
+            .map_or(Reported::Nothing, |it| Reported::Duration(it.min(most)));
+        Statement { is_leaving, back_off, ..Statement::default() }
     }
 
     /// Notes that an answer has come to its box.
@@ -115,7 +117,7 @@
         if says.is_leaving && self.leaving.contains_key(&engine) {
             self.told.entry((sender, engine)).or_insert(now);
         }
-        if let Told::Span(span) = says.rest {
+        if let Reported::Duration(span) = says.back_off {
             self.asked.push(Asked { sender, engine, at: now, until: now + span });
         }
     }
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -8,15 +8,15 @@
 
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off::{MAX_DURATION, Reported};
 use hollyspoke_gateway::effect::{Effect, NotRunReason, Note, Prompt, Refusal, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::intake;
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::Request;
-use hollyspoke_gateway::rest::{LONGEST, Told};
 use hollyspoke_gateway::statement::Statement;
-use hollyspoke_gateway::terms::Bar;
+use hollyspoke_gateway::terms::Restriction;
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
     MODEL, PLAIN, World, engine, engines, only_refusal, only_send, ran, read, request, turned_away,
@@ -103,7 +103,7 @@
 
 /// Says for how long an engine wants nothing.
 fn rests(span: Duration) -> Statement {
-    Statement { rest: Told::Span(span), ..Statement::default() }
+    Statement { back_off: Reported::Duration(span), ..Statement::default() }
 }
 
 /// Gives an answer that turns a request away and asks for rest.
@@ -188,15 +188,15 @@
 /// Nothing and what can't be read change nothing; the longest that is kept is an hour.
 #[test]
 fn spans_of_all_kinds() {
-    for told in [Told::Nothing, Told::Unreadable, Told::Span(Duration::ZERO)] {
-        let says = Statement { rest: told, ..Statement::default() };
+    for told in [Reported::Nothing, Reported::Unreadable, Reported::Duration(Duration::ZERO)] {
+        let says = Statement { back_off: told, ..Statement::default() };
         assert!(!is_left_alone(&mut only_first(None), says), "{told:?}");
     }
     let mut world = only_first(None);
     assert!(is_left_alone(&mut world, rests(Duration::MAX)));
-    world.pass(LONGEST - SECOND);
+    world.pass(MAX_DURATION - SECOND);
     assert!(plain_go_to(&mut world).is_empty());
-    world.pass(LONGEST.mul_f64(SPREAD - 1.0) + SECOND);
+    world.pass(MAX_DURATION.mul_f64(SPREAD - 1.0) + SECOND);
     assert!(!plain_go_to(&mut world).is_empty());
 }
 
@@ -352,7 +352,10 @@
         _ => None,
     });
     let kept = kept.expect("it has ended");
-    assert!(kept.iter().any(|it| it.by == Bar::Rest && &*it.engine == "engine-1"), "{kept:?}");
+    assert!(
+        kept.iter().any(|it| it.by == Restriction::BackOff && &*it.engine == "engine-1"),
+        "{kept:?}"
+    );
 }
 
 /// A prompt that was read for an engine that rests meanwhile goes to another one; a kept one is taken
--- a/tests/tests/quarantine.rs
+++ b/tests/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use hollyspoke::time::Time;
 use hollyspoke_gateway::engine::{Engine, EngineKey};
 use hollyspoke_gateway::quarantine::{
-    About, Crash, Life, MOST_TOLD, Proof, Quarantine, Verdict, Word,
+    Announcement, Crash, Incarnation, MAX_ANNOUNCED, Proof, Quarantine, RequestSummary, Verdict,
 };
 use hollyspoke_gateway::signature::{Content, Signature};
 use hollyspoke_tests::gateway::{PLAIN, engine};
@@ -21,8 +21,8 @@
 }
 
 /// Gives what operators see of a request.
-fn about() -> About {
-    About { customer: None, path: "/".into() }
+fn about() -> RequestSummary {
+    RequestSummary { customer: None, path: "/".into() }
 }
 
 /// Gives an engine in a life of its own.
@@ -32,10 +32,10 @@
 
 /// Has an engine crash under a request, as a box sees it that knows all that went before.
 fn crash(quarantine: &mut Quarantine, signature: Signature, engine: &Engine, now: Time) {
-    let stand = quarantine.stand(signature);
+    let stand = quarantine.progress(signature);
     if quarantine.suspect(signature, stand, engine, about(), now) {
-        let life = Life { engine: engine.key, born: engine.born };
-        quarantine.confirm(life, Proof::Proven, now, UNIX);
+        let incarnation = Incarnation { engine: engine.key, started_at: engine.born };
+        quarantine.confirm(incarnation, Proof::Proven, now, UNIX);
     }
 }
 
@@ -44,7 +44,7 @@
 fn one_after_the_other() {
     let now = Time::from_millis(1);
     let (mut serial, mut sudden) = (Quarantine::default(), Quarantine::default());
-    let stand = sudden.stand(signature(1));
+    let stand = sudden.progress(signature(1));
     for number in 1..=3 {
         crash(&mut serial, signature(1), &alive(number, 1), now);
         sudden.suspect(signature(1), stand, &alive(number, 1), about(), now);
@@ -75,13 +75,13 @@
     let now = Time::from_millis(1);
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        let stand = quarantine.stand(signature(1));
+        let stand = quarantine.progress(signature(1));
         let engine = alive(number, 1);
         assert!(quarantine.suspect(signature(1), stand, &engine, about(), now));
-        let life = Life { engine: engine.key, born: engine.born };
-        quarantine.confirm(life, Proof::Likely, now, UNIX);
+        let incarnation = Incarnation { engine: engine.key, started_at: engine.born };
+        quarantine.confirm(incarnation, Proof::Likely, now, UNIX);
     }
-    assert_eq!(quarantine.verdict(signature(1)), Verdict::Doubted);
+    assert_eq!(quarantine.verdict(signature(1)), Verdict::Unconfirmed);
     quarantine.sweep(now + Duration::from_secs(11), UNIX + 11);
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Clear);
 }
@@ -101,12 +101,12 @@
         for engine in 1..=crashes {
             crash(&mut quarantine, signature(number), &alive(engine, 1), now);
         }
-        quarantine.see(signature(0), now, about);
+        quarantine.record_seen(signature(0), now, about);
     }
     assert!(quarantine.len() <= 2048, "{}", quarantine.len());
     assert_eq!(quarantine.verdict(signature(0)), Verdict::Held);
-    assert!(quarantine.reminder().len() <= MOST_TOLD);
-    assert!(quarantine.take_untold().len() <= MOST_TOLD);
+    assert!(quarantine.reminder().len() <= MAX_ANNOUNCED);
+    assert!(quarantine.take_unannounced().len() <= MAX_ANNOUNCED);
     assert!(quarantine.to_save(2, 256).len() <= 256);
 }
 
@@ -118,16 +118,16 @@
     for number in 1..=3 {
         crash(&mut quarantine, signature(1), &alive(number, 1), now);
     }
-    let late = quarantine.take_untold();
-    quarantine.acquit(signature(1), now);
-    let ended = quarantine.take_untold();
+    let late = quarantine.take_unannounced();
+    quarantine.close_case(signature(1), now);
+    let ended = quarantine.take_unannounced();
     for word in &late {
-        quarantine.hear(word, now, None);
+        quarantine.receive(word, now, None);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Clear);
     let mut behind = Quarantine::default();
-    for word in late.iter().chain(&quarantine.take_untold()) {
-        behind.hear(word, now, None);
+    for word in late.iter().chain(&quarantine.take_unannounced()) {
+        behind.receive(word, now, None);
     }
     assert_eq!(behind.verdict(signature(1)), Verdict::Clear);
     assert_eq!(ended.len(), 1);
@@ -155,12 +155,12 @@
 }
 
 /// Draws what a box tells of one request.
-fn word() -> impl Strategy<Value = Word> {
+fn word() -> impl Strategy<Value = Announcement> {
     let proof = prop_oneof![Just(Proof::Likely), Just(Proof::Proven)];
     let crash = (0..4u64, prop::option::of(0..3u64), proof)
         .prop_map(|(engine, born, proof)| Crash { engine: EngineKey(engine), born, proof });
     let crashes = prop::array::uniform3(prop::option::of(crash));
-    (0..3u32, crashes, UNIX..UNIX + 5).prop_map(|(epoch, crashes, at)| Word {
+    (0..3u32, crashes, UNIX..UNIX + 5).prop_map(|(epoch, crashes, at)| Announcement {
         signature: signature(1),
         epoch,
         crashes,
@@ -169,10 +169,10 @@
 }
 
 /// Has a box hear words in an order; gives what it then tells.
-fn after(words: &[Word]) -> Vec<Word> {
+fn after(words: &[Announcement]) -> Vec<Announcement> {
     let mut quarantine = Quarantine::default();
     for word in words {
-        quarantine.hear(word, Time::from_millis(1), None);
+        quarantine.receive(word, Time::from_millis(1), None);
     }
     quarantine.to_save(0, usize::MAX).into_iter().map(|it| it.0).collect()
 }
@@ -185,7 +185,7 @@
         shuffled in any::<prop::sample::Index>(),
     ) {
         // Word of a case without a crash opens none, so that one with crashes goes first.
-        let has_crash = |it: &Word| it.crashes.iter().flatten().next().is_some();
+        let has_crash = |it: &Announcement| it.crashes.iter().flatten().next().is_some();
         prop_assume!(has_crash(&words[0]));
         let mut turned = words.clone();
         let place = shuffled.index(words.len());
--- a/tests/tests/statements.rs
+++ b/tests/tests/statements.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off::Reported;
 use hollyspoke_gateway::intake;
-use hollyspoke_gateway::rest::Told;
-use hollyspoke_gateway::statement::{Statement, ToldLoad};
+use hollyspoke_gateway::statement::{ReportedLoad, Statement};
 use hollyspoke_platform::DIALECT;
 use http::{Response, StatusCode, response};
 
@@ -17,8 +17,8 @@
 }
 
 /// Reads what an answer says of rest.
-fn rest(status: u16, headers: &[(&str, &str)]) -> Told {
-    (DIALECT.read_statement)(&head(status, headers)).rest
+fn rest(status: u16, headers: &[(&str, &str)]) -> Reported {
+    (DIALECT.read_statement)(&head(status, headers)).back_off
 }
 
 #[test]
@@ -32,10 +32,10 @@
             ("X-Server-Load", "1,2,6"),
         ],
     ));
-    let load = Some(ToldLoad { running: 1, waiting: 2, slots: 6, pace: 100 });
-    let rest = Told::Span(Duration::from_secs(3));
+    let load = Some(ReportedLoad { running: 1, waiting: 2, slots: 6, pace: 100 });
+    let back_off = Reported::Duration(Duration::from_secs(3));
     let limit = intake::Told::Rate(2.5);
-    assert_eq!(says, Statement { load, limit, is_leaving: true, rest, born: None });
+    assert_eq!(says, Statement { load, limit, is_leaving: true, back_off, born: None });
 }
 
 #[test]
@@ -53,10 +53,10 @@
 fn rest_by_status() {
     let after = [("Retry-After", "1.5")];
     for status in [429, 503] {
-        assert_eq!(rest(status, &after), Told::Span(Duration::from_millis(1500)));
+        assert_eq!(rest(status, &after), Reported::Duration(Duration::from_millis(1500)));
     }
     for status in [200, 202, 301, 404, 413, 421, 500, 502] {
-        assert_eq!(rest(status, &after), Told::Nothing, "{status}");
+        assert_eq!(rest(status, &after), Reported::Nothing, "{status}");
     }
 }
 
@@ -65,13 +65,17 @@
     let spans = [("0", 0.0), ("0.25", 0.25), (" 2 ", 2.0), ("1e2", 100.0), ("-0", 0.0)];
     for (value, seconds) in spans {
         let span = Duration::from_secs_f64(seconds);
-        assert_eq!(rest(503, &[("Retry-After", value)]), Told::Span(span), "{value:?}");
+        assert_eq!(rest(503, &[("Retry-After", value)]), Reported::Duration(span), "{value:?}");
     }
     for value in ["1e300", "inf"] {
-        assert_eq!(rest(503, &[("Retry-After", value)]), Told::Span(Duration::MAX), "{value:?}");
+        assert_eq!(
+            rest(503, &[("Retry-After", value)]),
+            Reported::Duration(Duration::MAX),
+            "{value:?}"
+        );
     }
     for value in ["", "-1", "NaN", "soon", "3 s", "Thu, 99 Dec 2026 10:00:00 GMT"] {
-        assert_eq!(rest(503, &[("Retry-After", value)]), Told::Unreadable, "{value:?}");
+        assert_eq!(rest(503, &[("Retry-After", value)]), Reported::Unreadable, "{value:?}");
     }
 }
 
@@ -81,10 +85,10 @@
     let date = ("Date", "Thu, 03 Dec 2026 10:00:00 GMT");
     let until = |it| rest(503, &[date, ("Retry-After", it)]);
     let span = Duration::from_secs(90);
-    assert_eq!(until("Thu, 03 Dec 2026 10:01:30 GMT"), Told::Span(span));
-    assert_eq!(until("Thu, 03 Dec 2026 09:59:00 GMT"), Told::Span(Duration::ZERO));
+    assert_eq!(until("Thu, 03 Dec 2026 10:01:30 GMT"), Reported::Duration(span));
+    assert_eq!(until("Thu, 03 Dec 2026 09:59:00 GMT"), Reported::Duration(Duration::ZERO));
     let by_clock = rest(503, &[("Retry-After", "Fri, 01 Jan 2100 00:00:00 GMT")]);
-    assert!(matches!(by_clock, Told::Span(span) if span > Duration::from_secs(1 << 30)));
+    assert!(matches!(by_clock, Reported::Duration(span) if span > Duration::from_secs(1 << 30)));
 }
 
 #[test]
