--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -3,6 +3,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
+use crate::back_off;
 use crate::effect::{Effect, LogEvent, NotRunReason, Prompt, Source, Task};
 use crate::event::{Answer, CallEvent, Execution};
 use crate::in_flight::Call;
@@ -10,7 +11,6 @@
 use crate::message::{Load, Rejection};
 use crate::prompt::Kept;
 use crate::request::{CallKey, RequestKey};
-use crate::rest;
 
 /// The status of an answer as asked for.
 const OK: u16 = 200;
@@ -38,7 +38,7 @@
     fn call_not_connected(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.record_unreachable(&call);
-        self.judge_return(&call, false);
+        self.record_return_answer(&call, false);
         self.log_failure(&call, "not reached", 0);
         self.refund_retry(&call);
         if call.runs_request()
@@ -54,7 +54,7 @@
     fn call_began(&mut self, key: CallKey, answer: &Answer) {
         let Some(call) = self.calls.get(&key).cloned() else { return };
         self.apply_answer(&call, answer);
-        self.terms.rests.release(call.engine.key, call.sent);
+        self.terms.back_offs.release(call.engine.key, call.sent);
         self.finish_prefill(key);
         if let Some(call) = self.calls.get_mut(&key) {
             call.has_begun = true;
@@ -118,17 +118,17 @@
             self.unannounced.rejections
                 .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
         }
-        let rests = matches!(answer.statement.rest, rest::Told::Span(_));
+        let backs_off = matches!(answer.statement.back_off, back_off::Reported::Duration(_));
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.rejections += 1;
         match call.task {
             Task::Prefill => {
                 in_flight.arrivals += 1;
                 // Another engine may read for it that does not rest; one try more is worth it.
-                in_flight.prefill_failed = !rests || in_flight.rejections > 1;
+                in_flight.prefill_failed = !backs_off || in_flight.rejections > 1;
             }
             // One that rests says nothing of the prompt.
-            Task::Decode(Prompt::Prefilled(_)) if rests => {}
+            Task::Decode(Prompt::Prefilled(_)) if backs_off => {}
             Task::Decode(Prompt::Prefilled(_)) => self.prefill_handle_rejected(call.request),
             Task::Decode(_) | Task::Plain => {}
         }
@@ -185,7 +185,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.trace.mark_sent();
         let signature = in_flight.signature;
-        self.acquit(signature);
+        self.close_case(signature);
         if call.has_begun {
             self.effects.push(Effect::Finish(call.request));
             return self.end(call.request, "whole");
@@ -215,7 +215,7 @@
     fn call_broken(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.log_failure(&call, "broken", 0);
-        self.judge_return(&call, false);
+        self.record_return_answer(&call, false);
         self.record_failure(&call);
         self.suspect(&call);
         self.call_lost(&call);
@@ -249,7 +249,7 @@
     pub(super) fn take_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
         if !call.has_begun {
-            self.terms.rests.release(call.engine.key, call.sent);
+            self.terms.back_offs.release(call.engine.key, call.sent);
         }
         let urgency = self.end_urgency(&call);
         self.ledger.remove(call.engine.key, call.load, urgency);
@@ -284,14 +284,14 @@
     /// Learns from an answer: load, health (an answer that comes late counts as failed), and the
     /// rate of reading. One of another engine at the same address says nothing of this one.
     fn apply_answer(&mut self, call: &Call, answer: &Answer) {
-        if !self.is_of_this_life(call) || answer.execution == Execution::Replaced {
+        if !self.is_current_incarnation(call) || answer.execution == Execution::Replaced {
             return;
         }
         self.learn_limit(call, answer);
         self.learn_terms(call, &answer.statement);
         let now = self.now;
         let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
-        self.judge_return(call, is_good);
+        self.record_return_answer(call, is_good);
         if let Some(known) = self.directory.get_mut(call.engine.key) {
             known.told = answer.statement.load.map(|it| (it, now)).or(known.told);
             match self.in_flight.get(&call.request) {
@@ -320,7 +320,7 @@
     /// Notes that an engine failed a call.
     fn record_failure(&mut self, call: &Call) {
         let now = self.now;
-        if self.is_of_this_life(call)
+        if self.is_current_incarnation(call)
             && let Some(known) = self.directory.get_mut(call.engine.key)
         {
             known.health.fail(now);
@@ -329,7 +329,7 @@
 
     /// Notes that an engine could not be reached, or fell silent.
     pub(super) fn record_unreachable(&mut self, call: &Call) {
-        if !self.is_of_this_life(call) {
+        if !self.is_current_incarnation(call) {
             return;
         }
         let now = self.now;
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -35,7 +35,7 @@
     /// Has a request wait for room, or gives it up if no room can come.
     pub(super) fn wait_for_capacity(&mut self, key: RequestKey) {
         let Some(in_flight) = self.in_flight.get(&key) else { return };
-        if let Some(wait) = self.kept_for(in_flight) {
+        if let Some(wait) = self.blocked_for(in_flight) {
             return self.wait_or_refuse(key, wait);
         }
         if in_flight.service.staged.is_none() || !self.may_get_capacity(in_flight) {
@@ -95,8 +95,8 @@
 
     /// Refuses a request for which no room came in time.
     pub(super) fn refuse_for_capacity(&mut self, key: RequestKey) {
-        if let Some(wait) = self.in_flight.get(&key).and_then(|it| self.kept_for(it)) {
-            return self.refuse_kept(key, wait);
+        if let Some(wait) = self.in_flight.get(&key).and_then(|it| self.blocked_for(it)) {
+            return self.refuse_blocked(key, wait);
         }
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let wait = self.runs.mean(self.now).mul_f64(0.8 + 0.5 * spread);
@@ -128,7 +128,7 @@
         open.any(|it| {
             let is_able =
                 it.engine.stage == Some(Stage::Decode) && self.is_allowed_at(in_flight, it);
-            is_able && self.terms.stays(&it.engine, leaving_for, self.now)
+            is_able && self.terms.is_usable(&it.engine, leaving_for, self.now)
         })
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -29,7 +29,7 @@
         if in_flight.ends <= self.now {
             return self.time_out(key);
         }
-        if self.is_asked_in_vain(in_flight) {
+        if self.has_failed_question(in_flight) {
             return self.proceed(key);
         }
         if in_flight.waits_until.is_some_and(|it| it <= self.now) {
@@ -82,7 +82,7 @@
     pub(super) fn client_left(&mut self, key: RequestKey) {
         self.drop_call(key);
         if self.in_flight.get(&key).is_some_and(|it| !it.trace.is_sent()) {
-            self.give_units_back(key);
+            self.refund_units(key);
         }
         self.end(key, "client left");
     }
@@ -114,7 +114,7 @@
             Refusal::TimedOut => "time passed",
         };
         if matches!(refusal, Refusal::NotRun(..)) {
-            self.give_units_back(key);
+            self.refund_units(key);
         }
         self.effects.push(Effect::Refuse(key, refusal));
         self.end(key, outcome);
@@ -131,7 +131,7 @@
     /// prompt by itself.
     pub(super) fn free(&mut self, source: Option<Source>) {
         if let Some(source) = source
-            && self.takes_aside(source.engine)
+            && self.accepts_auxiliary(source.engine)
         {
             self.effects.push(Effect::Free(source));
         }
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -54,7 +54,7 @@
 
     /// Takes what a box handed over, as far as it is newer.
     pub(super) fn apply_snapshot(&mut self, provider: SocketAddr, snapshot: Snapshot) {
-        self.hear_departures(provider, &snapshot.departures);
+        self.receive_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
         self.receive_era(listed.max(snapshot.evacuation.revision.era), provider);
         self.evacuate(snapshot.evacuation);
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -126,7 +126,9 @@
                 continue;
             }
             let known = self.directory.get(change.engine);
-            let Some(known) = known.filter(|_| self.takes_aside(change.engine)) else { continue };
+            let Some(known) = known.filter(|_| self.accepts_auxiliary(change.engine)) else {
+                continue;
+            };
             let engine = known.engine.clone();
             self.stages.changes[index].phase = Phase::Sent;
             self.stages.changes[index].attempts += 1;
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -86,7 +86,7 @@
                 NO_CONFIGURATION_RETRY,
             );
         };
-        let Some(units) = self.take_units(key, &request, identity.customer.as_ref()) else {
+        let Some(units) = self.charge_units(key, &request, identity.customer.as_ref()) else {
             return;
         };
         self.earn_retries(&service);
@@ -136,7 +136,7 @@
 
     /// Sends the next call of a request, has it wait for room, or gives it up.
     pub(super) fn proceed(&mut self, key: RequestKey) {
-        if !self.check_again(key) {
+        if !self.recheck_key(key) {
             return;
         }
         if !self.may_run(key) {
@@ -149,7 +149,7 @@
         if let Some(until) = self.survey_wait_until(in_flight) {
             return self.wait_for_survey(key, until);
         }
-        self.note_kept_away(key);
+        self.record_exclusions(key);
         let Some(next) = self.next_permitted(key) else { return };
         let Some(in_flight) = self.in_flight.get(&key) else { return };
         let is_retry = in_flight.arrivals > 0;
@@ -178,10 +178,10 @@
                 self.refuse_overloaded(key, wait);
                 return None;
             }
-            match self.seek_permit(key, next.choice.engine.key) {
-                Leave::Given => return Some(next),
-                Leave::Awaited => return None,
-                Leave::Refused => {}
+            match self.acquire_permit(key, next.choice.engine.key) {
+                Permission::Granted => return Some(next),
+                Permission::Pending => return None,
+                Permission::Refused => {}
             }
         }
     }
@@ -233,7 +233,7 @@
         self.unreserve(key);
         self.reserve(key, next.decode_engine);
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
-        let stand = self.quarantine.stand(in_flight.signature);
+        let stand = self.quarantine.progress(in_flight.signature);
         let NextCall { task, choice, .. } = next;
         in_flight.waits_until = None;
         in_flight.waits_for_permit = false;
@@ -267,7 +267,7 @@
         let engine = choice.engine.clone();
         self.note_cold(engine.key);
         self.permits.held.take(engine.key, now);
-        self.terms.rests.send(engine.key);
+        self.terms.back_offs.record_send(engine.key);
         self.ledger.add(engine.key, load);
         if matches!(task, Task::Decode(_)) {
             self.runs.begin(now);
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -183,7 +183,7 @@
         let routes = configuration.route_count();
         self.log(LogEvent::Configured { version: configuration.version, routes });
         self.configuration = Some(configuration);
-        self.take_customers();
+        self.apply_customers();
         self.schedule_heartbeat();
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -93,7 +93,7 @@
         let mut nodes = self.members.alive();
         nodes.push(self.settings.peer);
         let own = address_hash(&self.settings.peer);
-        let engines = self.directory.all().filter(|it| self.takes_aside(it.engine.key));
+        let engines = self.directory.all().filter(|it| self.accepts_auxiliary(it.engine.key));
         let generators = engines.filter(|it| it.engine.stage == Some(Stage::Decode));
         let is_assigned =
             |engine: EngineKey| rank::first(engine.0, nodes.iter().map(address_hash)) == Some(own);
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off;
 use hollyspoke_gateway::effect::LogEvent;
 use hollyspoke_gateway::engine::Stage;
 use hollyspoke_gateway::rate_limit::Change;
-use hollyspoke_gateway::rest;
 use hollyspoke_metrics::Exporter;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
@@ -168,13 +168,13 @@
             LogEvent::StoreReturned { era, .. } => self.record_era(*era),
             LogEvent::ShuttingDown { id, .. } => self.leaving.record(1, &[engine(id)]),
             LogEvent::ShutDown { id, .. } => self.leaving.record(0, &[engine(id)]),
-            LogEvent::BackOff { id, change: rest::Change::Begun(_) } => {
+            LogEvent::BackOff { id, change: back_off::Change::Begun(_) } => {
                 self.resting.record(1, &[engine(id)]);
             }
-            LogEvent::BackOff { id, change: rest::Change::Ended(_) } => {
+            LogEvent::BackOff { id, change: back_off::Change::Ended(_) } => {
                 self.resting.record(0, &[engine(id)]);
             }
-            LogEvent::BackOff { change: rest::Change::Unreadable, .. } => {}
+            LogEvent::BackOff { change: back_off::Change::Unreadable, .. } => {}
             LogEvent::Ordered { .. } | LogEvent::Census { .. } | LogEvent::CasesRead { .. } => {}
             LogEvent::Released { .. } | LogEvent::Suspended(_) => {}
             LogEvent::Listed { .. }
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -5,8 +5,8 @@
 use hollyspoke_gateway::effect::{Exclusion, LogEvent};
 use hollyspoke_gateway::engine::Stage;
 use hollyspoke_gateway::rate_limit::Change;
-use hollyspoke_gateway::terms::Bar;
-use hollyspoke_gateway::{departure, rest};
+use hollyspoke_gateway::terms::Restriction;
+use hollyspoke_gateway::{back_off, departure};
 use slog::{Logger, info, o, warn};
 
 /// Writes a line.
@@ -68,9 +68,9 @@
         LogEvent::Ended { request, customer, units, exclusions, outcome, after } => {
             info!(log, "request ended";
             "request" => %request, "customer" => customer.as_deref(), "units" => units,
-            "limited" => kept_by(exclusions, Bar::Limit),
-            "leaving" => kept_by(exclusions, Bar::Leaving),
-            "resting" => kept_by(exclusions, Bar::Rest),
+            "limited" => kept_by(exclusions, Restriction::RateLimit),
+            "leaving" => kept_by(exclusions, Restriction::Leaving),
+            "resting" => kept_by(exclusions, Restriction::BackOff),
             "how" => outcome, "after_ms" => millis(after))
         }
         LogEvent::Peers { heard, silent, alive } => info!(log, "peers changed";
@@ -118,12 +118,12 @@
 }
 
 /// Writes a line on an engine's rest.
-fn write_rest(log: &Logger, id: &str, change: &rest::Change) {
+fn write_rest(log: &Logger, id: &str, change: &back_off::Change) {
     match change {
-        rest::Change::Begun(span) => warn!(log, "engine rests";
+        back_off::Change::Begun(span) => warn!(log, "engine rests";
             "engine" => id, "for_ms" => millis(span)),
-        rest::Change::Unreadable => warn!(log, "engine rest not read"; "engine" => id),
-        rest::Change::Ended(after) => info!(log, "engine rest ended";
+        back_off::Change::Unreadable => warn!(log, "engine rest not read"; "engine" => id),
+        back_off::Change::Ended(after) => info!(log, "engine rest ended";
             "engine" => id, "after_ms" => millis(after)),
     }
 }
@@ -137,7 +137,7 @@
 }
 
 /// Gives the engines that a request was kept from for a reason, if there are any.
-fn kept_by(exclusions: &[Exclusion], by: Bar) -> Option<String> {
+fn kept_by(exclusions: &[Exclusion], by: Restriction) -> Option<String> {
     let engines: Vec<_> =
         exclusions.iter().filter(|it| it.reason == by).map(|it| &*it.engine).collect();
     (!engines.is_empty()).then(|| engines.join(" "))
