--- a/crates/hollyspoke-gateway/src/cold.rs
+++ b/crates/hollyspoke-gateway/src/cold.rs
@@ -20,7 +20,7 @@
 
 /// The least time between two requests of a box to a cold engine where not every box may send to
 /// it: a little over a second, so that no second holds two.
-const PAUSE: Duration = Duration::from_millis(1050);
+const MIN_INTERVAL: Duration = Duration::from_millis(1050);
 
 /// The boxes that share what cold engines bear.
 #[derive(Debug, Clone, Copy)]
@@ -33,25 +33,25 @@
 
 /// When this box last sent to each cold engine.
 #[derive(Debug, Clone, Default)]
-pub struct Turns {
+pub struct SendTimes {
     /// The times.
     sent: HashMap<EngineKey, Time>,
 }
 
-impl Turns {
+impl SendTimes {
     /// Tells whether a box may send a request to a cold engine that bears so many a second.
     pub fn may_send(&self, engine: EngineKey, rate: f64, part: Part, now: Time) -> bool {
         let share = rate * USED_SHARE / part.boxes.max(1) as f64;
         if draw(engine, part.number) >= share {
             return false;
         }
-        let pause = PAUSE.div_f64(share.max(1.0));
-        self.sent.get(&engine).is_none_or(|&it| now.since(it) >= pause)
+        let interval = MIN_INTERVAL.div_f64(share.max(1.0));
+        self.sent.get(&engine).is_none_or(|&it| now.since(it) >= interval)
     }
 
     /// Notes that a request was sent to a cold engine.
-    pub fn note(&mut self, engine: EngineKey, now: Time) {
-        self.sent.retain(|_, it| now.since(*it) < PAUSE);
+    pub fn record(&mut self, engine: EngineKey, now: Time) {
+        self.sent.retain(|_, it| now.since(*it) < MIN_INTERVAL);
         self.sent.insert(engine, now);
     }
 }
--- a/crates/hollyspoke-gateway/src/demand.rs
+++ b/crates/hollyspoke-gateway/src/demand.rs
@@ -9,10 +9,10 @@
 
 /// The time in which a request's part in the mean falls to a third. Long enough for some tens of
 /// requests, short enough to follow a load that shifts before it has passed.
-pub const MEMORY: Duration = Duration::from_secs(6);
+pub const DECAY_TIME: Duration = Duration::from_secs(6);
 
 /// The shortest time that a mean is taken over.
-const LEAST_AGE: Duration = Duration::from_millis(500);
+const MIN_AGE: Duration = Duration::from_millis(500);
 
 /// The requests of one service that arrived of late.
 #[derive(Debug, Clone, Copy, Default)]
@@ -31,9 +31,9 @@
 
 impl Meter {
     /// Adds a request.
-    pub fn arrive(&mut self, tokens: u64, held: u64, now: Time) {
+    pub fn record(&mut self, tokens: u64, held: u64, now: Time) {
         self.first.get_or_insert(now);
-        self.fade(now);
+        self.decay(now);
         self.reading += tokens as f64;
         self.held += held as f64;
         self.requests += 1.0;
@@ -41,22 +41,22 @@
 
     /// Gives what is asked of late, if a run holds its memory for `run` on the mean.
     pub fn demand(&mut self, now: Time, run: Duration) -> Demand {
-        self.fade(now);
+        self.decay(now);
         let Some(first) = self.first else { return Demand::default() };
-        let age = now.since(first).max(LEAST_AGE).as_secs_f64();
-        let memory = MEMORY.as_secs_f64();
+        let age = now.since(first).max(MIN_AGE).as_secs_f64();
+        let decay_s = DECAY_TIME.as_secs_f64();
         // The sums of a meter that is younger than its memory are not full yet.
-        let span = memory * (1.0 - (-age / memory).exp());
+        let window_s = decay_s * (1.0 - (-age / decay_s).exp());
         Demand {
-            reading: (self.reading / span) as u32,
-            held: (self.held / span * run.as_secs_f64()) as u32,
+            reading: (self.reading / window_s) as u32,
+            held: (self.held / window_s * run.as_secs_f64()) as u32,
             requests: self.requests as u32,
         }
     }
 
     /// Lets the sums fade up to a time.
-    fn fade(&mut self, now: Time) {
-        let share = (-now.since(self.updated).as_secs_f64() / MEMORY.as_secs_f64()).exp();
+    fn decay(&mut self, now: Time) {
+        let share = (-now.since(self.updated).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.updated = now;
         self.reading *= share;
         self.held *= share;
@@ -65,7 +65,7 @@
 }
 
 /// The length of a run that is assumed before any has ended, and how many ended runs that is worth.
-const FIRST_RUN: (Duration, f64) = (Duration::from_secs(2), 2.0);
+const INITIAL_RUN: (Duration, f64) = (Duration::from_secs(2), 2.0);
 
 /// How long runs hold their memory: the runs that were under way of late, over those that ended.
 ///
@@ -76,7 +76,7 @@
     /// The runs that are under way.
     running: u32,
     /// The time that runs have taken, in seconds.
-    taken: f64,
+    busy_s: f64,
     /// The runs that have ended.
     ended: f64,
     /// When the sums were last brought up to date.
@@ -85,9 +85,9 @@
 
 impl Default for Runs {
     fn default() -> Runs {
-        let (span, count) = FIRST_RUN;
-        let taken = span.as_secs_f64() * count;
-        Runs { running: 0, taken, ended: count, updated: Time::ZERO }
+        let (duration, count) = INITIAL_RUN;
+        let busy_s = duration.as_secs_f64() * count;
+        Runs { running: 0, busy_s, ended: count, updated: Time::ZERO }
     }
 }
 
@@ -108,22 +108,22 @@
     /// Gives how long a run holds its memory, in the mean.
     pub fn mean(&mut self, now: Time) -> Duration {
         self.advance(now);
-        let (span, count) = FIRST_RUN;
+        let (duration, count) = INITIAL_RUN;
         // What was assumed at the start counts less and less, but never not at all.
-        let taken = self.taken + span.as_secs_f64() * count * LAST_SHARE;
-        Duration::from_secs_f64(taken / (self.ended + count * LAST_SHARE))
+        let busy_s = self.busy_s + duration.as_secs_f64() * count * INITIAL_RUN_SHARE;
+        Duration::from_secs_f64(busy_s / (self.ended + count * INITIAL_RUN_SHARE))
     }
 
     /// Brings the sums up to a time.
     fn advance(&mut self, now: Time) {
-        let memory = MEMORY.as_secs_f64();
-        let share = (-now.since(self.updated).as_secs_f64() / memory).exp();
+        let decay_s = DECAY_TIME.as_secs_f64();
+        let share = (-now.since(self.updated).as_secs_f64() / decay_s).exp();
         self.updated = now;
-        self.taken = self.taken * share + f64::from(self.running) * memory * (1.0 - share);
+        self.busy_s = self.busy_s * share + f64::from(self.running) * decay_s * (1.0 - share);
         self.ended *= share;
     }
 }
 
 /// The share of what is assumed at the start that goes on counting, so that a box without runs
 /// still has a mean.
-const LAST_SHARE: f64 = 0.1;
+const INITIAL_RUN_SHARE: f64 = 0.1;
--- a/crates/hollyspoke-gateway/src/departure.rs
+++ b/crates/hollyspoke-gateway/src/departure.rs
@@ -12,36 +12,36 @@
 
 /// How long it is kept that an engine leaves after it was last listed: longer than an entry of the
 /// same life may come late, from a box that was cut off.
-const KEPT_FOR: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 /// For how long each box that an engine has told itself repeats it to the others: some heartbeats, of
 /// which a few may be lost.
-const REPEATED_FOR: Duration = Duration::from_secs(4);
+const REPEAT_DURATION: Duration = Duration::from_secs(4);
 
 /// The leaving of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
     /// The life of the engine that leaves; any, if it does not tell.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// When this box learnt it.
-    learnt: Time,
+    received_at: Time,
     /// For how long it was known then.
     age: Duration,
     /// Whether the engine has told this box itself.
-    is_own: bool,
+    is_direct: bool,
     /// When the engine was last listed.
     listed: Time,
     /// Whether that life has ended.
-    is_over: bool,
+    has_ended: bool,
 }
 
 /// What a box tells of an engine that leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct Announcement {
     /// The engine.
     pub engine: EngineKey,
     /// The life of the engine that leaves, if it tells.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// For how long it is known, in milliseconds.
     pub age_ms: u32,
 }
@@ -52,7 +52,7 @@
     /// The engine is not listed any more.
     Gone,
     /// A later life of it is listed.
-    Reborn,
+    Restarted,
 }
 
 /// A departure that has ended.
@@ -75,57 +75,57 @@
 
 impl Table {
     /// Learns from an engine's own answer that a life of it leaves; tells whether that is news.
-    pub fn learn(&mut self, engine: EngineKey, born: Option<u64>, now: Time) -> bool {
-        self.note(
+    pub fn record_own(&mut self, engine: EngineKey, started_at: Option<u64>, now: Time) -> bool {
+        self.record(
             engine,
-            Departure { is_own: true, ..Departure::new(born, Duration::ZERO, now) },
+            Departure { is_direct: true, ..Departure::new(started_at, Duration::ZERO, now) },
             now,
         )
     }
 
     /// Takes what another box tells; tells whether that is news.
-    pub fn hear(&mut self, word: &Word, now: Time) -> bool {
-        let Word { engine, born, age_ms } = *word;
+    pub fn receive(&mut self, announcement: &Announcement, now: Time) -> bool {
+        let Announcement { engine, started_at, age_ms } = *announcement;
         let age = Duration::from_millis(u64::from(age_ms));
-        self.note(engine, Departure::new(born, age, now), now)
+        self.record(engine, Departure::new(started_at, age, now), now)
     }
 
     /// Takes a departure, if it is of a later life than the one that is known.
-    fn note(&mut self, engine: EngineKey, heard: Departure, now: Time) -> bool {
+    fn record(&mut self, engine: EngineKey, received: Departure, now: Time) -> bool {
         match self.departures.get_mut(&engine) {
-            Some(known) if known.born > heard.born => false,
-            Some(known) if known.born == heard.born => {
-                known.is_own |= heard.is_own;
-                if heard.age(now) > known.age(now) {
-                    (known.learnt, known.age) = (heard.learnt, heard.age);
+            Some(known) if known.started_at > received.started_at => false,
+            Some(known) if known.started_at == received.started_at => {
+                known.is_direct |= received.is_direct;
+                if received.age(now) > known.age(now) {
+                    (known.received_at, known.age) = (received.received_at, received.age);
                 }
                 false
             }
             _ => {
-                self.departures.insert(engine, heard);
+                self.departures.insert(engine, received);
                 true
             }
         }
     }
 
     /// Gives what there is to tell of an engine that leaves.
-    pub fn word(&self, engine: EngineKey, now: Time) -> Option<Word> {
-        let departure = self.departures.get(&engine).filter(|it| !it.is_over)?;
+    pub fn announcement(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
+        let departure = self.departures.get(&engine).filter(|it| !it.has_ended)?;
         let age_ms = u32::try_from(departure.age(now).as_millis()).unwrap_or(u32::MAX);
-        Some(Word { engine, born: departure.born, age_ms })
+        Some(Announcement { engine, started_at: departure.started_at, age_ms })
     }
 
     /// Tells whether an engine has told this box itself, a short time ago, that it leaves: what was told
     /// to the others then may not have come to the box that repeats it.
     pub fn is_fresh(&self, engine: EngineKey, now: Time) -> bool {
         let departure = self.departures.get(&engine);
-        departure.is_some_and(|it| it.is_own && it.age(now) < REPEATED_FOR)
+        departure.is_some_and(|it| it.is_direct && it.age(now) < REPEAT_DURATION)
     }
 
     /// Gives the leaving of an engine in the life that is listed, if it leaves.
     pub fn of(&self, engine: &Engine) -> Option<Departure> {
         let departure = self.departures.get(&engine.key)?;
-        departure.covers(engine.born).then_some(*departure)
+        departure.covers(engine.started_at).then_some(*departure)
     }
 
     /// Tells whether no engine is known to leave.
@@ -135,7 +135,7 @@
 
     /// Goes over the engines that leave.
     pub fn engines(&self) -> impl Iterator<Item = EngineKey> {
-        self.departures.iter().filter(|(_, it)| !it.is_over).map(|(&it, _)| it)
+        self.departures.iter().filter(|(_, it)| !it.has_ended).map(|(&it, _)| it)
     }
 
     /// Gives the departures that have ended, by the engines as they are listed, and forgets those that
@@ -149,37 +149,44 @@
         for (&engine, departure) in &mut self.departures {
             let entry = listed(engine);
             let end = match entry {
-                Some(entry) if departure.covers(entry.born) => {
+                Some(entry) if departure.covers(entry.started_at) => {
                     departure.listed = now;
-                    departure.is_over = false;
+                    departure.has_ended = false;
                     continue;
                 }
-                Some(_) => End::Reborn,
+                Some(_) => End::Restarted,
                 None => End::Gone,
             };
-            if !departure.is_over {
-                departure.is_over = true;
+            if !departure.has_ended {
+                departure.has_ended = true;
                 ended.push(Ended { engine, end, age: departure.age(now) });
             }
         }
-        self.departures.retain(|_, it| now.since(it.listed) < KEPT_FOR);
+        self.departures.retain(|_, it| now.since(it.listed) < RETENTION);
         ended
     }
 }
 
 impl Departure {
     /// Makes the departure of a life that another box has known for a time.
-    fn new(born: Option<u64>, age: Duration, now: Time) -> Departure {
-        Departure { born, learnt: now, age, is_own: false, listed: now, is_over: false }
+    fn new(started_at: Option<u64>, age: Duration, now: Time) -> Departure {
+        Departure {
+            started_at,
+            received_at: now,
+            age,
+            is_direct: false,
+            listed: now,
+            has_ended: false,
+        }
     }
 
     /// Gives for how long it is known.
     pub fn age(&self, now: Time) -> Duration {
-        self.age + now.since(self.learnt)
+        self.age + now.since(self.received_at)
     }
 
     /// Tells whether it is of a life that is listed, or of a later one.
     fn covers(&self, listed: Option<u64>) -> bool {
-        self.born.is_none() || self.born >= listed
+        self.started_at.is_none() || self.started_at >= listed
     }
 }
--- a/crates/hollyspoke-gateway/src/directory.rs
+++ b/crates/hollyspoke-gateway/src/directory.rs
@@ -23,33 +23,33 @@
 use index::Index;
 
 /// The rate at which a prompt is read before any was measured, in tokens a millisecond.
-const FIRST_READING_RATE: f64 = 30.0;
+const INITIAL_PREFILL_RATE_TOKENS_PER_MS: f64 = 30.0;
 
 /// The weight of the newest measurement of a rate.
-const NEWEST: f64 = 0.3;
+const SAMPLE_WEIGHT: f64 = 0.3;
 
 /// The weights of a measurement above and below what a reader is taken to be able to read. Most
 /// measurements are too low, since they include the wait for work of others that was not known.
-const FAST: (f64, f64) = (0.2, 0.02);
+const BEST_RATE_WEIGHTS: (f64, f64) = (0.2, 0.02);
 
 /// How long an engine's own measurements are preferred to those of its whole service.
-const MEASUREMENT_LIFE: Duration = Duration::from_secs(8);
+const MEASUREMENT_TTL: Duration = Duration::from_secs(8);
 
 /// What is known of one engine.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct Record {
     /// The engine as listed.
     pub engine: Arc<Engine>,
     /// What its answers tell of its health.
     pub health: Health,
     /// The load that it last told, and when.
-    pub told: Option<(ToldLoad, Time)>,
+    pub reported_load: Option<(ToldLoad, Time)>,
     /// Its measured rate of reading, in tokens a millisecond, and when it was measured.
     rate: Option<(f64, Time)>,
     /// Whether another incarnation answered at its address.
     is_replaced: bool,
     /// The request that it last turned away, and when.
-    turned_away: Option<(u32, Time)>,
+    rejected: Option<(u32, Time)>,
     /// Set if its entry was missing after the store had been away: until when it may come back.
     missing_until: Option<Time>,
     /// The stage that it changes to, and until when that is counted on.
@@ -61,40 +61,41 @@
     /// Until when it is cold after its start.
     cold_until: Option<Time>,
     /// Until when its entry may be that of an engine that has left, from an older copy of the store.
-    doubted_until: Option<Time>,
+    unconfirmed_until: Option<Time>,
 }
 
 /// How long an engine with a stage is passed over that says that a call was not meant for it: its
 /// entry shows a new stage within about a heartbeat of the engines, 1.2 s on the users' sites.
-const MISDIRECTED_FOR: Duration = Duration::from_millis(1500);
+const MISDIRECTED_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// How long an entry is doubted that an older copy of the store has and that had gone: it lapses after
 /// three heartbeats of its engine, 3.6 s on the users' sites, unless that lives.
-const DOUBTED_FOR: Duration = Duration::from_secs(5);
+const UNCONFIRMED_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long an engine that turned a request away is taken to have no room.
-const FULL_FOR: Duration = Duration::from_millis(200);
+const FULL_INTERVAL: Duration = Duration::from_millis(200);
 
-impl Known {
+impl Record {
     /// Notes that the engine turned a request away that would have held some tokens.
-    pub fn turn_away(&mut self, held: u32, now: Time) {
-        let smallest = match self.turned_away {
-            Some((known, at)) if now.since(at) < FULL_FOR => known.min(held),
+    pub fn record_rejection(&mut self, held: u32, now: Time) {
+        let smallest = match self.rejected {
+            Some((known, at)) if now.since(at) < FULL_INTERVAL => known.min(held),
             _ => held,
         };
-        self.turned_away = Some((smallest, now));
+        self.rejected = Some((smallest, now));
     }
 
     /// Tells whether the engine has of late turned away a request that held as much, or less.
     pub fn is_full(&self, held: u64, now: Time) -> bool {
-        self.turned_away
-            .is_some_and(|(smallest, at)| now.since(at) < FULL_FOR && held >= u64::from(smallest))
+        self.rejected.is_some_and(|(smallest, at)| {
+            now.since(at) < FULL_INTERVAL && held >= u64::from(smallest)
+        })
     }
 
     /// Notes that the engine's entry is missing, and until when it may come back.
-    fn miss_until(self, until: Time) -> Known {
+    fn mark_missing(self, until: Time) -> Record {
         let until = self.missing_until.map_or(until, |it| it.min(until));
-        Known { missing_until: Some(until), ..self }
+        Record { missing_until: Some(until), ..self }
     }
 
     /// Tells whether its entry is missing and may come back.
@@ -116,7 +117,7 @@
     pub fn is_open(&self, now: Time) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|it| now < it);
         !self.engine.is_draining
-            && !self.is_doubted(now)
+            && !self.is_unconfirmed(now)
             && !self.is_replaced
             && !self.is_evacuated
             && !is_misdirected
@@ -124,8 +125,8 @@
     }
 
     /// Tells whether its entry may be that of an engine that has left.
-    pub fn is_doubted(&self, now: Time) -> bool {
-        self.doubted_until.is_some_and(|it| now < it)
+    pub fn is_unconfirmed(&self, now: Time) -> bool {
+        self.unconfirmed_until.is_some_and(|it| now < it)
     }
 
     /// Gives the stage that the engine changes to, while it does.
@@ -134,7 +135,7 @@
     }
 
     /// Gives the stage that the engine has, or will have soon.
-    pub fn coming_stage(&self, now: Time) -> Option<Stage> {
+    pub fn next_stage(&self, now: Time) -> Option<Stage> {
         self.switching(now).or(self.engine.stage)
     }
 }
@@ -143,7 +144,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     /// The engines by key.
-    engines: BTreeMap<EngineKey, Known>,
+    engines: BTreeMap<EngineKey, Record>,
     /// The same by what they are looked up by.
     index: Index,
     /// The rate of reading measured over a service's engines, by stage.
@@ -176,7 +177,7 @@
     ///
     /// The lists at the beginning of a later era may be older than what is known. Engines that have
     /// left and are in one are doubted for a time, and one that is about to leave does not stay.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         engines: Vec<Engine>,
         revision: Revision,
@@ -190,7 +191,8 @@
         let from = self.complete;
         let enters = self.enter_era(revision, now);
         let is_copy = self.entered.is_some_and(|(_, until)| now < until);
-        let engines: Vec<_> = engines.into_iter().map(|it| self.held(it, is_copy)).collect();
+        let engines: Vec<_> =
+            engines.into_iter().map(|it| self.keep_draining(it, is_copy)).collect();
         let changes = self.difference(&engines, revision);
         if is_first {
             self.history.begin(revision);
@@ -206,16 +208,16 @@
         self.index = Index::default();
         for engine in engines {
             let known = old.remove(&engine.key);
-            self.renew(known, engine, is_copy, now);
+            self.merge(known, engine, is_copy, now);
         }
         for known in old.into_values() {
             match missing_until.filter(|_| !known.engine.is_draining) {
-                Some(until) => self.insert(known.miss_until(until)),
-                None => self.depart(&known, now),
+                Some(until) => self.insert(known.mark_missing(until)),
+                None => self.record_departure(&known, now),
             }
         }
-        self.find_replaced();
-        self.plan_removal();
+        self.mark_all_replaced();
+        self.update_next_removal();
         Some(changes)
     }
 
@@ -224,16 +226,16 @@
         if self.complete == Revision::default() || revision.era <= self.complete.era {
             return false;
         }
-        self.entered = Some((revision, now + DOUBTED_FOR));
+        self.entered = Some((revision, now + UNCONFIRMED_INTERVAL));
         true
     }
 
     /// Gives an entry as it holds: one from an older copy of the store does not take back that its
     /// engine leaves.
-    fn held(&self, engine: Engine, is_copy: bool) -> Engine {
+    fn keep_draining(&self, engine: Engine, is_copy: bool) -> Engine {
         let known = self.engines.get(&engine.key).filter(|_| is_copy);
         let leaves =
-            known.is_some_and(|it| it.engine.is_draining && it.engine.is_same_life(&engine));
+            known.is_some_and(|it| it.engine.is_draining && it.engine.is_same_incarnation(&engine));
         Engine { is_draining: engine.is_draining || leaves, ..engine }
     }
 
@@ -266,7 +268,7 @@
     }
 
     /// Notes that nothing is missing up to a revision.
-    pub fn reach(&mut self, revision: Revision, now: Time) {
+    pub fn mark_complete(&mut self, revision: Revision, now: Time) {
         let from = self.complete;
         if self.enter_era(revision, now) {
             self.changed = Some(revision);
@@ -276,25 +278,25 @@
     }
 
     /// Takes one engine's change; tells whether it was newer than what is known.
-    pub fn change(&mut self, engine: Engine, revision: Revision, now: Time) -> bool {
+    pub fn apply_change(&mut self, engine: Engine, revision: Revision, now: Time) -> bool {
         if !self.advance(revision, now) {
             return false;
         }
         // Those of this revision lead to the list with which the era began.
         let is_copy = self.entered.is_some_and(|(entered, _)| entered == revision);
-        let engine = self.held(engine, is_copy);
+        let engine = self.keep_draining(engine, is_copy);
         self.history.add(EngineChange::Put(engine.clone(), revision));
         let known = self.take(engine.key);
         if known.is_none() {
-            self.replace_at(engine.address, engine.born);
+            self.mark_replaced_at(engine.address, engine.started_at);
         }
-        self.renew(known, engine, is_copy, now);
+        self.merge(known, engine, is_copy, now);
         true
     }
 
     /// Removes an engine; tells whether it was there. One that was not about to leave stays until
     /// `missing_until`, if that is given.
-    pub fn leave(
+    pub fn remove(
         &mut self,
         id: &str,
         revision: Revision,
@@ -307,8 +309,8 @@
         self.history.add(EngineChange::Left(id.into(), revision));
         let Some(known) = self.take(EngineKey::of(id)) else { return false };
         match missing_until.filter(|_| !known.engine.is_draining) {
-            Some(until) => self.insert(known.miss_until(until)),
-            None => self.depart(&known, now),
+            Some(until) => self.insert(known.mark_missing(until)),
+            None => self.record_departure(&known, now),
         }
         true
     }
@@ -320,13 +322,13 @@
     }
 
     /// Notes that an engine's entry is gone.
-    fn depart(&mut self, known: &Known, now: Time) {
-        self.departures.note(&known.engine, now);
-        self.end(known);
+    fn record_departure(&mut self, known: &Record, now: Time) {
+        self.departures.record(&known.engine, now);
+        self.record_end(known);
     }
 
     /// Notes that an engine has ended, unless that was announced.
-    fn end(&mut self, known: &Known) {
+    fn record_end(&mut self, known: &Record) {
         if !known.engine.is_draining {
             self.ended.push(known.engine.clone());
         }
@@ -335,34 +337,34 @@
     /// Joins what was known of an engine with its newest entry. A new life of it begins with
     /// nothing known; an entry of an earlier life, written late, changes nothing. One from an older
     /// copy of the store is doubted if its engine has left.
-    fn renew(&mut self, known: Option<Known>, engine: Engine, is_copy: bool, now: Time) {
+    fn merge(&mut self, known: Option<Record>, engine: Engine, is_copy: bool, now: Time) {
         let known = match known {
-            Some(known) if known.engine.is_reborn(&engine) => {
-                self.end(&known);
+            Some(known) if known.engine.is_superseded_by(&engine) => {
+                self.record_end(&known);
                 None
             }
-            Some(known) if engine.is_reborn(&known.engine) => {
-                return self.insert(Known { missing_until: None, ..known });
+            Some(known) if engine.is_superseded_by(&known.engine) => {
+                return self.insert(Record { missing_until: None, ..known });
             }
             known => known,
         };
         let is_evacuated = self.evacuated.contains(&engine.data_centre);
         let is_new = known.is_none();
-        let doubted_until = match (is_copy, self.entered) {
+        let unconfirmed_until = match (is_copy, self.entered) {
             (true, Some((_, until))) if is_new && self.departures.includes(&engine, now) => {
                 Some(until)
             }
-            (true, _) => known.as_ref().and_then(|it| it.doubted_until),
+            (true, _) => known.as_ref().and_then(|it| it.unconfirmed_until),
             (false, _) => None,
         };
-        let known = renew(known, engine, now);
-        self.insert(Known { is_evacuated, doubted_until, ..known });
+        let known = merge(known, engine, now);
+        self.insert(Record { is_evacuated, unconfirmed_until, ..known });
     }
 
     /// Notes that a new engine has an address; the one that had it has ended, unless it began later.
-    fn replace_at(&mut self, address: SocketAddr, born: Option<u64>) {
-        let is_ended = |it: &Known| {
-            let is_later = it.engine.born > born && born.is_some();
+    fn mark_replaced_at(&mut self, address: SocketAddr, started_at: Option<u64>) {
+        let is_ended = |it: &Record| {
+            let is_later = it.engine.started_at > started_at && started_at.is_some();
             !it.is_replaced && !is_later
         };
         for key in self.index.at(address).to_vec() {
@@ -370,20 +372,22 @@
             let Some(known) = known else { continue };
             known.is_replaced = true;
             let known = known.clone();
-            self.end(&known);
+            self.record_end(&known);
         }
     }
 
     /// Finds, in a list, the engines whose address another one has that began later.
-    fn find_replaced(&mut self) {
+    fn mark_all_replaced(&mut self) {
         let mut newest: HashMap<SocketAddr, (u64, EngineKey)> = HashMap::new();
         let mut replaced = Vec::new();
         for (&key, known) in &self.engines {
-            let Some(born) = known.engine.born.filter(|_| !known.is_replaced) else { continue };
-            let first = newest.entry(known.engine.address).or_insert((born, key));
+            let Some(started_at) = known.engine.started_at.filter(|_| !known.is_replaced) else {
+                continue;
+            };
+            let first = newest.entry(known.engine.address).or_insert((started_at, key));
             if first.1 != key {
-                replaced.push(if born > first.0 {
-                    std::mem::replace(first, (born, key)).1
+                replaced.push(if started_at > first.0 {
+                    std::mem::replace(first, (started_at, key)).1
                 } else {
                     key
                 });
@@ -393,7 +397,7 @@
             let Some(known) = self.engines.get_mut(&key) else { continue };
             known.is_replaced = true;
             let known = known.clone();
-            self.end(&known);
+            self.record_end(&known);
         }
     }
 
@@ -402,12 +406,12 @@
         if self.next_removal.is_none_or(|it| now < it) {
             return Vec::new();
         }
-        let is_gone = |it: &Known| it.missing_until.is_some_and(|until| until <= now);
+        let is_gone = |it: &Record| it.missing_until.is_some_and(|until| until <= now);
         let missing = self.index.missing().filter_map(|it| self.engines.get(&it));
         let gone: Vec<_> = missing.filter(|it| is_gone(it)).map(|it| it.engine.clone()).collect();
         self.ended.extend(gone.iter().cloned());
         for engine in &gone {
-            self.departures.note(engine, now);
+            self.departures.record(engine, now);
             self.take(engine.key);
         }
         gone
@@ -420,10 +424,10 @@
 
     /// Notes that an engine said that a call was not meant for it: another incarnation has its
     /// address, or it has another stage than its entry tells.
-    pub fn replace(&mut self, engine: EngineKey, now: Time) {
+    pub fn mark_misdirected(&mut self, engine: EngineKey, now: Time) {
         let Some(known) = self.engines.get_mut(&engine) else { return };
         if known.engine.stage.is_some() {
-            known.misdirected_until = Some(now + MISDIRECTED_FOR);
+            known.misdirected_until = Some(now + MISDIRECTED_INTERVAL);
         } else {
             known.is_replaced = true;
         }
@@ -431,21 +435,21 @@
 
     /// Notes that an engine changes its stage, until when that is counted on; a time that has
     /// passed says that it stays as it is.
-    pub fn switch(&mut self, engine: EngineKey, stage: Stage, until: Time) {
+    pub fn set_switching(&mut self, engine: EngineKey, stage: Stage, until: Time) {
         let Some(known) = self.engines.get_mut(&engine) else { return };
         known.switching = (known.engine.stage != Some(stage)).then_some((stage, until));
     }
 
     /// Goes over the engines of a service that do not leave.
-    pub fn staying(&self, service: &str, now: Time) -> impl Iterator<Item = &Known> {
+    pub fn active(&self, service: &str, now: Time) -> impl Iterator<Item = &Record> {
         self.of_service(service).filter(move |it| {
-            let is_there = it.missing_until.is_none() && !it.is_doubted(now);
+            let is_there = it.missing_until.is_none() && !it.is_unconfirmed(now);
             !it.engine.is_draining && is_there && !it.is_evacuated
         })
     }
 
     /// Notes which data centres are evacuated.
-    pub fn evacuate(&mut self, data_centres: &BTreeSet<Arc<str>>) {
+    pub fn set_evacuated(&mut self, data_centres: &BTreeSet<Arc<str>>) {
         self.evacuated.clone_from(data_centres);
         for known in self.engines.values_mut() {
             known.is_evacuated = data_centres.contains(&known.engine.data_centre);
@@ -453,32 +457,32 @@
     }
 
     /// Finds an engine.
-    pub fn get(&self, engine: EngineKey) -> Option<&Known> {
+    pub fn get(&self, engine: EngineKey) -> Option<&Record> {
         self.engines.get(&engine)
     }
 
     /// Finds an engine to change what is known of it.
-    pub fn get_mut(&mut self, engine: EngineKey) -> Option<&mut Known> {
+    pub fn get_mut(&mut self, engine: EngineKey) -> Option<&mut Record> {
         self.engines.get_mut(&engine)
     }
 
     /// Goes over the engines of a service.
-    pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Known> {
+    pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Record> {
         self.index.of_service(service).filter_map(|it| self.engines.get(&it))
     }
 
     /// Goes over the engines of a service that take new requests.
-    pub fn open(&self, service: &str, now: Time) -> impl Iterator<Item = &Known> {
+    pub fn open(&self, service: &str, now: Time) -> impl Iterator<Item = &Record> {
         self.of_service(service).filter(move |it| it.is_open(now))
     }
 
     /// Goes over the engines whose entries are there, those that leave too.
-    pub fn present(&self) -> impl Iterator<Item = &Known> {
+    pub fn present(&self) -> impl Iterator<Item = &Record> {
         self.engines.values().filter(|it| it.missing_until.is_none())
     }
 
     /// Goes over all engines, those that leave too.
-    pub fn all(&self) -> impl Iterator<Item = &Known> {
+    pub fn all(&self) -> impl Iterator<Item = &Record> {
         self.engines.values()
     }
 
@@ -517,37 +521,41 @@
         }
         let sample = tokens as f64 / millis;
         let Some(known) = self.engines.get_mut(&engine) else { return };
-        let fresh = known.rate.filter(|(_, at)| now.since(*at) < MEASUREMENT_LIFE);
-        let rate = fresh.map_or(sample, |(rate, _)| rate + NEWEST * (sample - rate));
+        let fresh = known.rate.filter(|(_, at)| now.since(*at) < MEASUREMENT_TTL);
+        let rate = fresh.map_or(sample, |(rate, _)| rate + SAMPLE_WEIGHT * (sample - rate));
         known.rate = Some((rate, now));
         if known.engine.stage == Some(Stage::Prefill) {
             let service = known.engine.service.clone();
-            let best = self.best_rates.entry(service).or_insert(FIRST_READING_RATE);
-            let weight = if sample > *best { FAST.0 } else { FAST.1 };
+            let best = self.best_rates.entry(service).or_insert(INITIAL_PREFILL_RATE_TOKENS_PER_MS);
+            let weight = if sample > *best { BEST_RATE_WEIGHTS.0 } else { BEST_RATE_WEIGHTS.1 };
             *best += weight * (sample - *best);
         }
         let group = (known.engine.service.clone(), known.engine.stage == Some(Stage::Prefill));
         let shared = self.rates.entry(group).or_insert(sample);
-        *shared += NEWEST * (sample - *shared);
+        *shared += SAMPLE_WEIGHT * (sample - *shared);
     }
 
     /// Gives the rate at which an engine reads prompts, in tokens a millisecond.
-    pub fn rate(&self, known: &Known, now: Time) -> f64 {
+    pub fn prefill_rate(&self, known: &Record, now: Time) -> f64 {
         if let Some((rate, at)) = known.rate
-            && now.since(at) < MEASUREMENT_LIFE
+            && now.since(at) < MEASUREMENT_TTL
         {
             return rate;
         }
-        let reads_for_others = known.engine.stage == Some(Stage::Prefill);
-        let group = (known.engine.service.clone(), reads_for_others);
-        let first = if reads_for_others { FIRST_READING_RATE } else { FIRST_READING_RATE / 2.0 };
+        let is_prefill = known.engine.stage == Some(Stage::Prefill);
+        let group = (known.engine.service.clone(), is_prefill);
+        let first = if is_prefill {
+            INITIAL_PREFILL_RATE_TOKENS_PER_MS
+        } else {
+            INITIAL_PREFILL_RATE_TOKENS_PER_MS / 2.0
+        };
         self.rates.get(&group).copied().unwrap_or(first)
     }
 
     /// Gives the rate at which an engine of a service can read prompts for others when nothing
     /// holds it up, in tokens a millisecond.
-    pub fn best_rate(&self, service: &str) -> f64 {
-        self.best_rates.get(service).copied().unwrap_or(FIRST_READING_RATE)
+    pub fn best_prefill_rate(&self, service: &str) -> f64 {
+        self.best_rates.get(service).copied().unwrap_or(INITIAL_PREFILL_RATE_TOKENS_PER_MS)
     }
 
     /// Gives at most so many engines of some groups of a service, from a drawn place on.
@@ -555,10 +563,10 @@
         &self,
         service: &str,
         is_chosen: impl Fn(&Group) -> bool,
-        most: usize,
+        max_count: usize,
         draw: u64,
-    ) -> impl Iterator<Item = &Known> {
-        let keys = self.index.sample(service, is_chosen, most, draw);
+    ) -> impl Iterator<Item = &Record> {
+        let keys = self.index.sample(service, is_chosen, max_count, draw);
         keys.into_iter().filter_map(|it| self.engines.get(&it))
     }
 
@@ -568,7 +576,7 @@
     }
 
     /// Adds an engine.
-    fn insert(&mut self, known: Known) {
+    fn insert(&mut self, known: Record) {
         self.index.add(&known);
         let until = known.missing_until;
         self.engines.insert(known.engine.key, known);
@@ -576,24 +584,24 @@
     }
 
     /// Takes an engine out.
-    fn take(&mut self, engine: EngineKey) -> Option<Known> {
+    fn take(&mut self, engine: EngineKey) -> Option<Record> {
         let known = self.engines.remove(&engine)?;
         self.index.remove(&known);
         if known.is_missing() {
-            self.plan_removal();
+            self.update_next_removal();
         }
         Some(known)
     }
 
     /// Finds when the next missing engine is to be taken as gone.
-    fn plan_removal(&mut self) {
+    fn update_next_removal(&mut self) {
         let missing = self.index.missing().filter_map(|it| self.engines.get(&it));
         self.next_removal = missing.filter_map(|it| it.missing_until).min();
     }
 }
 
 /// Joins what was known of an incarnation with its newest entry.
-fn renew(known: Option<Known>, engine: Engine, now: Time) -> Known {
+fn merge(known: Option<Record>, engine: Engine, now: Time) -> Record {
     let cold_until = match &known {
         // An entry that is read once more tells nothing new.
         Some(known) if *known.engine == engine => known.cold_until,
@@ -601,7 +609,7 @@
     };
     let engine = Arc::new(engine);
     match known {
-        Some(known) if known.engine.stage != engine.stage => Known {
+        Some(known) if known.engine.stage != engine.stage => Record {
             engine,
             missing_until: None,
             switching: None,
@@ -610,20 +618,20 @@
             cold_until,
             ..known
         },
-        Some(known) => Known { engine, missing_until: None, cold_until, ..known },
-        None => Known {
+        Some(known) => Record { engine, missing_until: None, cold_until, ..known },
+        None => Record {
             engine,
             health: Health::default(),
-            told: None,
+            reported_load: None,
             rate: None,
             is_replaced: false,
-            turned_away: None,
+            rejected: None,
             missing_until: None,
             switching: None,
             misdirected_until: None,
             is_evacuated: false,
             cold_until,
-            doubted_until: None,
+            unconfirmed_until: None,
         },
     }
 }
--- a/crates/hollyspoke-gateway/src/directory/history.rs
+++ b/crates/hollyspoke-gateway/src/directory/history.rs
@@ -9,7 +9,7 @@
 /// The most changes that are kept: about a megabyte, by 250 bytes each. A box asks within two
 /// heartbeats of missing one, 3.2 s where boxes are many; in that time a large site whose engines
 /// all enter at once makes thousands.
-const MOST: usize = 4096;
+const MAX_CHANGES_COUNT: usize = 4096;
 
 /// The newest changes, in order.
 #[derive(Debug, Clone, Default)]
@@ -33,7 +33,7 @@
     /// Begins anew with the changes that lead from what was known in an earlier era to a later one.
     pub(super) fn enter(&mut self, from: Revision, changes: &[EngineChange], revision: Revision) {
         self.begin(revision);
-        if changes.len() <= MOST {
+        if changes.len() <= MAX_CHANGES_COUNT {
             self.entered_from = Some(from);
             self.changes.extend(changes.iter().cloned());
         }
@@ -42,7 +42,7 @@
     /// Adds a change that follows on those before.
     pub(super) fn add(&mut self, change: EngineChange) {
         self.changes.push_back(change);
-        if self.changes.len() > MOST
+        if self.changes.len() > MAX_CHANGES_COUNT
             && let Some(dropped) = self.changes.pop_front()
         {
             // Others of the same revision may still be here; without this one they are no use.
--- a/crates/hollyspoke-gateway/src/directory/index.rs
+++ b/crates/hollyspoke-gateway/src/directory/index.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::Known;
+use super::Record;
 use crate::engine::{Engine, EngineKey, Stage};
 
 /// The engines of one service that have a data centre and a stage in common.
@@ -55,7 +55,7 @@
 
 impl Index {
     /// Adds an engine.
-    pub(super) fn add(&mut self, known: &Known) {
+    pub(super) fn add(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.entry(engine.service.clone()).or_default();
         let place = groups.iter().position(|it| it.holds(engine)).unwrap_or_else(|| {
@@ -71,7 +71,7 @@
     }
 
     /// Removes an engine.
-    pub(super) fn remove(&mut self, known: &Known) {
+    pub(super) fn remove(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.get_mut(&engine.service);
         if let Some(group) = groups.and_then(|it| it.iter_mut().find(|it| it.holds(engine))) {
@@ -107,7 +107,7 @@
         &self,
         service: &str,
         is_chosen: impl Fn(&Group) -> bool,
-        most: usize,
+        max_count: usize,
         draw: u64,
     ) -> Vec<EngineKey> {
         let chosen: Vec<_> = self.groups(service).iter().filter(|it| is_chosen(it)).collect();
@@ -120,7 +120,7 @@
         for group in chosen.iter().chain(&chosen) {
             let keys = &group.keys[skipped.min(group.keys.len())..];
             skipped = skipped.saturating_sub(group.keys.len());
-            let wanted = most.min(count) - sample.len();
+            let wanted = max_count.min(count) - sample.len();
             sample.extend(keys.iter().take(wanted));
         }
         sample
--- a/crates/hollyspoke-gateway/src/engine.rs
+++ b/crates/hollyspoke-gateway/src/engine.rs
@@ -38,7 +38,7 @@
     /// The id; another start of the engine has another one, or the same.
     pub id: Arc<str>,
     /// When this life of the engine began, in milliseconds of Unix time, if it tells.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Where it listens.
@@ -66,13 +66,13 @@
 
 impl Engine {
     /// Tells whether an entry is of the same life of the same engine, as far as both tell.
-    pub fn is_same_life(&self, other: &Engine) -> bool {
-        self.key == other.key && self.born == other.born
+    pub fn is_same_incarnation(&self, other: &Engine) -> bool {
+        self.key == other.key && self.started_at == other.started_at
     }
 
     /// Tells whether an entry is of a later life of the same engine.
-    pub fn is_reborn(&self, newer: &Engine) -> bool {
-        matches!((self.born, newer.born), (Some(own), Some(newer)) if own < newer)
+    pub fn is_superseded_by(&self, newer: &Engine) -> bool {
+        matches!((self.started_at, newer.started_at), (Some(own), Some(newer)) if own < newer)
     }
 }
 
--- a/crates/hollyspoke-gateway/src/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/evacuation.rs
@@ -14,7 +14,7 @@
 
 /// How long an evacuation holds that a later era of the store does not have: whoever asked for it asks
 /// again.
-const HELD_FOR: Duration = Duration::from_secs(30);
+const HOLD_DURATION: Duration = Duration::from_secs(30);
 
 /// The data centres that are evacuated at a revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,51 +61,56 @@
     }
 
     /// Gives the data centres whose engines get nothing.
-    pub fn in_force(&self) -> BTreeSet<Arc<str>> {
+    pub fn effective(&self) -> BTreeSet<Arc<str>> {
         self.newest.data_centres.iter().chain(self.held.keys()).cloned().collect()
     }
 
     /// Takes a state that was true at a later revision, and gives what it changes.
-    pub fn take(&mut self, newer: Evacuation, now: Time) -> Difference {
+    pub fn apply(&mut self, newer: Evacuation, now: Time) -> Difference {
         if newer.revision <= self.newest.revision {
             return Difference::default();
         }
-        let before = self.in_force();
+        let before = self.effective();
         if newer.revision.era > self.newest.revision.era {
-            let until = now + HELD_FOR;
+            let until = now + HOLD_DURATION;
             let lost = self.newest.data_centres.difference(&newer.data_centres);
             self.held.extend(lost.map(|it| (it.clone(), until)));
         }
         self.held.retain(|it, _| !newer.data_centres.contains(it));
         self.newest = newer;
-        Difference::between(&before, &self.in_force())
+        Difference::between(&before, &self.effective())
     }
 
     /// Takes changes that led to a revision, and gives what they change.
-    pub fn change(&mut self, changes: Vec<Change>, revision: Revision, now: Time) -> Difference {
+    pub fn apply_changes(
+        &mut self,
+        changes: Vec<Change>,
+        revision: Revision,
+        now: Time,
+    ) -> Difference {
         if revision <= self.newest.revision {
             return Difference::default();
         }
-        let before = self.in_force();
+        let before = self.effective();
         for change in &changes {
             if let Change::Lifted(data_centre) = change {
                 self.held.remove(data_centre);
             }
         }
         let newer = self.newest.after(changes, revision);
-        self.take(newer, now);
-        Difference::between(&before, &self.in_force())
+        self.apply(newer, now);
+        Difference::between(&before, &self.effective())
     }
 
     /// Lifts what was held for long enough, and gives what that changes.
     pub fn sweep(&mut self, now: Time) -> Difference {
-        let before = self.in_force();
+        let before = self.effective();
         self.held.retain(|_, until| now < *until);
-        Difference::between(&before, &self.in_force())
+        Difference::between(&before, &self.effective())
     }
 
     /// Gives when the next evacuation is held for long enough.
-    pub fn next_end(&self) -> Option<Time> {
+    pub fn next_expiry(&self) -> Option<Time> {
         self.held.values().min().copied()
     }
 }
--- a/crates/hollyspoke-gateway/src/flight.rs
+++ b/crates/hollyspoke-gateway/src/flight.rs
@@ -179,10 +179,10 @@
     /// Gives the silence after which a call is taken for failed, if it may be repeated then.
     pub fn patience_for(&self, task: &Task, expected: Duration) -> Option<Duration> {
         match task {
-            Task::Read => Some((expected * 3).max(self.route.target)),
+            Task::Read => Some((expected * 3).max(self.route.target_latency)),
             _ if !self.route.is_idempotent() => None,
             Task::Plain => Some(self.route.timeout.mul_f64(SILENT_SHARE)),
-            Task::Generate(_) => Some((expected * 3).max(self.route.target)),
+            Task::Generate(_) => Some((expected * 3).max(self.route.target_latency)),
         }
     }
 
@@ -197,7 +197,7 @@
         if !self.route.is_idempotent() || self.route.kind != RouteKind::Stream {
             return None;
         }
-        let gap = self.route.longest_gap.unwrap_or(LEAST_SILENCE);
+        let gap = self.route.max_gap.unwrap_or(LEAST_SILENCE);
         Some((gap * SILENT_GAPS).max(LEAST_SILENCE))
     }
 }
@@ -209,10 +209,10 @@
         match self.task {
             Task::Read => false,
             _ if self.has_begun => {
-                let longest = flight.route.longest_gap;
+                let longest = flight.route.max_gap;
                 longest.is_some_and(|it| now.since(self.last_event_at) > it)
             }
-            Task::Plain | Task::Generate(_) => now.since(self.sent) > flight.route.target,
+            Task::Plain | Task::Generate(_) => now.since(self.sent) > flight.route.target_latency,
         }
     }
 
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -35,7 +35,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::budget::{Bound, Budget};
-use crate::cold::Turns;
+use crate::cold::SendTimes;
 use crate::customer::CustomerKey;
 use crate::demand::{Meter, Runs};
 use crate::directory::Directory;
@@ -130,7 +130,7 @@
     /// The data centres whose engines get nothing.
     evacuations: Evacuations,
     /// When this box last sent to cold engines.
-    turns: Turns,
+    turns: SendTimes,
     /// What engines have said that binds whoever sends to them.
     terms: Terms,
     /// The permits to send to them.
@@ -221,7 +221,7 @@
             is_listed: false,
             directory: Directory::default(),
             evacuations: Evacuations::default(),
-            turns: Turns::default(),
+            turns: SendTimes::default(),
             terms: Terms::default(),
             permits: Permits::default(),
             ledger: Ledger::default(),
@@ -264,9 +264,9 @@
             Event::Configured(configuration) => self.configure(configuration),
             Event::Listed(engines, revision) => self.list(engines, revision),
             Event::Changed(changes) => self.change(changes),
-            Event::Evacuated(evacuation) => self.evacuate(evacuation),
+            Event::Evacuated(evacuation) => self.apply_evacuation(evacuation),
             Event::EvacuationChanged(changes, revision) => {
-                self.change_evacuation(changes, revision);
+                self.apply_evacuation_changes(changes, revision);
             }
             Event::Fetched(provider, snapshot) => self.take_snapshot(provider, *snapshot),
             Event::StoreEra(era) => self.learn_era(era, None),
@@ -289,7 +289,7 @@
             Event::Tick => {}
         }
         self.remove_missing();
-        self.lift_lost();
+        self.lift_expired();
         self.take_ended();
         self.survey();
         self.give_orders();
@@ -314,7 +314,7 @@
         let times = [
             first,
             self.directory.next_removal(),
-            self.evacuations.next_end(),
+            self.evacuations.next_expiry(),
             self.survey.due(),
             self.members.next_greeting(self.now),
             gathered,
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -8,7 +8,7 @@
 use crate::flight::Call;
 use crate::load::Urgency;
 use crate::message::{Full, Load};
-use crate::prompt::Kept;
+use crate::prompt::CachedPrompt;
 use crate::request::{CallKey, FlightKey};
 use crate::rest;
 
@@ -66,7 +66,7 @@
         flight.trace.mark_sent();
         flight.source = None;
         if let Some(prompt) = flight.request.prompt {
-            self.prompts.see(Kept { prompt, engine: call.engine.key }, now);
+            self.prompts.observe(CachedPrompt { prompt, engine: call.engine.key }, now);
         }
         flight.patience = flight.gap_patience().map(|it| now + it);
         let patience = flight.patience;
@@ -90,7 +90,7 @@
         let Some(flight) = self.flights.get_mut(&call.flight) else { return };
         flight.last_event = id.or(flight.last_event);
         flight.patience = flight.gap_patience().map(|it| now + it);
-        if flight.route.longest_gap.is_some_and(|it| pause > it) {
+        if flight.route.max_gap.is_some_and(|it| pause > it) {
             self.fail(&call);
         }
     }
@@ -111,10 +111,10 @@
         self.note_failure(call, "turned away", answer.status);
         let now = self.now;
         if answer.execution == Execution::Moved {
-            self.directory.replace(call.engine.key, now);
+            self.directory.mark_misdirected(call.engine.key, now);
             self.untold.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.turn_away(call.load.held, now);
+            known.record_rejection(call.load.held, now);
             self.untold.full.push(Full { engine: call.engine.key, held: call.load.held });
         }
         let rests = matches!(answer.says.rest, rest::Told::Span(_));
@@ -162,7 +162,7 @@
         let Some(flight) = self.flights.get_mut(&call.flight) else { return };
         flight.read_at = now;
         if let Some(prompt) = flight.request.prompt {
-            self.prompts.note(Kept { prompt, engine: call.engine.key }, now);
+            self.prompts.record(CachedPrompt { prompt, engine: call.engine.key }, now);
         }
         flight.source =
             Some(Source { engine: call.engine.key, address: call.engine.address, handle });
@@ -292,10 +292,12 @@
         let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
         self.judge_return(call, is_good);
         if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.told = answer.says.load.map(|it| (it, now)).or(known.told);
+            known.reported_load = answer.says.load.map(|it| (it, now)).or(known.reported_load);
             match self.flights.get(&call.flight) {
-                Some(flight) if is_good && call.is_slow(now, flight) => known.health.fail(now),
-                _ if is_good => known.health.succeed(now),
+                Some(flight) if is_good && call.is_slow(now, flight) => {
+                    known.health.record_failure(now)
+                }
+                _ if is_good => known.health.record_success(now),
                 _ => {}
             }
         }
@@ -320,7 +322,7 @@
         if self.is_of_this_life(call)
             && let Some(known) = self.directory.get_mut(call.engine.key)
         {
-            known.health.fail(now);
+            known.health.record_failure(now);
         }
     }
 
@@ -331,7 +333,7 @@
         }
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
-        let span = known.health.miss(now);
+        let span = known.health.record_unreachable(now);
         self.untold.missed.push(call.engine.key);
         self.note(Note::Avoided { id: call.engine.id.clone(), span });
     }
@@ -342,7 +344,8 @@
         let request = flight.request.id.clone();
         let (signature, path) = (flight.signature, flight.request.path.as_str().into());
         let engine = call.engine.id.clone();
-        let told = self.directory.get(call.engine.key).and_then(|it| it.told).map(|it| it.0);
+        let told =
+            self.directory.get(call.engine.key).and_then(|it| it.reported_load).map(|it| it.0);
         let known = self.ledger.at(call.engine.key);
         self.note(Note::Failed { request, signature, path, engine, how, status, told, known });
     }
--- a/crates/hollyspoke-gateway/src/gateway/cold.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cold.rs
@@ -7,14 +7,14 @@
 
 impl Gateway {
     /// Gives this box's part of what cold engines bear.
-    pub(super) fn cold_part(&self) -> Part {
+    pub(super) fn cold_share(&self) -> Part {
         Part { number: number(&self.settings.peer), boxes: self.sharing_boxes() }
     }
 
     /// Notes that a call is sent to an engine, if that is cold.
-    pub(super) fn note_cold(&mut self, engine: EngineKey) {
+    pub(super) fn record_cold_send(&mut self, engine: EngineKey) {
         if self.directory.get(engine).is_some_and(|it| it.is_cold(self.now)) {
-            self.turns.note(engine, self.now);
+            self.turns.record(engine, self.now);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -61,7 +61,7 @@
             let caller = Caller::Customer(customer.name.clone());
             Ok(Identity { customer: Some(customer), caller })
         }
-        None if route.is_open => Ok(Identity { customer: None, caller: Caller::Anonymous }),
+        None if route.is_auth_exempt => Ok(Identity { customer: None, caller: Caller::Anonymous }),
         None => Err(UnknownKey),
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/gateway/evacuation.rs
@@ -13,47 +13,47 @@
 /// The time after a box's start by which it serves even if nobody has told which data centres are
 /// evacuated: the store and the other boxes answer within milliseconds, and a box that waits for
 /// longer would refuse what all engines could serve.
-const KNOWN_WITHIN: Duration = Duration::from_secs(1);
+const MAX_EVACUATION_WAIT: Duration = Duration::from_secs(1);
 
 impl Gateway {
     /// Tells whether it is known which data centres are evacuated, or was not to be learnt.
     pub(super) fn knows_evacuation(&self) -> bool {
-        self.evacuations.newest().is_known() || self.now.since(Time::ZERO) >= KNOWN_WITHIN
+        self.evacuations.newest().is_known() || self.now.since(Time::ZERO) >= MAX_EVACUATION_WAIT
     }
 
     /// Gives the data centres that are evacuated.
     pub fn evacuation(&self) -> Evacuation {
         let revision = self.evacuations.newest().revision;
-        Evacuation { revision, data_centres: self.evacuations.in_force() }
+        Evacuation { revision, data_centres: self.evacuations.effective() }
     }
 
     /// Takes changes that this box read from the store.
-    pub(super) fn change_evacuation(&mut self, changes: Vec<Change>, revision: Revision) {
-        let difference = self.evacuations.change(changes, revision, self.now);
-        self.put_in_force(difference);
+    pub(super) fn apply_evacuation_changes(&mut self, changes: Vec<Change>, revision: Revision) {
+        let difference = self.evacuations.apply_changes(changes, revision, self.now);
+        self.apply_difference(difference);
     }
 
     /// Lifts the evacuations that were held for long enough after the store had lost them.
-    pub(super) fn lift_lost(&mut self) {
-        if self.evacuations.next_end().is_some_and(|it| it <= self.now) {
+    pub(super) fn lift_expired(&mut self) {
+        if self.evacuations.next_expiry().is_some_and(|it| it <= self.now) {
             let difference = self.evacuations.sweep(self.now);
-            self.put_in_force(difference);
+            self.apply_difference(difference);
         }
     }
 
     /// Takes a state from the store or from another box, if it is newer, and passes on what has
     /// changed.
-    pub(super) fn evacuate(&mut self, newer: Evacuation) {
-        let difference = self.evacuations.take(newer, self.now);
-        self.put_in_force(difference);
+    pub(super) fn apply_evacuation(&mut self, newer: Evacuation) {
+        let difference = self.evacuations.apply(newer, self.now);
+        self.apply_difference(difference);
     }
 
     /// Has the engines of the evacuated data centres, and no others, left alone.
-    fn put_in_force(&mut self, difference: Difference) {
+    fn apply_difference(&mut self, difference: Difference) {
         if difference.is_empty() {
             return;
         }
-        self.directory.evacuate(&self.evacuations.in_force());
+        self.directory.set_evacuated(&self.evacuations.effective());
         for data_centre in difference.begun {
             self.note(Note::Evacuated { data_centre, is_lifted: false });
         }
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -52,7 +52,7 @@
         self.hear_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
         self.hear_era(listed.max(snapshot.evacuation.revision.era), provider);
-        self.evacuate(snapshot.evacuation);
+        self.apply_evacuation(snapshot.evacuation);
         if let Some(version) = snapshot.version {
             self.configure(version.configuration());
         }
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -53,7 +53,7 @@
     /// Takes what another box tells of one engine's limit.
     fn hear_limit(&mut self, word: &Word, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
-        if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
+        if let Some(change) = self.terms.limits.hear(word, known.engine.started_at, self.now) {
             let age = Duration::from_millis(u64::from(word.age_ms));
             self.limit_changed(word.engine, change, Some(sender), age);
         }
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -105,13 +105,13 @@
         self.members.introduce(self.settings.peer, &message.peers, self.now);
         self.read_if_newer(message.knowledge.version);
         if message.evacuation.revision > self.evacuations.newest().revision {
-            self.evacuate(message.evacuation.clone());
+            self.apply_evacuation(message.evacuation.clone());
         }
         if let Some(news) = &message.news {
             self.take_news(news);
         }
         for &engine in &message.replaced {
-            self.directory.replace(engine, self.now);
+            self.directory.mark_misdirected(engine, self.now);
         }
         for switching in &message.switching {
             self.hear_switching(switching);
@@ -123,15 +123,15 @@
         }
         for full in &message.full {
             if let Some(known) = self.directory.get_mut(full.engine) {
-                known.turn_away(full.held, self.now);
+                known.record_rejection(full.held, self.now);
             }
         }
         for &kept in &message.kept {
-            self.prompts.note(kept, self.now);
+            self.prompts.record(kept, self.now);
         }
         let until = self.now + self.leave_span();
         let loads = &message.loads;
-        let has_freed = self.ledger.hear(message.sender, loads, message.is_whole, until);
+        let has_freed = self.ledger.receive(message.sender, loads, message.is_whole, until);
         self.may_have_room |= has_freed || !message.kept.is_empty() || message.news.is_some();
         if has_freed && let Some(&first) = self.waiting.first() {
             self.wake_at(first, Some(until));
@@ -187,7 +187,7 @@
         let departures = self.departures_to_tell();
         message.extension = Extension { limits, departures, ..Extension::default() }.filled();
         // Where boxes are many, keepers of prompts are not told by themselves.
-        message.kept = self.prompts.take_untold();
+        message.kept = self.prompts.take_unannounced();
         // The heartbeat tells all work, so that no changes are left to tell.
         self.ledger.take_changed();
         self.gathering_since = None;
@@ -252,13 +252,13 @@
     /// Tells the living boxes what work has changed, which engines keep new prompts, and which
     /// were replaced, not reached or full.
     pub(super) fn tell_changes(&mut self) {
-        let has_urgent_kept = self.prompts.has_untold() && !self.members.is_large();
+        let has_urgent_kept = self.prompts.has_unannounced() && !self.members.is_large();
         let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.untold.is_empty();
         if !is_urgent && !self.has_gathered() {
             return;
         }
         self.gathering_since = None;
-        let kept = self.prompts.take_untold();
+        let kept = self.prompts.take_unannounced();
         let untold = std::mem::take(&mut self.untold);
         let changed = self.ledger.take_changed();
         let mut message = self.message(false);
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -14,7 +14,7 @@
 use crate::permit::{
     ANSWERED_WITHIN, ASKED_AGAIN_AFTER, Ask, Holder, Issuer, Outcome, PARTS, Reply, Side,
 };
-use crate::placement::Asking;
+use crate::placement::PermitWait;
 use crate::request::FlightKey;
 use crate::terms::Bar;
 
@@ -80,11 +80,13 @@
 
 impl Gateway {
     /// Tells whether a request may ask for permits.
-    pub(super) fn asking(&self, flight: &Flight) -> Asking {
+    pub(super) fn asking(&self, flight: &Flight) -> PermitWait {
         match flight.asked {
-            Some(asked) if self.is_waiting_for(&asked) => Asking::At(asked.engine),
-            _ if flight.asks >= MOST_ASKS || self.permit_end(flight) <= self.now => Asking::Never,
-            _ => Asking::Open(self.patience(flight)),
+            Some(asked) if self.is_waiting_for(&asked) => PermitWait::At(asked.engine),
+            _ if flight.asks >= MOST_ASKS || self.permit_end(flight) <= self.now => {
+                PermitWait::Never
+            }
+            _ => PermitWait::Open(self.patience(flight)),
         }
     }
 
@@ -101,7 +103,7 @@
 
     /// Gives until when a request may wait for permits.
     pub(super) fn permit_end(&self, flight: &Flight) -> Time {
-        let span = flight.route.target.mul_f64(WAIT_SHARE);
+        let span = flight.route.target_latency.mul_f64(WAIT_SHARE);
         if flight.source.is_some() {
             return flight.handle_end();
         }
@@ -311,7 +313,7 @@
         let now = self.now;
         let directory = &self.directory;
         self.terms.limits.sweep(now, |engine, born| {
-            directory.get(engine).is_some_and(|it| born.is_none() || it.engine.born <= born)
+            directory.get(engine).is_some_and(|it| born.is_none() || it.engine.started_at <= born)
         });
         self.permits.held.sweep(now);
         self.permits.questions.retain(|_, it| now.since(it.at) < FORGOTTEN_AFTER);
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -61,7 +61,7 @@
         if known.engine.is_draining || known.is_missing() || self.terms.is_leaving(&known.engine) {
             return;
         }
-        let is_back = known.engine.born != call.engine.born;
+        let is_back = known.engine.started_at != call.engine.started_at;
         let Some(flight) = self.flights.get(&call.flight) else { return };
         let (signature, about) = (flight.signature, about(flight));
         let engine = &call.engine;
@@ -69,7 +69,8 @@
             return;
         }
         if is_back {
-            return self.confirm(Life { engine: engine.key, born: engine.born }, Proof::Proven);
+            return self
+                .confirm(Life { engine: engine.key, born: engine.started_at }, Proof::Proven);
         }
         if self.takes_probe(engine.key) && self.probing.insert(engine.key) {
             self.effects.push(Effect::Probe(call.engine.clone()));
@@ -104,7 +105,7 @@
         for engine in self.directory.take_ended() {
             // One that had said that it leaves has ended as planned.
             if !self.terms.is_leaving(&engine) {
-                self.confirm(Life { engine: engine.key, born: engine.born }, Proof::Proven);
+                self.confirm(Life { engine: engine.key, born: engine.started_at }, Proof::Proven);
             }
             self.prompts.forget(engine.key);
             self.terms.limits.forget(engine.key);
@@ -245,7 +246,7 @@
         }
         for (life, since) in self.quarantine.unproven() {
             let is_gone = match self.directory.get(life.engine) {
-                Some(known) => life.born.is_some() && known.engine.born > life.born,
+                Some(known) => life.born.is_some() && known.engine.started_at > life.born,
                 None => self.now.since(since) >= UNLISTED_FOR,
             };
             if is_gone {
@@ -275,7 +276,7 @@
     /// went to an earlier life says nothing about this one.
     pub(super) fn is_of_this_life(&self, call: &Call) -> bool {
         let known = self.directory.get(call.engine.key);
-        known.is_none_or(|it| it.engine.born == call.engine.born)
+        known.is_none_or(|it| it.engine.started_at == call.engine.started_at)
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/room.rs
+++ b/crates/hollyspoke-gateway/src/gateway/room.rs
@@ -4,7 +4,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::directory::Known;
+use crate::directory::Record;
 use crate::effect::NotRunReason;
 use crate::engine::{EngineKey, Stage};
 use crate::flight::Flight;
@@ -77,7 +77,7 @@
         waiting.retain(|it| self.flights.get(it).is_some_and(|it| it.waits_until.is_some()));
         waiting.sort_by_key(|it| {
             let flight = &self.flights[it];
-            let is_late = self.now.since(flight.arrived) > flight.route.target;
+            let is_late = self.now.since(flight.arrived) > flight.route.target_latency;
             (flight.source.is_none(), is_late, flight.rank(), !flight.is_repeated, *it)
         });
         for &key in &waiting {
@@ -128,8 +128,8 @@
     /// Tells why no engine can take a request.
     fn why_no_engine(&self, flight: &Flight) -> NotRunReason {
         let engines = || self.directory.of_service(&flight.service.name);
-        let is_open = |it: &Known| it.is_open(self.now) && self.is_home(flight, it);
-        let stays = |it: &Known| !self.terms.is_leaving(&it.engine);
+        let is_open = |it: &Record| it.is_open(self.now) && self.is_home(flight, it);
+        let stays = |it: &Record| !self.terms.is_leaving(&it.engine);
         if engines().any(|it| is_open(it) && stays(it)) {
             NotRunReason::NoEngine
         } else if engines().any(is_open) {
@@ -144,7 +144,7 @@
     }
 
     /// Tells whether a request may be served where an engine is.
-    pub(super) fn is_home(&self, flight: &Flight, known: &Known) -> bool {
+    pub(super) fn is_home(&self, flight: &Flight, known: &Record) -> bool {
         let regions = &self.settings.regions;
         flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
     }
@@ -158,5 +158,5 @@
     if flight.sends > 0 {
         return flight.ends;
     }
-    flight.arrived + flight.route.target.mul_f64(WAIT_SHARE)
+    flight.arrived + flight.route.target_latency.mul_f64(WAIT_SHARE)
 }
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -16,8 +16,8 @@
 
 use super::peers::service_hash;
 use super::{Gateway, Settings};
-use crate::demand::MEMORY;
-use crate::directory::Known;
+use crate::demand::DECAY_TIME;
+use crate::directory::Record;
 use crate::effect::{Effect, Note};
 use crate::engine::{EngineKey, Stage};
 use crate::message::{Demand, Switching};
@@ -68,11 +68,11 @@
 impl Bearing {
     /// Gives what engines could bear of requests such as those of late.
     fn of(demand: Demand, capacity: Capacity) -> Bearing {
-        let asked = f64::from(demand.requests) / MEMORY.as_secs_f64();
+        let asked = f64::from(demand.requests) / DECAY_TIME.as_secs_f64();
         let borne = |by_one: f64, in_all: u32| by_one * asked / f64::from(in_all.max(1));
         Bearing {
-            reader: borne(capacity.reading, demand.reading),
-            generator: borne(capacity.memory, demand.held),
+            reader: borne(capacity.prefill_rate, demand.reading),
+            generator: borne(capacity.memory_tokens, demand.held),
         }
     }
 }
@@ -166,7 +166,7 @@
     pub(super) fn meter(&mut self, service: &Service, request: &Request) {
         if service.staged.is_some() {
             let meter = self.meters.entry(service.name.clone()).or_default();
-            meter.arrive(request.tokens_in(), request.tokens_held(), self.now);
+            meter.record(request.tokens_in(), request.tokens_held(), self.now);
         }
     }
 
@@ -185,7 +185,7 @@
     /// Takes word of an engine that is to change its stage.
     pub(super) fn hear_switching(&mut self, switching: &Switching) {
         let span = Duration::from_millis(u64::from(switching.span_ms));
-        self.directory.switch(switching.engine, switching.stage, self.now + span);
+        self.directory.set_switching(switching.engine, switching.stage, self.now + span);
     }
 
     /// Looks whether the engines' stages fit the load, if that is this box's to decide.
@@ -199,7 +199,7 @@
         let Some(configuration) = self.configuration.clone() else { return };
         for service in configuration.services() {
             if let Some(staged) = service.staged
-                && staged.switch_span.is_some()
+                && staged.switch_duration.is_some()
             {
                 self.balance_service(service, &staged);
             }
@@ -228,13 +228,13 @@
             return;
         }
         let capacity = Capacity {
-            reading: self.directory.best_rate(&service.name) * 1e3,
-            memory: staged.memory_tokens as f64,
+            prefill_rate: self.directory.best_prefill_rate(&service.name) * 1e3,
+            memory_tokens: staged.memory_tokens as f64,
         };
         loop {
             let (split, working) = self.split(&service.name, demand, capacity);
-            let engines = split.readers + split.generators;
-            let changing = engines - working.readers - working.generators;
+            let engines = split.prefill + split.decode;
+            let changing = engines - working.prefill - working.decode;
             let most = (f64::from(engines) * MOST_SWITCHING).max(1.0) as u32;
             if changing >= most {
                 return;
@@ -259,11 +259,11 @@
     /// Gives the engines of a service by the stage that they have or will have, and those of them
     /// that work now. One in need counts if it takes at least half of what it could bear.
     fn split(&self, service: &str, demand: Demand, capacity: Capacity) -> (Split, Split) {
-        let mut split = Split { readers: 0, generators: 0 };
+        let mut split = Split { prefill: 0, decode: 0 };
         let mut working = split;
         let bears = Bearing::of(demand, capacity);
         for known in self.staying(service) {
-            let is_reader = known.coming_stage(self.now) == Some(Stage::Prefill);
+            let is_reader = known.next_stage(self.now) == Some(Stage::Prefill);
             let usual = if is_reader { bears.reader } else { bears.generator };
             let limit = self.terms.limits.of(known.engine.key);
             if limit.is_some_and(|it| it.rate < usual * LEAST_COUNTED) {
@@ -271,42 +271,42 @@
             }
             let works = u32::from(known.switching(self.now).is_none());
             if is_reader {
-                split.readers += 1;
-                working.readers += works;
+                split.prefill += 1;
+                working.prefill += works;
             } else {
-                split.generators += 1;
-                working.generators += works;
+                split.decode += 1;
+                working.decode += works;
             }
         }
         (split, working)
     }
 
     /// Goes over the engines of a service that do not leave.
-    fn staying(&self, service: &str) -> impl Iterator<Item = &Known> {
-        self.directory.staying(service, self.now).filter(|it| !self.terms.is_leaving(&it.engine))
+    fn staying(&self, service: &str) -> impl Iterator<Item = &Record> {
+        self.directory.active(service, self.now).filter(|it| !self.terms.is_leaving(&it.engine))
     }
 
     /// Chooses the engine that changes: of the data centre with the most readers to generate, of
     /// the one with the fewest to read; there the one with the least work.
     fn to_change(&self, service: &str, change: Change) -> Option<EngineKey> {
         let from = match change {
-            Change::ToGenerating => Stage::Prefill,
-            Change::ToReading => Stage::Decode,
+            Change::ToDecode => Stage::Prefill,
+            Change::ToPrefill => Stage::Decode,
         };
         let mut readers_in: HashMap<&str, i64> = HashMap::new();
         for known in self.staying(service) {
-            let is_reader = known.coming_stage(self.now) == Some(Stage::Prefill);
+            let is_reader = known.next_stage(self.now) == Some(Stage::Prefill);
             *readers_in.entry(&known.engine.data_centre).or_default() += i64::from(is_reader);
         }
         let readers_near =
-            |it: &Known| readers_in.get(&*it.engine.data_centre).copied().unwrap_or_default();
+            |it: &Record| readers_in.get(&*it.engine.data_centre).copied().unwrap_or_default();
         let open = self.directory.open(service, self.now);
         // Orders are requests too, and one in need or about to leave is of little use in another stage.
         let candidates = open.filter(|it| it.engine.stage == Some(from));
         let candidates = candidates.filter(|it| self.takes_aside(it.engine.key));
         let chosen = candidates.min_by_key(|it| {
             let readers = readers_near(it);
-            let readers = if change == Change::ToGenerating { -readers } else { readers };
+            let readers = if change == Change::ToDecode { -readers } else { readers };
             (readers, self.ledger.at(it.engine.key).held, it.engine.key)
         });
         chosen.map(|it| it.engine.key)
@@ -315,8 +315,8 @@
     /// Plans a change, and has all boxes leave the engine out.
     fn plan(&mut self, engine: EngineKey, change: Change, engines: Split, demand: Demand) {
         let stage = match change {
-            Change::ToGenerating => Stage::Decode,
-            Change::ToReading => Stage::Prefill,
+            Change::ToDecode => Stage::Decode,
+            Change::ToPrefill => Stage::Prefill,
         };
         let planned = self.now;
         let step = Move { engine, stage, planned, count: None, phase: Phase::Settling, tries: 0 };
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -190,7 +190,7 @@
     /// Gives how long a service's engines take to change.
     fn switch_span(&self, service: &str) -> Duration {
         let service = self.configuration.as_ref().and_then(|it| it.service(service));
-        service.and_then(|it| it.staged?.switch_span).unwrap_or_default()
+        service.and_then(|it| it.staged?.switch_duration).unwrap_or_default()
     }
 
     /// Gives a change up, and decides nothing new for a while.
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -13,7 +13,7 @@
 use crate::gateway::customer::identify;
 use crate::gateway::permits::Leave;
 use crate::message::Load;
-use crate::placement::{Choice, View};
+use crate::placement::{Choice, Selector};
 use crate::quarantine::Verdict;
 use crate::request::{CallKey, FlightKey, Request};
 use crate::route::{Route, Staged};
@@ -168,9 +168,9 @@
                 return None;
             };
             let flight = &self.flights[&key];
-            let latest = flight.route.target.mul_f64(LATEST_SHARE);
+            let latest = flight.route.target_latency.mul_f64(LATEST_SHARE);
             // A prompt that is late for its own length would be late at any time.
-            let has_queue = next.choice.ahead > flight.request.tokens_in();
+            let has_queue = next.choice.queued_tokens > flight.request.tokens_in();
             let is_late = next.choice.expected > latest && has_queue;
             if is_late && flight.sends == 0 && !flight.is_repeated {
                 let wait = next.choice.expected.saturating_sub(latest / 2);
@@ -190,21 +190,21 @@
         let flight = self.flights.get(&key)?;
         let verdict = self.quarantine.verdict(flight.signature);
         let trials = self.trials();
-        let view = View {
+        let view = Selector {
             directory: &self.directory,
             ledger: &self.ledger,
             service: &flight.service,
             data_centre: &self.settings.data_centre,
-            knows_far: !self.members.is_large(),
+            knows_remote: !self.members.is_large(),
             tried: &flight.tried,
             homes: flight.homes(),
             regions: &self.settings.regions,
-            turns: &self.turns,
-            part: self.cold_part(),
+            cold_sends: &self.turns,
+            cold_share: self.cold_share(),
             terms: &self.terms,
             permits: &self.permits.held,
-            asking: self.asking(flight),
-            leaving_for: self.leaving_for(flight),
+            permit_wait: self.asking(flight),
+            max_drain_age: self.leaving_for(flight),
             is_suspect: verdict != Verdict::Clear,
             trials: &trials,
             now: self.now,
@@ -212,7 +212,7 @@
         };
         match flight.service.staged {
             None => {
-                let choice = view.plain()?;
+                let choice = view.choose_plain()?;
                 Some(Next { task: Task::Plain, choice, generator: None })
             }
             Some(staged) if verdict == Verdict::Trial => next_alone(flight, &view, &staged),
@@ -261,7 +261,7 @@
             before: flight.sends - 1,
         };
         let engine = choice.engine.clone();
-        self.note_cold(engine.key);
+        self.record_cold_send(engine.key);
         self.permits.held.take(engine.key, now);
         self.terms.rests.send(engine.key);
         self.ledger.add(engine.key, load);
@@ -278,7 +278,7 @@
                 is_repeat,
                 sent: now,
                 load,
-                ahead: choice.ahead,
+                ahead: choice.queued_tokens,
                 last_event_at: now,
                 has_begun: false,
             },
@@ -339,7 +339,7 @@
 
 /// Chooses the next call at a service with stages. A prompt is read for another engine only if that
 /// engine has room for it.
-fn next_staged(flight: &Flight, view: &View<'_>, staged: &Staged) -> Option<Next> {
+fn next_staged(flight: &Flight, view: &Selector<'_>, staged: &Staged) -> Option<Next> {
     let tokens = flight.request.tokens_in();
     let held = flight.request.tokens_held();
     if let Some(source) = &flight.source {
@@ -348,40 +348,40 @@
             .and_then(|it| data_centre_of(view, it))
             .unwrap_or_else(|| view.data_centre.into());
         let preferred = flight.reserved.map(|(engine, _)| engine);
-        let choice = view.generating(staged, held, &data_centre, preferred)?;
+        let choice = view.choose_decode(staged, held, &data_centre, preferred)?;
         return Some(Next {
             task: Task::Generate(Prompt::Read(source.clone())),
             choice,
             generator: None,
         });
     }
-    let alone = view.alone(staged, tokens, held);
+    let alone = view.choose_combined(staged, tokens, held);
     // A request that waits for a permit of a reader asks for those of generators later.
-    let later = view.unasked();
-    let generates = alone.clone().or_else(|| later.alone(staged, tokens, held))?;
+    let later = view.before_permit();
+    let generates = alone.clone().or_else(|| later.choose_combined(staged, tokens, held))?;
     let reads_alone = flight.reading_failed || flight.asked.is_none() && flight.asks >= READER_ASKS;
-    let reading = if reads_alone { None } else { view.reading(staged, tokens) };
+    let reading = if reads_alone { None } else { view.choose_prefill(staged, tokens) };
     let is_slow = |reading: &Choice| {
-        let is_slow = reading.expected > flight.route.target.mul_f64(ALONE_SHARE);
+        let is_slow = reading.expected > flight.route.target_latency.mul_f64(ALONE_SHARE);
         is_slow && generates.expected < reading.expected
     };
     let Some(reading) = reading.filter(|it| !is_slow(it)) else {
         let task = Task::Generate(Prompt::Unread);
         return Some(Next { task, choice: alone?, generator: None });
     };
-    let generator = later.generating(staged, held, &reading.engine.data_centre, None)?;
+    let generator = later.choose_decode(staged, held, &reading.engine.data_centre, None)?;
     Some(Next { task: Task::Read, choice: reading, generator: Some(generator.engine.key) })
 }
 
 /// Chooses the next call of a request that may crash its engine: one engine does it all.
-fn next_alone(flight: &Flight, view: &View<'_>, staged: &Staged) -> Option<Next> {
+fn next_alone(flight: &Flight, view: &Selector<'_>, staged: &Staged) -> Option<Next> {
     let (tokens, held) = (flight.request.tokens_in(), flight.request.tokens_held());
-    let choice = view.alone(staged, tokens, held)?;
+    let choice = view.choose_combined(staged, tokens, held)?;
     Some(Next { task: Task::Generate(Prompt::Unread), choice, generator: None })
 }
 
 /// Gives the data centre of an engine, if it is still known.
-fn data_centre_of(view: &View<'_>, engine: EngineKey) -> Option<Arc<str>> {
+fn data_centre_of(view: &Selector<'_>, engine: EngineKey) -> Option<Arc<str>> {
     view.directory.get(engine).map(|it| it.engine.data_centre.clone())
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -193,7 +193,7 @@
         // Only what was known at the same revision adds up with the changes to a later era's list.
         let since = if enters { known } else { self.directory.next_since() };
         let missing_until = self.missing_until();
-        match self.directory.list(engines, revision, missing_until, self.now) {
+        match self.directory.apply_list(engines, revision, missing_until, self.now) {
             Some(changes) => {
                 self.note(Note::Listed { engines: self.directory.len(), revision });
                 if self.is_listed && self.store.follows {
@@ -263,7 +263,7 @@
         let own = self.directory.complete();
         let newer: Vec<_> = changes.iter().filter(|it| it.revision() > own).cloned().collect();
         self.apply(&newer);
-        self.directory.reach(revision, self.now);
+        self.directory.mark_complete(revision, self.now);
     }
 
     /// Applies changes.
@@ -306,7 +306,7 @@
     fn put(&mut self, engine: &Engine, revision: Revision) -> Option<Note> {
         let old = self.directory.get(engine.key).map(|it| it.engine.is_draining);
         let is_news = old != Some(engine.is_draining);
-        let is_taken = self.directory.change(engine.clone(), revision, self.now);
+        let is_taken = self.directory.apply_change(engine.clone(), revision, self.now);
         (is_taken && is_news).then(|| {
             let (id, address) = (engine.id.clone(), engine.address);
             Note::Engine { id, address, is_draining: engine.is_draining }
@@ -316,7 +316,7 @@
     /// Takes one engine's leaving.
     fn leave(&mut self, id: &Arc<str>, revision: Revision) -> Option<Note> {
         let missing_until = self.missing_until();
-        let has_left = self.directory.leave(id, revision, missing_until, self.now);
+        let has_left = self.directory.remove(id, revision, missing_until, self.now);
         (has_left && missing_until.is_none()).then(|| Note::EngineLeft { id: id.clone() })
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -14,7 +14,7 @@
 use crate::engine::{EngineKey, Stage};
 use crate::flight::Flight;
 use crate::member::number;
-use crate::prompt::{Kept, PromptKey};
+use crate::prompt::{CachedPrompt, PromptKey};
 use crate::request::FlightKey;
 
 /// The least time after a box can serve in which it hears which others have started.
@@ -111,8 +111,8 @@
     /// Takes an engine's answer.
     pub(super) fn surveyed(&mut self, engine: EngineKey, prompts: Vec<PromptKey>) {
         for prompt in prompts.into_iter().take(MOST_PROMPTS) {
-            if self.prompts.keepers(prompt).next().is_none() {
-                self.prompts.see(Kept { prompt, engine }, self.now);
+            if self.prompts.caching_engines(prompt).next().is_none() {
+                self.prompts.observe(CachedPrompt { prompt, engine }, self.now);
             }
         }
     }
@@ -123,7 +123,7 @@
         flight.request.last_event?;
         let prompt = flight.request.prompt?;
         let end = self.survey.end()?;
-        let is_known = self.prompts.keepers(prompt).next().is_some();
+        let is_known = self.prompts.caching_engines(prompt).next().is_some();
         let is_first = flight.sends == 0 && flight.service.staged.is_some();
         (is_first && !is_known && self.now < end).then_some(end)
     }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -5,7 +5,7 @@
 
 use super::Gateway;
 use crate::departure;
-use crate::directory::Known;
+use crate::directory::Record;
 use crate::effect::{NotRunReason, Note};
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::flight::{Call, Flight, KeptFrom};
@@ -60,7 +60,7 @@
     /// Takes what an engine says of itself in an answer that is not that to a call. What an earlier
     /// life said says nothing of this one.
     pub(super) fn stated(&mut self, engine: EngineKey, says: &Statement) {
-        let listed = self.directory.get(engine).map(|it| it.engine.born);
+        let listed = self.directory.get(engine).map(|it| it.engine.started_at);
         if says.born.is_some() && listed.is_some_and(|it| says.born < it) {
             return;
         }
@@ -72,7 +72,7 @@
 
     /// Learns from the answer to a call.
     pub(super) fn learn_terms(&mut self, call: &Call, says: &Statement) {
-        self.learn_departure(call.engine.key, call.engine.born, says);
+        self.learn_departure(call.engine.key, call.engine.started_at, says);
         if !call.has_begun {
             self.learn_rest(call.engine.key, says.rest);
         }
@@ -80,16 +80,16 @@
 
     /// Learns whether a life of an engine is about to leave.
     fn learn_departure(&mut self, engine: EngineKey, life: Option<u64>, says: &Statement) {
-        if says.is_leaving && self.terms.departures.learn(engine, life, self.now) {
+        if says.is_leaving && self.terms.departures.record_own(engine, life, self.now) {
             self.untold.departures.push(engine);
             self.leaves(engine, None, Duration::ZERO);
         }
     }
 
     /// Takes what another box tells of engines that leave.
-    pub(super) fn hear_departures(&mut self, sender: SocketAddr, told: &[departure::Word]) {
+    pub(super) fn hear_departures(&mut self, sender: SocketAddr, told: &[departure::Announcement]) {
         for word in told {
-            if self.terms.departures.hear(word, self.now) {
+            if self.terms.departures.receive(word, self.now) {
                 let age = Duration::from_millis(u64::from(word.age_ms));
                 self.leaves(word.engine, Some(sender), age);
             }
@@ -117,7 +117,7 @@
 
     /// Gives what this box's heartbeat tells: the engines that it would issue permits of, so that each is
     /// told by one box, and those that have told it themselves a short time ago.
-    pub(super) fn departures_to_tell(&mut self) -> Vec<departure::Word> {
+    pub(super) fn departures_to_tell(&mut self) -> Vec<departure::Announcement> {
         if self.terms.departures.is_empty() {
             return Vec::new();
         }
@@ -134,15 +134,15 @@
     }
 
     /// Gives all that a box that has just started is told, as far as it goes into a datagram.
-    pub(super) fn all_departures(&self) -> Vec<departure::Word> {
+    pub(super) fn all_departures(&self) -> Vec<departure::Announcement> {
         let leaving = self.terms.departures.engines().take(MOST_TOLD_TO_NEW);
         self.words_of(leaving.collect())
     }
 
     /// Gives what there is to tell of engines.
-    fn words_of(&self, engines: Vec<EngineKey>) -> Vec<departure::Word> {
+    fn words_of(&self, engines: Vec<EngineKey>) -> Vec<departure::Announcement> {
         let departures = &self.terms.departures;
-        engines.into_iter().filter_map(|it| departures.word(it, self.now)).collect()
+        engines.into_iter().filter_map(|it| departures.announcement(it, self.now)).collect()
     }
 
     /// Gives for how long an engine may be known to leave that is used for a request all the same; none
@@ -152,7 +152,7 @@
         if self.terms.departures.is_empty() {
             return None;
         }
-        let is_able = |it: &&Known| is_able(it) && self.is_home(flight, it);
+        let is_able = |it: &&Record| is_able(it) && self.is_home(flight, it);
         let mut open = self.directory.open(&flight.service.name, self.now).filter(is_able);
         let is_last = open.all(|it| self.terms.is_leaving(&it.engine));
         is_last.then(|| self.settings.drain.mul_f64(USED_OF_DRAIN))
@@ -228,7 +228,7 @@
             return None;
         }
         let leaving_for = self.leaving_for(flight);
-        let is_able = |it: &&Known| {
+        let is_able = |it: &&Record| {
             let stays = self.terms.stays(&it.engine, leaving_for, self.now);
             is_able(it) && self.is_home(flight, it) && stays
         };
@@ -296,6 +296,6 @@
 }
 
 /// Tells whether an engine can serve a request to its end, as those that only read prompts can't.
-fn is_able(known: &Known) -> bool {
+fn is_able(known: &Record) -> bool {
     known.engine.stage != Some(Stage::Prefill)
 }
--- a/crates/hollyspoke-gateway/src/intake.rs
+++ b/crates/hollyspoke-gateway/src/intake.rs
@@ -125,7 +125,7 @@
             return self.lift(engine.key, now);
         }
         let rate = told.max(LEAST_RATE);
-        let is_new = self.set(engine.key, Limit { rate, born: engine.born, named: now });
+        let is_new = self.set(engine.key, Limit { rate, born: engine.started_at, named: now });
         is_new.then_some(Change::Named(told, rate))
     }
 
--- a/crates/hollyspoke-gateway/src/load.rs
+++ b/crates/hollyspoke-gateway/src/load.rs
@@ -38,7 +38,7 @@
     /// Adds own work.
     pub fn add(&mut self, engine: EngineKey, load: Load) {
         self.own.entry(engine).or_default().add(load);
-        self.note_change(engine, load, Urgency::Now);
+        self.record_change(engine, load, Urgency::Now);
     }
 
     /// Takes own work away.
@@ -48,11 +48,11 @@
         if own.is_empty() {
             self.own.remove(&engine);
         }
-        self.note_change(engine, load, urgency);
+        self.record_change(engine, load, urgency);
     }
 
     /// Notes that own work has changed.
-    fn note_change(&mut self, engine: EngineKey, load: Load, urgency: Urgency) {
+    fn record_change(&mut self, engine: EngineKey, load: Load, urgency: Urgency) {
         self.changed.insert(engine);
         self.is_urgent |= urgency == Urgency::Now && (load.held > 0 || load.reading > 0);
     }
@@ -70,24 +70,24 @@
 
     /// Takes in what another box tells. Memory that it freed is left to others until a time;
     /// tells whether there is any.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         peer: SocketAddr,
         loads: &[(EngineKey, Load)],
         is_whole: bool,
-        leave_until: Time,
+        contested_until: Time,
     ) -> bool {
-        let mut told: Vec<_> = loads.to_vec();
+        let mut received: Vec<_> = loads.to_vec();
         if is_whole && let Some(known) = self.peers.get(&peer) {
             let named: BTreeSet<_> = loads.iter().map(|it| it.0).collect();
             let unnamed = known.keys().filter(|it| !named.contains(it));
-            told.extend(unnamed.map(|&it| (it, Load::default())));
+            received.extend(unnamed.map(|&it| (it, Load::default())));
         }
         let mut has_freed = false;
-        for (engine, load) in told {
+        for (engine, load) in received {
             let old = self.set(peer, engine, load);
             if load.held < old.held {
-                self.contested.insert(engine, leave_until);
+                self.contested.insert(engine, contested_until);
                 has_freed = true;
             }
         }
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -12,7 +12,7 @@
 use crate::engine::{EngineChange, EngineKey, Stage};
 use crate::evacuation::Evacuation;
 use crate::permit::{Ask, Reply};
-use crate::prompt::Kept;
+use crate::prompt::CachedPrompt;
 use crate::quarantine::Word;
 use crate::{departure, intake};
 
@@ -219,7 +219,7 @@
     /// Changes that the sender has just read.
     pub news: Option<Box<EngineNews>>,
     /// Prompts that engines have begun to generate from for the sender.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<CachedPrompt>,
     /// Some boxes that the sender has heard from of late.
     pub peers: Vec<Named>,
     /// The newest era of the store that the sender knows of; 0 if it does not tell.
@@ -243,7 +243,7 @@
     /// Answers to the receiver's questions for permits.
     pub replies: Vec<Reply>,
     /// Engines that are about to leave.
-    pub departures: Vec<departure::Word>,
+    pub departures: Vec<departure::Announcement>,
 }
 
 impl Message {
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -5,8 +5,8 @@
 
 use hollyspoke::time::Time;
 
-use crate::cold::{Part, Turns};
-use crate::directory::{Directory, Group, Known};
+use crate::cold::{Part, SendTimes};
+use crate::directory::{Directory, Group, Record};
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::load::Ledger;
 use crate::permit::Holder;
@@ -15,62 +15,62 @@
 use crate::terms::{Bar, Terms};
 
 /// How long the load that an engine told with an answer counts.
-const TOLD_LIFE: Duration = Duration::from_millis(400);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(400);
 
 /// What another data centre costs, in shares of an engine that is full.
-const OTHER_DATA_CENTRE: f64 = 0.1;
+const OTHER_DATA_CENTRE_SHARE: f64 = 0.1;
 
 /// What another region costs, in shares of an engine that is full: moves of memory take five times
 /// as long as between data centres of one, and each call some 25 ms more.
-const OTHER_REGION: f64 = 0.3;
+const OTHER_REGION_SHARE: f64 = 0.3;
 
 /// What a rate of failure of one costs, in shares of an engine that is full.
-const FAILURE: f64 = 2.0;
+const FAILURE_SHARE: f64 = 2.0;
 
 /// The pace at which work takes as long as usual, in percent.
-const USUAL_PACE: f64 = 100.0;
+const USUAL_PACE_PERCENT: f64 = 100.0;
 
 /// The work for each slot above which an engine's queue is too long for new work.
-const LONGEST_QUEUE: f64 = 4.0;
+const MAX_QUEUE_RATIO: f64 = 4.0;
 
 /// The share of an engine's memory that is given out.
 const MEMORY_SHARE: f64 = 0.95;
 
 /// The share that is given out where another box has just freed memory: beyond it, the boxes that
 /// wait for memory would all take it at once.
-const CONTESTED_SHARE: f64 = 0.8;
+const CONTESTED_MEMORY_SHARE: f64 = 0.8;
 
 /// What moving a prompt to another data centre costs beside its time.
-const OTHER_DATA_CENTRE_MOVE: Duration = Duration::from_millis(25);
+const OTHER_DATA_CENTRE_TRANSFER: Duration = Duration::from_millis(25);
 
 /// What it costs to choose an engine of another data centre whose work is known from seldom
 /// heartbeats alone, where time is compared: most of a prompt of 5,000 tokens that a reader may
 /// have been sent meanwhile, which takes it 90 ms.
-const FAR_DOUBT: Duration = Duration::from_millis(75);
+const REMOTE_STALENESS_COST: Duration = Duration::from_millis(75);
 
 /// The same, in shares of an engine that is full: two calls of six, or of a dozen four.
-const FAR_DOUBT_SHARE: f64 = 0.3;
+const REMOTE_STALENESS_SHARE: f64 = 0.3;
 
 /// What a failure rate of one costs where time is compared.
-const FAILURE_TIME: Duration = Duration::from_millis(1500);
+const FAILURE_COST: Duration = Duration::from_millis(1500);
 
 /// What reading beside streams that are running costs them.
-const BESIDE_STREAMS: Duration = Duration::from_millis(60);
+const STREAM_INTERFERENCE_COST: Duration = Duration::from_millis(60);
 
 /// The time from a call's sending to an engine's start on it.
 const CALL_OVERHEAD: Duration = Duration::from_millis(15);
 
 /// The engines of a stage up to which all are compared; beyond, a part of them, since the cost of a
 /// request would grow with the engines. Up to some hundreds the best of all is worth its cost.
-const MOST_COMPARED: usize = 300;
+const MAX_COMPARED_COUNT: usize = 300;
 
 /// The engines that are looked at where there are more: the best of 64 drawn ones is among the best
 /// 5 in 100 of all in 96 of 100 cases, and the cost of a choice does not grow with the engines.
-const SAMPLE: usize = 64;
+const SAMPLE_COUNT: usize = 64;
 
 /// Whether a request may ask for a permit to go to an engine in need.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asking {
+pub enum PermitWait {
     /// At any engine whose next permit comes within the time that it can wait.
     Open(Duration),
     /// It has asked at this engine, and waits.
@@ -87,12 +87,12 @@
     /// How soon it is expected to be done with what comes before the answer.
     pub expected: Duration,
     /// The tokens of prompts that are read before and with this one.
-    pub ahead: u64,
+    pub queued_tokens: u64,
 }
 
 /// What a choice is made from.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct Selector<'a> {
     /// The engines.
     pub directory: &'a Directory,
     /// The work at them.
@@ -103,7 +103,7 @@
     pub data_centre: &'a str,
     /// Whether the work at engines of other data centres is known as soon as that of the own data
     /// centre.
-    pub knows_far: bool,
+    pub knows_remote: bool,
     /// Engines that the request was sent to before.
     pub tried: &'a [EngineKey],
     /// Where the request may be served: by its route, and by its customer.
@@ -111,18 +111,18 @@
     /// The regions of all data centres.
     pub regions: &'a Regions,
     /// When this box last sent to cold engines.
-    pub turns: &'a Turns,
+    pub cold_sends: &'a SendTimes,
     /// This box's part of what cold engines bear.
-    pub part: Part,
+    pub cold_share: Part,
     /// What engines have said that binds whoever sends to them.
     pub terms: &'a Terms,
     /// The permits to send to them.
     pub permits: &'a Holder,
     /// Whether the request may wait for one more.
-    pub asking: Asking,
+    pub permit_wait: PermitWait,
     /// For how long an engine may be known to leave that is used all the same, as no other can serve;
     /// none if another can.
-    pub leaving_for: Option<Duration>,
+    pub max_drain_age: Option<Duration>,
     /// Whether engines have crashed under the request.
     pub is_suspect: bool,
     /// Engines at which a request is tried that may crash them.
@@ -133,84 +133,99 @@
     pub draw: u64,
 }
 
-impl View<'_> {
+impl Selector<'_> {
     /// Chooses an engine for a plain request; none if all queues are too long.
-    pub fn plain(&self) -> Option<Choice> {
+    pub fn choose_plain(&self) -> Option<Choice> {
         let candidates = self.candidates(None, self.data_centre, None, |_| true);
         let (known, cost) = self.cheapest(&candidates, |it| self.plain_cost(it))?;
-        if self.queue(known) > LONGEST_QUEUE {
+        if self.queue(known) > MAX_QUEUE_RATIO {
             return None;
         }
         let expected = Duration::from_secs_f64((cost * 0.1).clamp(0.0, 10.0));
-        Some(Choice { engine: known.engine.clone(), expected, ahead: 0 })
+        Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
     }
 
     /// Chooses an engine to read a prompt for another.
-    pub fn reading(&self, staged: &Staged, tokens: u64) -> Option<Choice> {
-        let has_room = |it: &Known| self.has_memory(it, staged, tokens);
+    pub fn choose_prefill(&self, staged: &Staged, tokens: u64) -> Option<Choice> {
+        let has_room = |it: &Record| self.has_memory(it, staged, tokens);
         let stage = Some(Stage::Prefill);
         let candidates = self.candidates(stage, self.data_centre, None, has_room);
         let (known, _) = self.cheapest(&candidates, |it| {
-            let way = OTHER_DATA_CENTRE_MOVE.mul_f64(self.distance(it) / OTHER_DATA_CENTRE);
-            let doubt = self.doubt(it);
-            (self.reading_time(it, tokens) + way + doubt + self.failure_time(it)).as_secs_f64()
+            let distance =
+                OTHER_DATA_CENTRE_TRANSFER.mul_f64(self.distance(it) / OTHER_DATA_CENTRE_SHARE);
+            let staleness_cost = self.staleness_cost(it);
+            (self.prefill_time(it, tokens) + distance + staleness_cost + self.failure_cost(it))
+                .as_secs_f64()
         })?;
-        let expected = self.reading_time(known, tokens) + self.move_time(staged, tokens);
-        Some(Choice { engine: known.engine.clone(), expected, ahead: self.ahead(known) + tokens })
+        let expected = self.prefill_time(known, tokens) + self.transfer_time(staged, tokens);
+        Some(Choice {
+            engine: known.engine.clone(),
+            expected,
+            queued_tokens: self.queued_tokens(known) + tokens,
+        })
     }
 
     /// Chooses an engine that reads the prompt itself and then generates.
-    pub fn alone(&self, staged: &Staged, tokens: u64, held: u64) -> Option<Choice> {
-        let has_room = |it: &Known| self.has_memory(it, staged, held);
+    pub fn choose_combined(&self, staged: &Staged, tokens: u64, held: u64) -> Option<Choice> {
+        let has_room = |it: &Record| self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
         let candidates = self.candidates(stage, self.data_centre, None, has_room);
         let (known, cost) = self.cheapest(&candidates, |it| {
             let load = self.ledger.at(it.engine.key);
-            let beside = BESIDE_STREAMS * load.calls.min(4);
-            let doubt = self.doubt(it);
-            (self.reading_time(it, tokens) + beside + doubt + self.failure_time(it)).as_secs_f64()
+            let interference = STREAM_INTERFERENCE_COST * load.calls.min(4);
+            let staleness_cost = self.staleness_cost(it);
+            (self.prefill_time(it, tokens) + interference + staleness_cost + self.failure_cost(it))
+                .as_secs_f64()
         })?;
         let expected = Duration::from_secs_f64(cost);
-        Some(Choice { engine: known.engine.clone(), expected, ahead: self.ahead(known) + tokens })
+        Some(Choice {
+            engine: known.engine.clone(),
+            expected,
+            queued_tokens: self.queued_tokens(known) + tokens,
+        })
     }
 
     /// Chooses an engine that generates from a prompt read in a data centre; the preferred one,
     /// where memory was reserved, if it can still be used.
-    pub fn generating(
+    pub fn choose_decode(
         &self,
         staged: &Staged,
         held: u64,
         source_data_centre: &str,
         preferred: Option<EngineKey>,
     ) -> Option<Choice> {
-        let is_kept = |it: &Known| {
+        let is_reserved = |it: &Record| {
             let total = u64::from(self.ledger.at(it.engine.key).held);
             preferred == Some(it.engine.key) && total <= staged.memory_tokens
         };
-        let has_room = |it: &Known| is_kept(it) || self.has_memory(it, staged, held);
+        let has_room = |it: &Record| is_reserved(it) || self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
         let candidates = self.candidates(stage, source_data_centre, preferred, has_room);
         let (known, _) = self.cheapest(&candidates, |it| {
-            if is_kept(it) {
+            if is_reserved(it) {
                 return 0.0;
             }
             let load = self.ledger.at(it.engine.key);
             let memory = f64::from(load.held) / staged.memory_tokens.max(1) as f64;
-            let reads = if load.reading > 0 { OTHER_DATA_CENTRE } else { 0.0 };
-            let way = self.distance_from(source_data_centre, it);
-            memory + reads + way + self.doubt_share(it) + it.health.rate(self.now) * FAILURE
+            let prefill_share = if load.reading > 0 { OTHER_DATA_CENTRE_SHARE } else { 0.0 };
+            let distance = self.distance_from(source_data_centre, it);
+            memory
+                + prefill_share
+                + distance
+                + self.staleness_share(it)
+                + it.health.failure_rate(self.now) * FAILURE_SHARE
         })?;
-        let expected = CALL_OVERHEAD + self.move_time(staged, held);
-        Some(Choice { engine: known.engine.clone(), expected, ahead: 0 })
+        let expected = CALL_OVERHEAD + self.transfer_time(staged, held);
+        Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
     }
 
     /// Makes the choice of an engine that has the prompt already.
-    pub fn at(known: &Known) -> Choice {
-        Choice { engine: known.engine.clone(), expected: CALL_OVERHEAD, ahead: 0 }
+    pub fn choose_cached(known: &Record) -> Choice {
+        Choice { engine: known.engine.clone(), expected: CALL_OVERHEAD, queued_tokens: 0 }
     }
 
     /// Tells whether an engine takes new requests and has room for one.
-    pub fn has_room(&self, known: &Known, staged: &Staged, held: u64) -> bool {
+    pub fn has_room(&self, known: &Record, staged: &Staged, held: u64) -> bool {
         self.is_allowed(known) && self.has_memory(known, staged, held)
     }
 
@@ -226,53 +241,53 @@
         stage: Option<Stage>,
         data_centre: &str,
         preferred: Option<EngineKey>,
-        has_room: impl Fn(&Known) -> bool,
-    ) -> Vec<&Known> {
+        has_room: impl Fn(&Record) -> bool,
+    ) -> Vec<&Record> {
         let is_of_stage = |it: &Group| stage.is_none() || it.stage.is_none() || it.stage == stage;
         // Few of many engines may lie in the homes: a sample of all would miss them.
         let is_usable = |it: &Group| is_of_stage(it) && self.is_home(&it.data_centre);
         let name = &self.service.name;
         let count = self.directory.count(name, is_usable);
-        if count <= MOST_COMPARED {
+        if count <= MAX_COMPARED_COUNT {
             let mut all: Vec<_> =
                 self.directory.sample(name, is_usable, count, self.draw).collect();
             all.sort_by_key(|it| it.engine.key);
             return self.usable(all, &has_room);
         }
         let preferred = preferred.and_then(|it| self.directory.get(it));
-        let is_near = |it: &Group| is_usable(it) && *it.data_centre == *data_centre;
-        let near = self.directory.sample(name, is_near, SAMPLE, self.draw);
-        let usable = self.usable(preferred.into_iter().chain(near).collect(), &has_room);
+        let is_local = |it: &Group| is_usable(it) && *it.data_centre == *data_centre;
+        let local = self.directory.sample(name, is_local, SAMPLE_COUNT, self.draw);
+        let usable = self.usable(preferred.into_iter().chain(local).collect(), &has_room);
         if !usable.is_empty() {
             return usable;
         }
-        let far = self.directory.sample(name, is_usable, SAMPLE, self.draw);
-        self.usable(far.collect(), &has_room)
+        let remote = self.directory.sample(name, is_usable, SAMPLE_COUNT, self.draw);
+        self.usable(remote.collect(), &has_room)
     }
 
     /// Gives those of some engines that may take the call and have room for it.
     fn usable<'a>(
         &self,
-        engines: Vec<&'a Known>,
-        has_room: impl Fn(&Known) -> bool,
-    ) -> Vec<&'a Known> {
+        engines: Vec<&'a Record>,
+        has_room: impl Fn(&Record) -> bool,
+    ) -> Vec<&'a Record> {
         let allowed = engines.into_iter().filter(|it| self.is_allowed(it));
-        let mut all: Vec<_> = allowed.filter(|it| !it.health.is_out(self.now)).collect();
+        let mut all: Vec<_> = allowed.filter(|it| !it.health.is_unreachable(self.now)).collect();
         if all.iter().any(|it| !it.health.is_suspected(self.now)) {
             all.retain(|it| !it.health.is_suspected(self.now));
         }
         all.retain(|it| has_room(it));
-        let is_new = |it: &&Known| !self.tried.contains(&it.engine.key);
+        let is_new = |it: &&Record| !self.tried.contains(&it.engine.key);
         let new: Vec<_> = all.iter().copied().filter(is_new).collect();
-        let is_good = |it: &&Known| !it.health.is_poor(self.now);
+        let is_good = |it: &&Record| !it.health.is_poor(self.now);
         let good: Vec<_> = new.iter().copied().filter(is_good).collect();
         let chosen = [good, new, all].into_iter().find(|it| !it.is_empty()).unwrap_or_default();
-        self.keep_apart(chosen)
+        self.separate_suspects(chosen)
     }
 
     /// Tells whether the request may be sent to an engine at all: it takes new requests by what is
     /// listed and by its own word, lies in all homes, and is not cold or bears one more request.
-    pub fn is_allowed(&self, known: &Known) -> bool {
+    pub fn is_allowed(&self, known: &Record) -> bool {
         known.is_open(self.now)
             && self.is_home(&known.engine.data_centre)
             && !self.is_too_cold(known)
@@ -280,31 +295,31 @@
     }
 
     /// Tells whether an engine's own word lets the request go there.
-    fn is_admitted(&self, known: &Known) -> bool {
+    fn is_admitted(&self, known: &Record) -> bool {
         let engine = known.engine.key;
-        match self.terms.bar(&known.engine, self.leaving_for, self.now) {
+        match self.terms.bar(&known.engine, self.max_drain_age, self.now) {
             None => true,
             Some(Bar::Leaving | Bar::Rest) => false,
-            Some(Bar::Limit) => !self.must_ask(engine) || self.may_ask(engine),
+            Some(Bar::Limit) => !self.needs_permit(engine) || self.may_request_permit(engine),
         }
     }
 
     /// Gives the view of a request that has not asked for a permit yet.
-    pub fn unasked(&self) -> View<'_> {
-        View { asking: Asking::Open(Duration::ZERO), ..*self }
+    pub fn before_permit(&self) -> Selector<'_> {
+        Selector { permit_wait: PermitWait::Open(Duration::ZERO), ..*self }
     }
 
     /// Tells whether a request can go to an engine only with a permit that is not there yet.
-    pub fn must_ask(&self, engine: EngineKey) -> bool {
+    pub fn needs_permit(&self, engine: EngineKey) -> bool {
         self.terms.limits.of(engine).is_some() && !self.permits.has(engine, self.now)
     }
 
     /// Tells whether the request may wait for a permit for an engine.
-    fn may_ask(&self, engine: EngineKey) -> bool {
-        match self.asking {
-            Asking::Open(patience) => !self.permits.is_refused(engine, patience, self.now),
-            Asking::At(asked) => asked == engine,
-            Asking::Never => false,
+    fn may_request_permit(&self, engine: EngineKey) -> bool {
+        match self.permit_wait {
+            PermitWait::Open(patience) => !self.permits.is_refused(engine, patience, self.now),
+            PermitWait::At(asked) => asked == engine,
+            PermitWait::Never => false,
         }
     }
 
@@ -314,20 +329,22 @@
     }
 
     /// Tells whether an engine is cold and bears no more of this box's requests now.
-    fn is_too_cold(&self, known: &Known) -> bool {
+    fn is_too_cold(&self, known: &Record) -> bool {
         let rate = self.service.cold_rate.filter(|_| known.is_cold(self.now));
-        rate.is_some_and(|it| !self.turns.may_send(known.engine.key, it, self.part, self.now))
+        rate.is_some_and(|it| {
+            !self.cold_sends.may_send(known.engine.key, it, self.cold_share, self.now)
+        })
     }
 
     /// Keeps those of some engines where a suspect request harms the fewest others if it crashes its
     /// engine, and keeps other requests away from such a one while there are other engines.
-    fn keep_apart<'a>(&self, mut engines: Vec<&'a Known>) -> Vec<&'a Known> {
-        let is_tried = |it: &&Known| self.trials.contains(&it.engine.key);
+    fn separate_suspects<'a>(&self, mut engines: Vec<&'a Record>) -> Vec<&'a Record> {
+        let is_tried = |it: &&Record| self.trials.contains(&it.engine.key);
         if engines.iter().any(|it| !is_tried(it)) {
             engines.retain(|it| !is_tried(it));
         }
         if self.is_suspect {
-            let calls = |it: &&Known| self.ledger.at(it.engine.key).calls;
+            let calls = |it: &&Record| self.ledger.at(it.engine.key).calls;
             let fewest = engines.iter().map(calls).min();
             engines.retain(|it| Some(calls(it)) == fewest);
         }
@@ -337,94 +354,102 @@
     /// Finds the cheapest candidate; the drawn number breaks ties.
     fn cheapest<'a>(
         &self,
-        candidates: &[&'a Known],
-        cost: impl Fn(&Known) -> f64,
-    ) -> Option<(&'a Known, f64)> {
+        candidates: &[&'a Record],
+        cost: impl Fn(&Record) -> f64,
+    ) -> Option<(&'a Record, f64)> {
         let count = candidates.len();
         if count == 0 {
             return None;
         }
         let first = (self.draw % count as u64) as usize;
-        let turned = candidates.iter().cycle().skip(first).take(count);
-        turned.map(|&it| (it, cost(it))).min_by(|a, b| a.1.total_cmp(&b.1))
+        let rotated = candidates.iter().cycle().skip(first).take(count);
+        rotated.map(|&it| (it, cost(it))).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// Gives the cost of a plain request at an engine.
-    fn plain_cost(&self, known: &Known) -> f64 {
-        let doubt = self.doubt_share(known);
+    fn plain_cost(&self, known: &Record) -> f64 {
+        let staleness_share = self.staleness_share(known);
         let one = 1.0 / f64::from(known.engine.slots.max(1));
         let work = (self.queue(known) + one) * self.pace(known);
-        work + self.distance(known) + doubt + known.health.rate(self.now) * FAILURE
+        work + self.distance(known)
+            + staleness_share
+            + known.health.failure_rate(self.now) * FAILURE_SHARE
     }
 
     /// Gives how long work takes at an engine now, in the usual time.
-    fn pace(&self, known: &Known) -> f64 {
-        let told = known.told.filter(|(_, at)| self.now.since(*at) < TOLD_LIFE);
-        told.map_or(1.0, |(it, _)| f64::from(it.pace) / USUAL_PACE)
+    fn pace(&self, known: &Record) -> f64 {
+        let reported =
+            known.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
+        reported.map_or(1.0, |(it, _)| f64::from(it.pace) / USUAL_PACE_PERCENT)
     }
 
     /// Gives what the way to an engine costs, in shares of one that is full.
-    fn distance(&self, known: &Known) -> f64 {
+    fn distance(&self, known: &Record) -> f64 {
         self.distance_from(self.data_centre, known)
     }
 
     /// Gives what the way from a data centre to an engine costs, in shares of one that is full.
-    fn distance_from(&self, data_centre: &str, known: &Known) -> f64 {
+    fn distance_from(&self, data_centre: &str, known: &Record) -> f64 {
         let other = &*known.engine.data_centre;
         if other == data_centre {
             0.0
         } else if self.regions.of(other) == self.regions.of(data_centre) {
-            OTHER_DATA_CENTRE
+            OTHER_DATA_CENTRE_SHARE
         } else {
-            OTHER_REGION
+            OTHER_REGION_SHARE
         }
     }
 
     /// Gives what the age of what is known of an engine costs in time.
-    fn doubt(&self, known: &Known) -> Duration {
-        if self.knows_far || self.is_near(known) { Duration::ZERO } else { FAR_DOUBT }
+    fn staleness_cost(&self, known: &Record) -> Duration {
+        if self.knows_remote || self.is_local(known) {
+            Duration::ZERO
+        } else {
+            REMOTE_STALENESS_COST
+        }
     }
 
     /// Gives what the age of what is known of an engine costs, in shares of one that is full.
-    fn doubt_share(&self, known: &Known) -> f64 {
-        if self.knows_far || self.is_near(known) { 0.0 } else { FAR_DOUBT_SHARE }
+    fn staleness_share(&self, known: &Record) -> f64 {
+        if self.knows_remote || self.is_local(known) { 0.0 } else { REMOTE_STALENESS_SHARE }
     }
 
     /// Gives the work at an engine for each of its slots.
-    fn queue(&self, known: &Known) -> f64 {
+    fn queue(&self, known: &Record) -> f64 {
         let sent = self.ledger.at(known.engine.key).calls;
-        let told = known.told.filter(|(_, at)| self.now.since(*at) < TOLD_LIFE);
-        let told = told.map_or(0, |(it, _)| it.running + it.waiting);
-        f64::from(sent.max(told)) / f64::from(known.engine.slots.max(1))
+        let reported =
+            known.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
+        let reported = reported.map_or(0, |(it, _)| it.running + it.waiting);
+        f64::from(sent.max(reported)) / f64::from(known.engine.slots.max(1))
     }
 
     /// Gives the tokens that an engine has yet to read.
-    fn ahead(&self, known: &Known) -> u64 {
+    fn queued_tokens(&self, known: &Record) -> u64 {
         u64::from(self.ledger.at(known.engine.key).reading)
     }
 
     /// Gives the time until an engine would have read a prompt.
-    fn reading_time(&self, known: &Known, tokens: u64) -> Duration {
-        let rate = self.directory.rate(known, self.now).max(0.1);
-        let millis = (self.ahead(known) + tokens) as f64 / rate;
+    fn prefill_time(&self, known: &Record, tokens: u64) -> Duration {
+        let rate = self.directory.prefill_rate(known, self.now).max(0.1);
+        let millis = (self.queued_tokens(known) + tokens) as f64 / rate;
         CALL_OVERHEAD + Duration::from_secs_f64(millis / 1e3)
     }
 
     /// Gives the time that a move of a prompt takes over an idle link.
-    fn move_time(&self, staged: &Staged, tokens: u64) -> Duration {
+    fn transfer_time(&self, staged: &Staged, tokens: u64) -> Duration {
         let bits = (tokens * staged.token_bytes * 8) as f64;
         let rate = (staged.link_mbps * 1e6).max(1.0);
         Duration::from_secs_f64((bits / rate).min(10.0))
     }
 
     /// Gives what an engine's failures cost in time.
-    fn failure_time(&self, known: &Known) -> Duration {
-        FAILURE_TIME.mul_f64(known.health.rate(self.now))
+    fn failure_cost(&self, known: &Record) -> Duration {
+        FAILURE_COST.mul_f64(known.health.failure_rate(self.now))
     }
 
     /// Tells whether an engine has memory for more tokens. An empty engine always has, so that a
     /// request larger than all engines gets the engine's own answer.
-    fn has_memory(&self, known: &Known, staged: &Staged, tokens: u64) -> bool {
+    fn has_memory(&self, known: &Record, staged: &Staged, tokens: u64) -> bool {
         if known.is_full(tokens, self.now) {
             return false;
         }
@@ -432,12 +457,12 @@
         let held = u64::from(self.ledger.at(engine).held);
         let memory = staged.memory_tokens as f64;
         let is_contested = self.ledger.is_contested(engine, self.now);
-        let share = if is_contested { CONTESTED_SHARE } else { MEMORY_SHARE };
+        let share = if is_contested { CONTESTED_MEMORY_SHARE } else { MEMORY_SHARE };
         held == 0 || (held + tokens) as f64 <= memory * share
     }
 
     /// Tells whether an engine is in this box's data centre.
-    fn is_near(&self, known: &Known) -> bool {
+    fn is_local(&self, known: &Record) -> bool {
         *known.engine.data_centre == *self.data_centre
     }
 }
--- a/crates/hollyspoke-gateway/src/prompt.rs
+++ b/crates/hollyspoke-gateway/src/prompt.rs
@@ -14,10 +14,10 @@
 use crate::engine::EngineKey;
 
 /// How long an engine is taken to keep a prompt. A run may take some seconds of it.
-const KEPT_FOR: Duration = Duration::from_secs(12);
+const CACHE_TTL: Duration = Duration::from_secs(12);
 
 /// The most engines noted for one prompt.
-const MOST_ENGINES: usize = 2;
+const MAX_ENGINES_COUNT: usize = 2;
 
 /// The short name of a prompt: a hash of the platform's name for its last part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 /// An engine that keeps a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct CachedPrompt {
     /// The prompt.
     pub prompt: PromptKey,
     /// The engine.
@@ -41,7 +41,7 @@
 
 /// The engines that keep one prompt.
 #[derive(Debug, Clone, Default)]
-struct Keepers {
+struct CachingEngines {
     /// The engines, the newest last.
     engines: Vec<EngineKey>,
     /// When one was last noted.
@@ -52,67 +52,67 @@
 #[derive(Debug, Clone, Default)]
 pub struct Prompts {
     /// The engines that keep each prompt.
-    keepers: HashMap<PromptKey, Keepers>,
+    caching_engines: HashMap<PromptKey, CachingEngines>,
     /// When each prompt was noted, the oldest first.
     noted: VecDeque<(Time, PromptKey)>,
     /// What this box has seen itself and not told yet.
-    untold: Vec<Kept>,
+    unannounced: Vec<CachedPrompt>,
 }
 
 impl Prompts {
     /// Notes what this box has seen, to be told to others.
-    pub fn see(&mut self, kept: Kept, now: Time) {
-        self.note(kept, now);
-        self.untold.push(kept);
+    pub fn observe(&mut self, cached: CachedPrompt, now: Time) {
+        self.record(cached, now);
+        self.unannounced.push(cached);
     }
 
     /// Notes that an engine keeps a prompt.
-    pub fn note(&mut self, kept: Kept, now: Time) {
-        self.drop_old(now);
-        let keepers = self.keepers.entry(kept.prompt).or_default();
-        keepers.noted = now;
-        keepers.engines.retain(|it| *it != kept.engine);
-        keepers.engines.push(kept.engine);
-        if keepers.engines.len() > MOST_ENGINES {
-            keepers.engines.remove(0);
+    pub fn record(&mut self, cached: CachedPrompt, now: Time) {
+        self.remove_expired(now);
+        let caching_engines = self.caching_engines.entry(cached.prompt).or_default();
+        caching_engines.noted = now;
+        caching_engines.engines.retain(|it| *it != cached.engine);
+        caching_engines.engines.push(cached.engine);
+        if caching_engines.engines.len() > MAX_ENGINES_COUNT {
+            caching_engines.engines.remove(0);
         }
-        self.noted.push_back((now, kept.prompt));
+        self.noted.push_back((now, cached.prompt));
     }
 
     /// Gives the engines that keep a prompt, the newest first.
-    pub fn keepers(&self, prompt: PromptKey) -> impl Iterator<Item = EngineKey> {
-        let keepers = self.keepers.get(&prompt);
-        let engines = keepers.map(|it| it.engines.as_slice()).unwrap_or_default();
+    pub fn caching_engines(&self, prompt: PromptKey) -> impl Iterator<Item = EngineKey> {
+        let caching_engines = self.caching_engines.get(&prompt);
+        let engines = caching_engines.map(|it| it.engines.as_slice()).unwrap_or_default();
         engines.iter().rev().copied()
     }
 
     /// Notes that an engine keeps nothing any more.
     pub fn forget(&mut self, engine: EngineKey) {
-        for keepers in self.keepers.values_mut() {
-            keepers.engines.retain(|it| *it != engine);
+        for caching_engines in self.caching_engines.values_mut() {
+            caching_engines.engines.retain(|it| *it != engine);
         }
-        self.untold.retain(|it| it.engine != engine);
+        self.unannounced.retain(|it| it.engine != engine);
     }
 
     /// Tells whether something is to be told to others.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    pub fn has_unannounced(&self) -> bool {
+        !self.unannounced.is_empty()
     }
 
     /// Gives what is to be told to others.
-    pub fn take_untold(&mut self) -> Vec<Kept> {
-        std::mem::take(&mut self.untold)
+    pub fn take_unannounced(&mut self) -> Vec<CachedPrompt> {
+        std::mem::take(&mut self.unannounced)
     }
 
     /// Drops prompts that were not noted of late.
-    fn drop_old(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while let Some(&(noted, prompt)) = self.noted.front() {
-            if now.since(noted) < KEPT_FOR {
+            if now.since(noted) < CACHE_TTL {
                 return;
             }
             self.noted.pop_front();
-            if self.keepers.get(&prompt).is_some_and(|it| it.noted <= noted) {
-                self.keepers.remove(&prompt);
+            if self.caching_engines.get(&prompt).is_some_and(|it| it.noted <= noted) {
+                self.caching_engines.remove(&prompt);
             }
         }
     }
--- a/crates/hollyspoke-gateway/src/quarantine/case.rs
+++ b/crates/hollyspoke-gateway/src/quarantine/case.rs
@@ -240,7 +240,7 @@
     /// Counts a crash of a life of an engine as it is being asked, unless it is counted; tells whether
     /// it counts.
     pub(super) fn suspect(&mut self, engine: &Engine) -> bool {
-        let Engine { key, born, .. } = *engine;
+        let Engine { key, started_at: born, .. } = *engine;
         let is_counted = self.crashes().any(|it| (it.engine, it.born) == (key, born));
         let place = self.crashes.iter_mut().find(|it| it.is_none());
         let Some(place) = place.filter(|_| !is_counted) else { return false };
--- a/crates/hollyspoke-gateway/src/region.rs
+++ b/crates/hollyspoke-gateway/src/region.rs
@@ -43,7 +43,7 @@
     }
 
     /// Tells whether they bind at all.
-    pub fn is_bound(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
--- a/crates/hollyspoke-gateway/src/rest.rs
+++ b/crates/hollyspoke-gateway/src/rest.rs
@@ -113,7 +113,7 @@
             return is_news.then_some(Change::Begun(span));
         }
         let rest = Rest {
-            born: engine.born,
+            born: engine.started_at,
             began: now,
             until,
             allowed: 1,
@@ -206,6 +206,6 @@
 impl Rest {
     /// Tells whether it was asked for by the life of an engine that is listed.
     fn is_of(&self, engine: &Engine) -> bool {
-        self.born.is_none() || self.born >= engine.born
+        self.born.is_none() || self.born >= engine.started_at
     }
 }
--- a/crates/hollyspoke-gateway/src/route.rs
+++ b/crates/hollyspoke-gateway/src/route.rs
@@ -43,19 +43,19 @@
     /// The longest time a request may be held.
     pub timeout: Duration,
     /// The time within which an answer earns its full credit.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// The rank; 0 is the highest.
     pub priority: u8,
     /// The services and their weights; never empty.
     pub splits: Vec<Split>,
     /// Whether requests need no key.
-    pub is_open: bool,
+    pub is_auth_exempt: bool,
     /// The most engines that one request may be sent to.
     pub max_attempts: u32,
     /// Whether a broken stream may go on at another engine.
     pub resumable: bool,
     /// The longest pause between events with which a stream is in time.
-    pub longest_gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Where requests of the route may be served.
     pub homes: Homes,
 }
@@ -97,7 +97,7 @@
     /// How long an engine keeps a prompt that it has read for another engine.
     pub handle_ttl: Duration,
     /// How long an engine takes to change its stage once nothing runs there; none if it can't.
-    pub switch_span: Option<Duration>,
+    pub switch_duration: Option<Duration>,
 }
 
 /// One service.
--- a/crates/hollyspoke-gateway/src/snapshot.rs
+++ b/crates/hollyspoke-gateway/src/snapshot.rs
@@ -113,5 +113,5 @@
     pub evacuation: Evacuation,
     /// The engines that are about to leave; a box that reads the first format alone is not told.
     #[serde(skip)]
-    pub departures: Vec<departure::Word>,
+    pub departures: Vec<departure::Announcement>,
 }
--- a/crates/hollyspoke-server/src/datagram.rs
+++ b/crates/hollyspoke-server/src/datagram.rs
@@ -275,15 +275,15 @@
 
 impl DepartureField {
     /// Makes the field of what a box tells.
-    pub(crate) fn of(word: &departure::Word) -> DepartureField {
-        let &departure::Word { engine, born, age_ms } = word;
+    pub(crate) fn of(word: &departure::Announcement) -> DepartureField {
+        let &departure::Announcement { engine, started_at: born, age_ms } = word;
         DepartureField { engine: engine.0, born, age_ms }
     }
 
     /// Gives what a box tells.
-    pub(crate) fn word(&self) -> departure::Word {
+    pub(crate) fn word(&self) -> departure::Announcement {
         let &DepartureField { engine, born, age_ms } = self;
-        departure::Word { engine: EngineKey(engine), born, age_ms }
+        departure::Announcement { engine: EngineKey(engine), started_at: born, age_ms }
     }
 }
 
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -142,8 +142,8 @@
                 self.peers.add(silent.len() as u64, &[KeyValue::new("alive", false)]);
             }
             Note::Switch { stage, engines, demand, .. } => {
-                self.split.record(u64::from(engines.readers), &[KeyValue::new("stage", "reads")]);
-                let generators = u64::from(engines.generators);
+                self.split.record(u64::from(engines.prefill), &[KeyValue::new("stage", "reads")]);
+                let generators = u64::from(engines.decode);
                 self.split.record(generators, &[KeyValue::new("stage", "generates")]);
                 self.demand.record(u64::from(demand.reading), &[KeyValue::new("of", "reading")]);
                 self.demand.record(u64::from(demand.held), &[KeyValue::new("of", "memory")]);
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -90,7 +90,7 @@
             "held" => token.is_some(), "token" => token),
         Note::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
             "engine" => %id, "stage" => stage_name(*stage),
-            "readers" => engines.readers, "generators" => engines.generators,
+            "readers" => engines.prefill, "generators" => engines.decode,
             "reading" => demand.reading, "held" => demand.held, "requests" => demand.requests),
         Note::Ordered { id, stage, token, before } => info!(log, "order sent";
             "engine" => %id, "stage" => stage_name(*stage), "token" => token, "before" => before),
@@ -124,7 +124,7 @@
 fn end_name(end: departure::End) -> &'static str {
     match end {
         departure::End::Gone => "gone",
-        departure::End::Reborn => "started again",
+        departure::End::Restarted => "started again",
     }
 }
 
--- a/crates/hollyspoke-server/src/upstream.rs
+++ b/crates/hollyspoke-server/src/upstream.rs
@@ -285,7 +285,7 @@
 
 /// Tells the reducer what an engine says of itself, in the life that was asked unless it names one.
 fn state(node: &Rc<Node>, engine: &Engine, says: Statement) {
-    let born = says.born.or(engine.born);
+    let born = says.born.or(engine.started_at);
     dispatch_statement(node, engine.key, Statement { born, ..says });
 }
 
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -131,7 +131,7 @@
         let current = |it: Engine| {
             let crashes = self.crashes.state(it.key).crashes;
             let is_down = self.now < self.crashes.state(it.key).down_until;
-            Engine { born: Some(crashes - u64::from(is_down)), ..it }
+            Engine { started_at: Some(crashes - u64::from(is_down)), ..it }
         };
         engines().into_iter().map(current).collect()
     }
--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -70,13 +70,13 @@
         prefix: format!("/{name}/").into(),
         kind,
         timeout: Duration::from_secs(14),
-        target: Duration::from_millis(900),
+        target_latency: Duration::from_millis(900),
         priority: 1,
         splits: vec![Split { service: service.into(), weight: 1 }],
-        is_open: false,
+        is_auth_exempt: false,
         max_attempts: 2,
         resumable: false,
-        longest_gap: Some(Duration::from_millis(300)),
+        max_gap: Some(Duration::from_millis(300)),
         homes: Homes::default(),
     }
 }
@@ -102,7 +102,7 @@
         token_bytes: 18_432,
         link_mbps: 350_000.0,
         handle_ttl: Duration::from_millis(500),
-        switch_span: None,
+        switch_duration: None,
     };
     let limits = Limits {
         head_bytes: 16_384,
@@ -123,7 +123,7 @@
     Engine {
         key: EngineKey::of(&id),
         id: id.into(),
-        born: None,
+        started_at: None,
         service: service.into(),
         address: SocketAddr::from(([10, 1, 0, number], 9000)),
         data_centre: "north".into(),
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -15,7 +15,7 @@
     DataCentreKey, Demand, EngineNews, Full, Knowledge, Load, Message, Named, Standing, Switching,
     Usage,
 };
-use hollyspoke_gateway::prompt::{Kept, PromptKey};
+use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_gateway::quarantine::{Crash, Proof, Word};
 use hollyspoke_gateway::region::Homes;
 use hollyspoke_gateway::request::Request;
@@ -42,7 +42,7 @@
 fn listed() -> Engine {
     let stage = Some(Stage::Decode);
     Engine {
-        born: Some(1_790_000_000_123),
+        started_at: Some(1_790_000_000_123),
         is_draining: true,
         cold_left_ms: 2500,
         ..engine(21, MODEL, stage)
@@ -93,7 +93,7 @@
                 EngineChange::Left("engine-1".into(), 82.into()),
             ],
         })),
-        kept: vec![Kept { prompt: PromptKey::of("part"), engine: EngineKey(5) }],
+        kept: vec![CachedPrompt { prompt: PromptKey::of("part"), engine: EngineKey(5) }],
         peers: vec![Named { address: address(9), data_centre: DataCentreKey::of("west") }],
         ..heartbeat(2, 300, Knowledge { version: 12, revision: 99.into(), is_blind: true })
     }
--- a/tests/src/stages.rs
+++ b/tests/src/stages.rs
@@ -106,7 +106,7 @@
         token_bytes: 163_840,
         link_mbps: 1_600_000.0,
         handle_ttl: Duration::from_millis(500),
-        switch_span: Some(SWITCH),
+        switch_duration: Some(SWITCH),
     };
     let once = Route { max_attempts: 1, ..route("once", RouteKind::Stream, MODEL) };
     let services = vec![Service { name: MODEL.into(), staged: Some(staged), cold_rate: None }];
--- a/tests/tests/directory.rs
+++ b/tests/tests/directory.rs
@@ -87,16 +87,16 @@
             let until = |waits: bool| waits.then(|| now + Duration::from_millis(800));
             match step {
                 Step::Put(number, shape) => {
-                    directory.change(shaped(number, shape), revision, now);
+                    directory.apply_change(shaped(number, shape), revision, now);
                 }
                 Step::Leave(number, waits) => {
-                    directory.leave(&format!("engine-{number}"), revision, until(waits), now);
+                    directory.remove(&format!("engine-{number}"), revision, until(waits), now);
                 }
                 Step::List(list, waits) => {
                     let engines = list.into_iter().map(|(number, shape)| shaped(number, shape));
                     let mut known = BTreeSet::new();
                     let engines = engines.filter(|it| known.insert(it.key)).collect();
-                    directory.list(engines, revision, until(waits), now);
+                    directory.apply_list(engines, revision, until(waits), now);
                 }
                 Step::Remove => {
                     directory.remove_missing(now);
@@ -133,7 +133,7 @@
                 address: number,
                 is_draining: false,
             };
-            directory.change(shaped(number, shape), (u64::from(number) + 1).into(), Time::ZERO);
+            directory.apply_change(shaped(number, shape), (u64::from(number) + 1).into(), Time::ZERO);
         }
         let sample: Vec<_> = directory.sample(MODEL, |_| true, most, draw).collect();
         prop_assert_eq!(sample.len(), most.min(usize::from(count)));
@@ -160,7 +160,7 @@
     let began = Instant::now();
     let mut directory = Directory::default();
     for number in 0..10_000 {
-        directory.change(one_of_many(number), (u64::from(number) + 1).into(), Time::ZERO);
+        directory.apply_change(one_of_many(number), (u64::from(number) + 1).into(), Time::ZERO);
     }
     assert_eq!(directory.len(), 10_000);
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -58,7 +58,8 @@
 
 /// Gives all that the later format tells.
 fn extension() -> Extension {
-    let departure = |born| departure::Word { engine: EngineKey(6), born, age_ms: 1200 };
+    let departure =
+        |born| departure::Announcement { engine: EngineKey(6), started_at: born, age_ms: 1200 };
     Extension { departures: vec![departure(Some(7)), departure(None)], ..first_extension() }
 }
 
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -16,7 +16,7 @@
     DataCentreKey, Demand, EngineNews, Full, Knowledge, Load, Message, Named, Standing, Switching,
     Usage,
 };
-use hollyspoke_gateway::prompt::{Kept, PromptKey};
+use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_platform::DIALECT;
 use hollyspoke_tests::gateway::{World, configuration, engine, engines, heartbeat, request};
 use http::StatusCode;
@@ -109,7 +109,7 @@
         });
     let full = (some_engine(), number()).prop_map(|(engine, held)| Full { engine, held });
     let kept = (any::<u64>(), some_engine())
-        .prop_map(|(prompt, engine)| Kept { prompt: PromptKey(prompt), engine });
+        .prop_map(|(prompt, engine)| CachedPrompt { prompt: PromptKey(prompt), engine });
     let address = (any::<[u8; 4]>(), any::<u16>()).prop_map(SocketAddr::from);
     let peer = (address, 0..3u32).prop_map(|(address, data_centre)| Named {
         address,
--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::cold::{Part, Turns};
+use hollyspoke_gateway::cold::{Part, SendTimes};
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event};
@@ -109,12 +109,12 @@
         let [high, low] = place.to_be_bytes();
         let address = ([10, 0, high, low], 7000).into();
         let part = Part { number: number(&address), boxes: known };
-        let mut turns = Turns::default();
+        let mut turns = SendTimes::default();
         for step in 0..50u64 {
             let now = Time::from_millis(1000 + step * 50 + u64::from(place) % 50);
             for key in (0..engines).map(EngineKey) {
                 if turns.may_send(key, rate, part, now) {
-                    turns.note(key, now);
+                    turns.record(key, now);
                     arrivals.entry(key).or_default().push(now);
                 }
             }
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -105,7 +105,7 @@
 fn open_route() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
-    let open = Route { is_open: true, ..route("open", RouteKind::Safe, PLAIN) };
+    let open = Route { is_auth_exempt: true, ..route("open", RouteKind::Safe, PLAIN) };
     let customers = Customers::new(vec![customer("press", KEY, 0.0)]);
     let configuration: Configuration = configuration_of(1, vec![open]).with_customers(customers);
     world.event(Event::Configured(Arc::new(configuration)));
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -27,7 +27,7 @@
 
 /// Gives the first plain engine in a life.
 fn first(born: u64) -> Engine {
-    Engine { born: Some(born), ..engine(1, PLAIN, None) }
+    Engine { started_at: Some(born), ..engine(1, PLAIN, None) }
 }
 
 /// Gives the first plain engine as it is about to leave.
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -58,7 +58,7 @@
     let mut world = World { gateway, ..World::unconfigured() };
     let bound = |name: &str, kind, service: &str, names: &[&str]| Route {
         homes: homes(names),
-        is_open: true,
+        is_auth_exempt: true,
         resumable: true,
         ..route(name, kind, service)
     };
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use hollyspoke_gateway::departure::Word;
+use hollyspoke_gateway::departure::Announcement;
 use hollyspoke_gateway::effect::{Effect, NotRunReason, Prompt, Refusal, Send, Task};
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
@@ -150,7 +150,7 @@
 
 /// Gives the first plain engine, born at a time.
 fn first(born: Option<u64>) -> Engine {
-    Engine { born, ..engine(1, PLAIN, None) }
+    Engine { started_at: born, ..engine(1, PLAIN, None) }
 }
 
 /// Makes a box before two plain engines of which the first, born at 100, has said that it leaves.
@@ -197,7 +197,7 @@
 fn another_engine_at_its_address() {
     let mut world = one_leaves();
     let address = first(None).address;
-    let other = Engine { address, born: Some(300), ..engine(3, PLAIN, None) };
+    let other = Engine { address, started_at: Some(300), ..engine(3, PLAIN, None) };
     let gone = EngineChange::Left(first(None).id, 21.into());
     world.event(Event::Changed(vec![gone, EngineChange::Put(other.clone(), 22.into())]));
     assert!(plain_go_to(&mut world).contains(&other.key));
@@ -373,7 +373,7 @@
 
 /// Gives word that the first plain engine leaves in a life.
 fn word(born: u64, age_ms: u32) -> Message {
-    let departures = vec![Word { engine: first(None).key, born: Some(born), age_ms }];
+    let departures = vec![Announcement { engine: first(None).key, started_at: Some(born), age_ms }];
     let extension = Extension { departures, ..Extension::default() }.filled();
     Message { extension, ..heartbeat(2, 1, Knowledge::default()) }
 }
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -224,8 +224,8 @@
 fn new_life_takes_all() {
     let mut world = one_engine(0.1);
     assert!(served(&mut world, &ran(200)).is_none());
-    let reborn = Engine { born: Some(200), ..engine(1, PLAIN, None) };
-    let first = Engine { born: Some(100), ..reborn.clone() };
+    let reborn = Engine { started_at: Some(200), ..engine(1, PLAIN, None) };
+    let first = Engine { started_at: Some(100), ..reborn.clone() };
     world.event(Event::Changed(vec![EngineChange::Put(first, 21.into())]));
     world.event(Event::Changed(vec![EngineChange::Put(reborn, 22.into())]));
     assert!(served(&mut world, &ran(200)).is_some());
--- a/tests/tests/gateway_lives.rs
+++ b/tests/tests/gateway_lives.rs
@@ -13,7 +13,7 @@
 
 /// Gives the usual engines, all born at a time.
 fn born(at: u64) -> Vec<Engine> {
-    engines().into_iter().map(|it| Engine { born: Some(at), ..it }).collect()
+    engines().into_iter().map(|it| Engine { started_at: Some(at), ..it }).collect()
 }
 
 /// Gives a box whose engines tell when they were born.
@@ -30,7 +30,7 @@
 
 /// Gives the two plain engines by which of them was born when.
 fn plain(number: u8, at: u64) -> Engine {
-    Engine { born: Some(at), ..engine(number, PLAIN, None) }
+    Engine { started_at: Some(at), ..engine(number, PLAIN, None) }
 }
 
 /// An engine that was not reached is avoided for a time; the one that starts under its id is not.
@@ -47,7 +47,7 @@
         assert_ne!(call.engine.key, avoided.key);
         world.call(call.call, CallEvent::Answered(ran(200)));
     }
-    put(&mut world, Engine { born: Some(200), ..(*avoided).clone() }, 21);
+    put(&mut world, Engine { started_at: Some(200), ..(*avoided).clone() }, 21);
     let used = (0..10).any(|_| {
         let (_, call) = world.sent(request("safe"));
         world.call(call.call, CallEvent::Answered(ran(200)));
@@ -61,7 +61,7 @@
 fn call_to_an_earlier_life() {
     let mut world = world();
     let (_, first) = world.sent(request("safe"));
-    let reborn = Engine { born: Some(200), ..(*first.engine).clone() };
+    let reborn = Engine { started_at: Some(200), ..(*first.engine).clone() };
     put(&mut world, reborn.clone(), 21);
     let effects = world.call(first.call, CallEvent::Unsent);
     let other = only_send(&effects);
@@ -84,7 +84,7 @@
     put(&mut world, Engine { is_draining: true, ..plain(2, 100) }, 23);
     let (_, call) = world.sent(request("safe"));
     assert_eq!(call.engine.key, EngineKey::of("engine-1"));
-    assert_eq!(call.engine.born, Some(200));
+    assert_eq!(call.engine.started_at, Some(200));
 }
 
 /// The list brings a new life as a change does, and whichever comes first, the later life stays.
@@ -94,7 +94,7 @@
     world.event(Event::Listed(born(200), 21.into()));
     world.event(Event::Listed(born(100), 22.into()));
     let (_, call) = world.sent(request("safe"));
-    assert_eq!(call.engine.born, Some(200));
+    assert_eq!(call.engine.started_at, Some(200));
 }
 
 /// A prompt was read, and its engine started again before another took it: the handle is forgotten,
@@ -109,7 +109,7 @@
     let effects = world.call(first.call, CallEvent::Answered(turned_away()));
     let second = only_send(&effects);
     assert!(matches!(second.task, Task::Generate(Prompt::Read(_))), "{second:?}");
-    let reader = Engine { born: Some(200), ..(*reading.engine).clone() };
+    let reader = Engine { started_at: Some(200), ..(*reading.engine).clone() };
     put(&mut world, reader, 21);
     let effects = world.call(second.call, CallEvent::Answered(turned_away()));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
@@ -127,7 +127,7 @@
     for (number, stage) in
         [(11, Stage::Prefill), (12, Stage::Prefill), (21, Stage::Decode), (22, Stage::Decode)]
     {
-        let reborn = Engine { born: Some(200), ..engine(number, MODEL, Some(stage)) };
+        let reborn = Engine { started_at: Some(200), ..engine(number, MODEL, Some(stage)) };
         put(&mut world, reborn, 20 + u64::from(number));
     }
     let (_, call) = world.sent(asked());
@@ -143,7 +143,7 @@
     world.call(call.call, CallEvent::Answered(turned_away()));
     put(&mut world, plain(1, 200), 22);
     let (_, call) = world.sent(request("safe"));
-    assert_eq!(call.engine.born, Some(200));
+    assert_eq!(call.engine.started_at, Some(200));
 }
 
 /// The engine itself says that it has started again before its entry does: what broke there was a
@@ -157,7 +157,7 @@
         flights.push(call.flight);
         world.call(call.call, CallEvent::Broken);
         world.event(Event::Probed(call.engine.key, Probe::Lives(Some(at))));
-        put(&mut world, Engine { born: Some(at), ..(*call.engine).clone() }, at);
+        put(&mut world, Engine { started_at: Some(at), ..(*call.engine).clone() }, at);
     }
     let (_, effects) = world.arrive(request("unsafe"));
     assert!(effects.iter().any(|it| matches!(it, Effect::Refuse(..))), "{effects:?}");
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -6,7 +6,7 @@
 use hollyspoke_gateway::engine::{Engine, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Knowledge, Message};
-use hollyspoke_gateway::prompt::{Kept, PromptKey};
+use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_gateway::request::{FlightKey, Request};
 use hollyspoke_tests::gateway::{
     MEMORY, World, engines, heartbeat, only_send, ran, read, request, turned_away,
@@ -24,7 +24,7 @@
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn told(sequence: u64, engine: EngineKey) -> Event {
-    let kept = vec![Kept { prompt: PromptKey(7), engine }];
+    let kept = vec![CachedPrompt { prompt: PromptKey(7), engine }];
     Event::Heard(Message { kept, ..heartbeat(2, sequence, Knowledge::default()) })
 }
 
@@ -72,7 +72,7 @@
     let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
     let began = Event::Call(generating.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
-    let kept = Kept { prompt: PromptKey(7), engine: generating.engine.key };
+    let kept = CachedPrompt { prompt: PromptKey(7), engine: generating.engine.key };
     let is_told = |it: &Effect| matches!(it, Effect::Tell(_, message) if message.kept == [kept]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
@@ -128,7 +128,7 @@
     world.event(told(1, numbered(21).key));
     world.pass(Duration::from_secs(13));
     world.event(Event::Heard(Message {
-        kept: vec![Kept { prompt: PromptKey(8), engine: numbered(21).key }],
+        kept: vec![CachedPrompt { prompt: PromptKey(8), engine: numbered(21).key }],
         ..heartbeat(2, 2, Knowledge::default())
     }));
     let (_, again) = world.sent(resuming());
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
 use hollyspoke_gateway::message::{Knowledge, Message};
-use hollyspoke_gateway::prompt::{Kept, PromptKey};
+use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::fleet::{BOUND, Behaviour, Fleet};
 use hollyspoke_tests::gateway::{
@@ -245,6 +245,6 @@
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn keeper_told(number: u64) -> Event {
-    let kept = vec![Kept { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
+    let kept = vec![CachedPrompt { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
     Event::Heard(Message { kept, ..heartbeat(2, number + 1, Knowledge::default()) })
 }
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -131,7 +131,7 @@
 
 /// Gives the first plain engine, born at a time.
 fn first(born: Option<u64>) -> Engine {
-    Engine { born, ..engine(1, PLAIN, None) }
+    Engine { started_at: born, ..engine(1, PLAIN, None) }
 }
 
 /// Makes a box before the first plain engine alone.
@@ -175,7 +175,8 @@
     world.event(Event::Listed(vec![first(None), engine(2, PLAIN, None)], 21.into()));
     let (_, send) = world.sent(request("safe"));
     world.call(send.call, CallEvent::Answered(moved));
-    let back = EngineChange::Put(Engine { born: Some(9), ..(*send.engine).clone() }, 22.into());
+    let back =
+        EngineChange::Put(Engine { started_at: Some(9), ..(*send.engine).clone() }, 22.into());
     world.event(Event::Changed(vec![back]));
     assert!(plain_go_to(&mut world).len() == 12);
 }
--- a/tests/tests/platform_entries.rs
+++ b/tests/tests/platform_entries.rs
@@ -153,7 +153,7 @@
     let read = read_page(Kind::Engines, body.as_bytes()).expect("a page");
     let Some(Item::Engine(engine)) = read.items.first() else { panic!("{read:?}") };
     assert_eq!(engine.address, SocketAddr::from(([10, 1, 0, 1], 80)));
-    assert_eq!(engine.born, Some(1_700_000_000_000));
+    assert_eq!(engine.started_at, Some(1_700_000_000_000));
     assert!(!engine.is_draining);
     assert!(read.findings.is_empty(), "{:?}", read.findings);
 }
--- a/tests/tests/quarantine.rs
+++ b/tests/tests/quarantine.rs
@@ -27,14 +27,14 @@
 
 /// Gives an engine in a life of its own.
 fn alive(number: u8, born: u64) -> Engine {
-    Engine { born: Some(born), ..engine(number, PLAIN, None) }
+    Engine { started_at: Some(born), ..engine(number, PLAIN, None) }
 }
 
 /// Has an engine crash under a request, as a box sees it that knows all that went before.
 fn crash(quarantine: &mut Quarantine, signature: Signature, engine: &Engine, now: Time) {
     let stand = quarantine.stand(signature);
     if quarantine.suspect(signature, stand, engine, about(), now) {
-        let life = Life { engine: engine.key, born: engine.born };
+        let life = Life { engine: engine.key, born: engine.started_at };
         quarantine.confirm(life, Proof::Proven, now, UNIX);
     }
 }
@@ -78,7 +78,7 @@
         let stand = quarantine.stand(signature(1));
         let engine = alive(number, 1);
         assert!(quarantine.suspect(signature(1), stand, &engine, about(), now));
-        let life = Life { engine: engine.key, born: engine.born };
+        let life = Life { engine: engine.key, born: engine.started_at };
         quarantine.confirm(life, Proof::Likely, now, UNIX);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Doubted);
--- a/tests/tests/reading_rate.rs
+++ b/tests/tests/reading_rate.rs
@@ -12,7 +12,12 @@
 /// fourth prompt finds it idle, the others wait as long as they take.
 fn measured(prompts: u64) -> Directory {
     let mut directory = Directory::default();
-    directory.list(vec![engine(11, MODEL, Some(Stage::Prefill))], 10.into(), None, Time::ZERO);
+    directory.apply_list(
+        vec![engine(11, MODEL, Some(Stage::Prefill))],
+        10.into(),
+        None,
+        Time::ZERO,
+    );
     let key = EngineKey::of("engine-11");
     for prompt in 0..prompts {
         let waits = if prompt % 4 == 0 { 1 } else { 3 };
@@ -26,14 +31,14 @@
 fn waits_do_not_hide_it() {
     let directory = measured(200);
     let known = directory.get(EngineKey::of("engine-11")).expect("it is listed");
-    let usual = directory.rate(known, Time::from_millis(11_000));
+    let usual = directory.prefill_rate(known, Time::from_millis(11_000));
     assert!(usual < 26.0, "the usual rate counts the waits: {usual}");
-    let best = directory.best_rate(MODEL);
+    let best = directory.best_prefill_rate(MODEL);
     assert!((27.0..34.0).contains(&best), "{best}");
 }
 
 #[test]
 fn first_ones_mean_little() {
     let directory = measured(2);
-    assert!((25.0..35.0).contains(&directory.best_rate(MODEL)));
+    assert!((25.0..35.0).contains(&directory.best_prefill_rate(MODEL)));
 }
--- a/tests/tests/run_lengths.rs
+++ b/tests/tests/run_lengths.rs
@@ -43,7 +43,7 @@
 fn demand_is_known_early() {
     let mut meter = Meter::default();
     for step in 0..20 {
-        meter.arrive(3000, 3100, Time::from_millis(1000 + step * 100));
+        meter.record(3000, 3100, Time::from_millis(1000 + step * 100));
     }
     let demand = meter.demand(Time::from_millis(3000), Duration::from_secs(3));
     assert!((27_000..33_000).contains(&demand.reading), "{demand:?}");
@@ -55,7 +55,7 @@
 fn demand_fades() {
     let mut meter = Meter::default();
     for step in 0..100 {
-        meter.arrive(3000, 3100, Time::from_millis(step * 100));
+        meter.record(3000, 3100, Time::from_millis(step * 100));
     }
     let demand = meter.demand(Time::from_millis(40_000), Duration::from_secs(3));
     assert!(demand.requests == 0 && demand.reading < 1000, "{demand:?}");
--- a/tests/tests/stage_ratio.rs
+++ b/tests/tests/stage_ratio.rs
@@ -11,8 +11,8 @@
     let split = (1u32..100, 1u32..100);
     (demand, capacity, split).prop_map(|(demand, capacity, split)| {
         let demand = Demand { reading: demand.0, held: demand.1, requests: 100 };
-        let capacity = Capacity { reading: capacity.0, memory: capacity.1 };
-        (demand, capacity, Split { readers: split.0, generators: split.1 })
+        let capacity = Capacity { prefill_rate: capacity.0, memory_tokens: capacity.1 };
+        (demand, capacity, Split { prefill: split.0, decode: split.1 })
     })
 }
 
@@ -20,10 +20,10 @@
     /// The best split is none but a whole one, and no other one is better.
     #[test]
     fn best_is_best((demand, capacity, split) in any_case()) {
-        let engines = split.readers + split.generators;
+        let engines = split.prefill + split.decode;
         let best = best(demand, capacity, engines).expect("there are two engines");
-        prop_assert!(best.readers > 0 && best.generators > 0);
-        prop_assert_eq!(best.readers + best.generators, engines);
+        prop_assert!(best.prefill > 0 && best.decode > 0);
+        prop_assert_eq!(best.prefill + best.decode, engines);
         prop_assert!(pressure(demand, capacity, best) <= pressure(demand, capacity, split));
     }
 
@@ -35,10 +35,10 @@
             let Some(next) = change(demand, capacity, split, split) else { return Ok(()) };
             prop_assert_eq!(*first.get_or_insert(next), next);
             match next {
-                Change::ToGenerating => { split.readers -= 1; split.generators += 1; }
-                Change::ToReading => { split.readers += 1; split.generators -= 1; }
+                Change::ToDecode => { split.prefill -= 1; split.decode += 1; }
+                Change::ToPrefill => { split.prefill += 1; split.decode -= 1; }
             }
-            prop_assert!(split.readers > 0 && split.generators > 0);
+            prop_assert!(split.prefill > 0 && split.decode > 0);
         }
         prop_assert!(false, "no end");
     }
@@ -46,7 +46,7 @@
     /// A burst of the same requests asks for the same split.
     #[test]
     fn burst_changes_nothing((demand, capacity, split) in any_case(), times in 2u32..4) {
-        let engines = split.readers + split.generators;
+        let engines = split.prefill + split.decode;
         let more = Demand { reading: demand.reading * times, held: demand.held * times, ..demand };
         let before = best(demand, capacity, engines);
         let after = best(more, capacity, engines).expect("there are two engines");
