--- a/crates/hollyspoke-gateway/src/back_off.rs
+++ b/crates/hollyspoke-gateway/src/back_off.rs
@@ -114,7 +114,7 @@
             return is_news.then_some(Change::Begun(span));
         }
         let back_off = BackOff {
-            born: engine.born,
+            born: engine.started_at,
             began: now,
             until,
             max_calls: 1,
@@ -210,6 +210,6 @@
 impl BackOff {
     /// Tells whether it was asked for by the life of an engine that is listed.
     fn is_of(&self, engine: &Engine) -> bool {
-        self.born.is_none() || self.born >= engine.born
+        self.born.is_none() || self.born >= engine.started_at
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/cached.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cached.rs
@@ -3,11 +3,11 @@
 
 use super::Gateway;
 use super::start::NextCall;
-use crate::directory::Known;
+use crate::directory::Record;
 use crate::effect::{Prompt, Task};
 use crate::engine::{EngineKey, Stage};
 use crate::in_flight::InFlight;
-use crate::placement::View;
+use crate::placement::Selector;
 use crate::route::Staged;
 
 impl Gateway {
@@ -16,21 +16,21 @@
     pub(super) fn next_cached(
         &self,
         in_flight: &InFlight,
-        view: &View<'_>,
+        view: &Selector<'_>,
         staged: &Staged,
     ) -> Option<NextCall> {
         if in_flight.source.is_some() {
             return None;
         }
         let prompt = in_flight.request.prompt?;
-        let keepers = self.prompts.keepers(prompt).filter(|&it| !has_failed(in_flight, it));
+        let keepers = self.prompts.caching_engines(prompt).filter(|&it| !has_failed(in_flight, it));
         let keepers = keepers.filter_map(|it| self.directory.get(it));
         let keepers = keepers.filter(|it| !it.is_evacuated());
         let keepers: Vec<_> = keepers.filter(|it| !it.health.is_poor(self.now)).collect();
         let held = in_flight.request.mean_held_tokens();
         let generators = keepers.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
         // A kept prompt is no reason to wait for an engine in need: others read it in less.
-        let at_once = generators.filter(|it| !view.must_ask(it.engine.key));
+        let at_once = generators.filter(|it| !view.needs_permit(it.engine.key));
         let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| call_to_holder(it));
         own.chain(keepers.iter().filter_map(|it| call_to_importer(it, view, staged, held))).next()
     }
@@ -42,19 +42,19 @@
 }
 
 /// Makes the call to an engine that keeps the prompt.
-fn call_to_holder(keeper: &Known) -> NextCall {
-    let choice = View::at(keeper);
+fn call_to_holder(keeper: &Record) -> NextCall {
+    let choice = Selector::choose_cached(keeper);
     NextCall { task: Task::Decode(Prompt::Cached), choice, decode_engine: None }
 }
 
 /// Makes the call to an engine that takes the prompt from the one that keeps it.
 fn call_to_importer(
-    keeper: &Known,
-    view: &View<'_>,
+    keeper: &Record,
+    view: &Selector<'_>,
     staged: &Staged,
     held: u64,
 ) -> Option<NextCall> {
-    let choice = view.generating(staged, held, &keeper.engine.data_centre, None)?;
+    let choice = view.choose_decode(staged, held, &keeper.engine.data_centre, None)?;
     if choice.engine.key == keeper.engine.key {
         return None;
     }
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -9,7 +9,7 @@
 use crate::in_flight::Call;
 use crate::load::Urgency;
 use crate::message::{Load, Rejection};
-use crate::prompt::Kept;
+use crate::prompt::CachedPrompt;
 use crate::request::{CallKey, RequestKey};
 
 /// The status of an answer as asked for.
@@ -66,7 +66,7 @@
         in_flight.trace.mark_sent();
         in_flight.source = None;
         if let Some(prompt) = in_flight.request.prompt {
-            self.prompts.see(Kept { prompt, engine: call.engine.key }, now);
+            self.prompts.observe(CachedPrompt { prompt, engine: call.engine.key }, now);
         }
         in_flight.silence_deadline = in_flight.gap_timeout().map(|it| now + it);
         let silence_deadline = in_flight.silence_deadline;
@@ -90,7 +90,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.last_event = id.or(in_flight.last_event);
         in_flight.silence_deadline = in_flight.gap_timeout().map(|it| now + it);
-        if in_flight.route.longest_gap.is_some_and(|it| pause > it) {
+        if in_flight.route.max_gap.is_some_and(|it| pause > it) {
             self.record_failure(&call);
         }
     }
@@ -111,10 +111,10 @@
         self.log_failure(call, "turned away", answer.status);
         let now = self.now;
         if answer.execution == Execution::Replaced {
-            self.directory.replace(call.engine.key, now);
+            self.directory.mark_misdirected(call.engine.key, now);
             self.unannounced.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.turn_away(call.load.held_tokens, now);
+            known.record_rejection(call.load.held_tokens, now);
             self.unannounced.rejections
                 .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
         }
@@ -163,7 +163,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.prefilled_at = now;
         if let Some(prompt) = in_flight.request.prompt {
-            self.prompts.note(Kept { prompt, engine: call.engine.key }, now);
+            self.prompts.record(CachedPrompt { prompt, engine: call.engine.key }, now);
         }
         in_flight.source =
             Some(Source { engine: call.engine.key, address: call.engine.address, handle });
@@ -293,12 +293,12 @@
         let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
         self.record_return_answer(call, is_good);
         if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.told = answer.statement.load.map(|it| (it, now)).or(known.told);
+            known.reported_load = answer.statement.load.map(|it| (it, now)).or(known.reported_load);
             match self.in_flight.get(&call.request) {
                 Some(in_flight) if is_good && call.is_slow(now, in_flight) => {
-                    known.health.fail(now)
+                    known.health.record_failure(now)
                 }
-                _ if is_good => known.health.succeed(now),
+                _ if is_good => known.health.record_success(now),
                 _ => {}
             }
         }
@@ -323,7 +323,7 @@
         if self.is_current_incarnation(call)
             && let Some(known) = self.directory.get_mut(call.engine.key)
         {
-            known.health.fail(now);
+            known.health.record_failure(now);
         }
     }
 
@@ -334,7 +334,7 @@
         }
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
-        let span = known.health.miss(now);
+        let span = known.health.record_unreachable(now);
         self.unannounced.unreachable.push(call.engine.key);
         self.log(LogEvent::Avoided { id: call.engine.id.clone(), span });
     }
@@ -345,7 +345,8 @@
         let request = in_flight.request.id.clone();
         let (signature, path) = (in_flight.signature, in_flight.request.path.as_str().into());
         let engine = call.engine.id.clone();
-        let told = self.directory.get(call.engine.key).and_then(|it| it.told).map(|it| it.0);
+        let told =
+            self.directory.get(call.engine.key).and_then(|it| it.reported_load).map(|it| it.0);
         let known = self.ledger.at(call.engine.key);
         self.log(LogEvent::Failed {
             request,
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -4,7 +4,7 @@
 use hollyspoke::time::Time;
 
 use super::Gateway;
-use crate::directory::Known;
+use crate::directory::Record;
 use crate::effect::NotRunReason;
 use crate::engine::{EngineKey, Stage};
 use crate::in_flight::InFlight;
@@ -77,7 +77,7 @@
         waiting.retain(|it| self.in_flight.get(it).is_some_and(|it| it.waits_until.is_some()));
         waiting.sort_by_key(|it| {
             let in_flight = &self.in_flight[it];
-            let is_late = self.now.since(in_flight.arrived) > in_flight.route.target;
+            let is_late = self.now.since(in_flight.arrived) > in_flight.route.target_latency;
             (
                 in_flight.source.is_none(),
                 is_late,
@@ -135,8 +135,8 @@
     /// Tells why no engine can take a request.
     fn no_engine_reason(&self, in_flight: &InFlight) -> NotRunReason {
         let engines = || self.directory.of_service(&in_flight.service.name);
-        let is_open = |it: &Known| it.is_open(self.now) && self.is_allowed_at(in_flight, it);
-        let stays = |it: &Known| !self.terms.is_leaving(&it.engine);
+        let is_open = |it: &Record| it.is_open(self.now) && self.is_allowed_at(in_flight, it);
+        let stays = |it: &Record| !self.terms.is_leaving(&it.engine);
         if engines().any(|it| is_open(it) && stays(it)) {
             NotRunReason::NoEngine
         } else if engines().any(is_open) {
@@ -151,7 +151,7 @@
     }
 
     /// Tells whether a request may be served where an engine is.
-    pub(super) fn is_allowed_at(&self, in_flight: &InFlight, known: &Known) -> bool {
+    pub(super) fn is_allowed_at(&self, in_flight: &InFlight, known: &Record) -> bool {
         let regions = &self.settings.regions;
         in_flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
     }
@@ -165,5 +165,5 @@
     if in_flight.call_count > 0 {
         return in_flight.ends;
     }
-    in_flight.arrived + in_flight.route.target.mul_f64(WAIT_SHARE)
+    in_flight.arrived + in_flight.route.target_latency.mul_f64(WAIT_SHARE)
 }
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -57,7 +57,7 @@
         self.receive_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
         self.receive_era(listed.max(snapshot.evacuation.revision.era), provider);
-        self.evacuate(snapshot.evacuation);
+        self.apply_evacuation(snapshot.evacuation);
         if let Some(version) = snapshot.configuration {
             self.configure(version.into_configuration());
         }
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -54,7 +54,7 @@
     /// Takes what another box tells of one engine's limit.
     fn receive_limit(&mut self, word: &Announcement, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
-        if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
+        if let Some(change) = self.terms.limits.hear(word, known.engine.started_at, self.now) {
             let age = Duration::from_millis(u64::from(word.age_ms));
             self.handle_limit_change(word.engine, change, Some(sender), age);
         }
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -107,13 +107,13 @@
         self.members.add_peers(self.settings.peer, &message.peers, self.now);
         self.read_newer_configuration(message.store_view.version);
         if message.evacuation.revision > self.evacuations.newest().revision {
-            self.evacuate(message.evacuation.clone());
+            self.apply_evacuation(message.evacuation.clone());
         }
         if let Some(news) = &message.engine_update {
             self.apply_engine_update(news);
         }
         for &engine in &message.replaced {
-            self.directory.replace(engine, self.now);
+            self.directory.mark_misdirected(engine, self.now);
         }
         for switching in &message.stage_switches {
             self.apply_stage_switch(switching);
@@ -125,15 +125,15 @@
         }
         for full in &message.rejections {
             if let Some(known) = self.directory.get_mut(full.engine) {
-                known.turn_away(full.held_tokens, self.now);
+                known.record_rejection(full.held_tokens, self.now);
             }
         }
         for &kept in &message.cached_prompts {
-            self.prompts.note(kept, self.now);
+            self.prompts.record(kept, self.now);
         }
         let until = self.now + self.draw_freed_memory_delay();
         let loads = &message.loads;
-        let has_freed = self.ledger.hear(message.sender, loads, message.is_whole, until);
+        let has_freed = self.ledger.receive(message.sender, loads, message.is_whole, until);
         self.may_have_capacity |=
             has_freed || !message.cached_prompts.is_empty() || message.engine_update.is_some();
         if has_freed && let Some(&first) = self.waiting.first() {
@@ -190,7 +190,7 @@
         let departures = self.departures_to_announce();
         message.extension = Extension { limits, departures, ..Extension::default() }.non_empty();
         // Where boxes are many, keepers of prompts are not told by themselves.
-        message.cached_prompts = self.prompts.take_untold();
+        message.cached_prompts = self.prompts.take_unannounced();
         // The heartbeat tells all work, so that no changes are left to tell.
         self.ledger.take_changed();
         self.batch_started_at = None;
@@ -256,13 +256,13 @@
     /// Tells the living boxes what work has changed, which engines keep new prompts, and which
     /// were replaced, not reached or full.
     pub(super) fn send_changes(&mut self) {
-        let has_urgent_kept = self.prompts.has_untold() && !self.members.is_large();
+        let has_urgent_kept = self.prompts.has_unannounced() && !self.members.is_large();
         let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.unannounced.is_empty();
         if !is_urgent && !self.is_batch_due() {
             return;
         }
         self.batch_started_at = None;
-        let kept = self.prompts.take_untold();
+        let kept = self.prompts.take_unannounced();
         let untold = std::mem::take(&mut self.unannounced);
         let changed = self.ledger.take_changed();
         let mut message = self.message(false);
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -13,7 +13,7 @@
 use crate::permit::{
     ANSWER_TIMEOUT, Ask, Holder, Issuer, Outcome, PART_COUNT, RETRY_DELAY, Reply, Side,
 };
-use crate::placement::Asking;
+use crate::placement::PermitWait;
 use crate::rate_limit::Announcement;
 use crate::request::RequestKey;
 use crate::terms::Restriction;
@@ -80,14 +80,14 @@
 
 impl Gateway {
     /// Tells whether a request may ask for permits.
-    pub(super) fn asking(&self, flight: &InFlight) -> Asking {
+    pub(super) fn asking(&self, flight: &InFlight) -> PermitWait {
         match flight.permit_request {
-            Some(asked) if self.is_waiting_for(&asked) => Asking::At(asked.engine),
+            Some(asked) if self.is_waiting_for(&asked) => PermitWait::At(asked.engine),
             _ if flight.permit_request_count >= MAX_ASKS || self.permit_deadline(flight) <= self.now =>
             {
                 Asking::Never
             }
-            _ => Asking::Open(self.patience(flight)),
+            _ => PermitWait::Open(self.patience(flight)),
         }
     }
 
@@ -104,7 +104,7 @@
 
     /// Gives until when a request may wait for permits.
     pub(super) fn permit_deadline(&self, flight: &InFlight) -> Time {
-        let duration = flight.route.target.mul_f64(WAIT_SHARE);
+        let duration = flight.route.target_latency.mul_f64(WAIT_SHARE);
         if flight.source.is_some() {
             return flight.handle_end();
         }
@@ -319,7 +319,7 @@
         let now = self.now;
         let directory = &self.directory;
         self.terms.limits.sweep(now, |engine, born| {
-            directory.get(engine).is_some_and(|it| born.is_none() || it.engine.born <= born)
+            directory.get(engine).is_some_and(|it| born.is_none() || it.engine.started_at <= born)
         });
         self.permits.held.sweep(now);
         self.permits.questions.retain(|_, it| now.since(it.at) < QUESTION_RETENTION);
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -61,7 +61,7 @@
         if known.engine.is_draining || known.is_missing() || self.terms.is_leaving(&known.engine) {
             return;
         }
-        let is_back = known.engine.born != call.engine.born;
+        let is_back = known.engine.started_at != call.engine.started_at;
         let Some(flight) = self.in_flight.get(&call.request) else { return };
         let (signature, about) = (flight.signature, summary(flight));
         let engine = &call.engine;
@@ -69,8 +69,9 @@
             return;
         }
         if is_back {
-            return self.confirm(
-                Incarnation { engine: engine.key, started_at: engine.born },
+            return self
+                .confirm(
+                Incarnation { engine: engine.key, started_at: engine.started_at },
                 Proof::Proven,
             );
         }
@@ -108,7 +109,7 @@
             // One that had said that it leaves has ended as planned.
             if !self.terms.is_leaving(&engine) {
                 self.confirm(
-                    Incarnation { engine: engine.key, started_at: engine.born },
+                    Incarnation { engine: engine.key, started_at: engine.started_at },
                     Proof::Proven,
                 );
             }
@@ -258,7 +259,7 @@
         for (incarnation, since) in self.quarantine.unproven() {
             let is_gone = match self.directory.get(incarnation.engine) {
                 Some(known) => {
-                    incarnation.started_at.is_some() && known.engine.born > incarnation.started_at
+                    incarnation.started_at.is_some() && known.engine.started_at > incarnation.started_at
                 }
                 None => self.now.since(since) >= UNLISTED_PROOF_DELAY,
             };
@@ -289,7 +290,7 @@
     /// went to an earlier life says nothing about this one.
     pub(super) fn is_current_incarnation(&self, call: &Call) -> bool {
         let known = self.directory.get(call.engine.key);
-        known.is_none_or(|it| it.engine.born == call.engine.born)
+        known.is_none_or(|it| it.engine.started_at == call.engine.started_at)
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -13,7 +13,7 @@
 use crate::gateway::permits::Leave;
 use crate::in_flight::{Call, InFlight, task_name};
 use crate::message::Load;
-use crate::placement::{Choice, View};
+use crate::placement::{Choice, Selector};
 use crate::quarantine::Verdict;
 use crate::request::{CallKey, Request, RequestKey};
 use crate::route::{Route, Staged};
@@ -169,9 +169,9 @@
                 return None;
             };
             let in_flight = &self.in_flight[&key];
-            let latest = in_flight.route.target.mul_f64(LATEST_START_SHARE);
+            let latest = in_flight.route.target_latency.mul_f64(LATEST_START_SHARE);
             // A prompt that is late for its own length would be late at any time.
-            let has_queue = next.choice.ahead > in_flight.request.prompt_tokens_or_estimate();
+            let has_queue = next.choice.queued_tokens > in_flight.request.prompt_tokens_or_estimate();
             let is_late = next.choice.expected > latest && has_queue;
             if is_late && in_flight.call_count == 0 && !in_flight.is_client_retry {
                 let wait = next.choice.expected.saturating_sub(latest / 2);
@@ -191,21 +191,21 @@
         let in_flight = self.in_flight.get(&key)?;
         let verdict = self.quarantine.verdict(in_flight.signature);
         let trials = self.trials();
-        let view = View {
+        let view = Selector {
             directory: &self.directory,
             ledger: &self.ledger,
             service: &in_flight.service,
             data_centre: &self.settings.data_centre,
-            knows_far: !self.members.is_large(),
+            knows_remote: !self.members.is_large(),
             tried: &in_flight.tried,
             homes: in_flight.homes(),
             regions: &self.settings.regions,
-            turns: &self.turns,
-            part: self.cold_part(),
+            cold_sends: &self.turns,
+            cold_share: self.cold_share(),
             terms: &self.terms,
             permits: &self.permits.held,
-            asking: self.asking(in_flight),
-            leaving_for: self.leaving_for(in_flight),
+            permit_wait: self.asking(in_flight),
+            max_drain_age: self.leaving_for(in_flight),
             is_suspect: verdict != Verdict::Clear,
             trials: &trials,
             now: self.now,
@@ -213,7 +213,7 @@
         };
         match in_flight.service.staged {
             None => {
-                let choice = view.plain()?;
+                let choice = view.choose_plain()?;
                 Some(NextCall { task: Task::Plain, choice, decode_engine: None })
             }
             Some(staged) if verdict == Verdict::Trial => {
@@ -265,7 +265,7 @@
             before: in_flight.call_count - 1,
         };
         let engine = choice.engine.clone();
-        self.note_cold(engine.key);
+        self.record_cold_send(engine.key);
         self.permits.held.take(engine.key, now);
         self.terms.back_offs.record_send(engine.key);
         self.ledger.add(engine.key, load);
@@ -282,7 +282,7 @@
                 is_retry,
                 sent: now,
                 load,
-                queued_tokens: choice.ahead,
+                queued_tokens: choice.queued_tokens,
                 last_event_at: now,
                 has_begun: false,
             },
@@ -343,7 +343,7 @@
 
 /// Chooses the next call at a service with stages. A prompt is read for another engine only if that
 /// engine has room for it.
-fn next_staged(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
+fn next_staged(in_flight: &InFlight, view: &Selector<'_>, staged: &Staged) -> Option<NextCall> {
     let tokens = in_flight.request.prompt_tokens_or_estimate();
     let held = in_flight.request.mean_held_tokens();
     if let Some(source) = &in_flight.source {
@@ -352,30 +352,30 @@
             .and_then(|it| data_centre_of(view, it))
             .unwrap_or_else(|| view.data_centre.into());
         let preferred = in_flight.reserved.map(|(engine, _)| engine);
-        let choice = view.generating(staged, held, &data_centre, preferred)?;
+        let choice = view.choose_decode(staged, held, &data_centre, preferred)?;
         return Some(NextCall {
             task: Task::Decode(Prompt::Prefilled(source.clone())),
             choice,
             decode_engine: None,
         });
     }
-    let alone = view.alone(staged, tokens, held);
+    let alone = view.choose_combined(staged, tokens, held);
     // A request that waits for a permit of a reader asks for those of generators later.
-    let later = view.unasked();
-    let decode = alone.clone().or_else(|| later.alone(staged, tokens, held))?;
+    let later = view.before_permit();
+    let decode = alone.clone().or_else(|| later.choose_combined(staged, tokens, held))?;
     let uses_one_engine = in_flight.prefill_failed
         || in_flight.permit_request.is_none()
             && in_flight.permit_request_count >= PREFILL_PERMIT_REQUEST_COUNT;
-    let prefill = if uses_one_engine { None } else { view.reading(staged, tokens) };
+    let prefill = if uses_one_engine { None } else { view.choose_prefill(staged, tokens) };
     let is_slow = |prefill: &Choice| {
-        let is_slow = prefill.expected > in_flight.route.target.mul_f64(SINGLE_ENGINE_SHARE);
+        let is_slow = prefill.expected > in_flight.route.target_latency.mul_f64(SINGLE_ENGINE_SHARE);
         is_slow && decode.expected < prefill.expected
     };
     let Some(prefill) = prefill.filter(|it| !is_slow(it)) else {
         let task = Task::Decode(Prompt::NotPrefilled);
         return Some(NextCall { task, choice: alone?, decode_engine: None });
     };
-    let decode_engine = later.generating(staged, held, &prefill.engine.data_centre, None)?;
+    let decode_engine = later.choose_decode(staged, held, &prefill.engine.data_centre, None)?;
     Some(NextCall {
         task: Task::Prefill,
         choice: prefill,
@@ -384,15 +384,15 @@
 }
 
 /// Chooses the next call of a request that may crash its engine: one engine does it all.
-fn next_on_one_engine(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
+fn next_on_one_engine(in_flight: &InFlight, view: &Selector<'_>, staged: &Staged) -> Option<NextCall> {
     let (tokens, held) =
         (in_flight.request.prompt_tokens_or_estimate(), in_flight.request.mean_held_tokens());
-    let choice = view.alone(staged, tokens, held)?;
+    let choice = view.choose_combined(staged, tokens, held)?;
     Some(NextCall { task: Task::Decode(Prompt::NotPrefilled), choice, decode_engine: None })
 }
 
 /// Gives the data centre of an engine, if it is still known.
-fn data_centre_of(view: &View<'_>, engine: EngineKey) -> Option<Arc<str>> {
+fn data_centre_of(view: &Selector<'_>, engine: EngineKey) -> Option<Arc<str>> {
     view.directory.get(engine).map(|it| it.engine.data_centre.clone())
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -6,7 +6,7 @@
 use super::Gateway;
 use crate::back_off;
 use crate::departure;
-use crate::directory::Known;
+use crate::directory::Record;
 use crate::effect::{LogEvent, NotRunReason};
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::in_flight::{Call, Exclusion, InFlight};
@@ -60,7 +60,7 @@
     /// Takes what an engine says of itself in an answer that is not that to a call. What an earlier
     /// life said says nothing of this one.
     pub(super) fn handle_statement(&mut self, engine: EngineKey, says: &Statement) {
-        let listed = self.directory.get(engine).map(|it| it.engine.born);
+        let listed = self.directory.get(engine).map(|it| it.engine.started_at);
         if says.born.is_some() && listed.is_some_and(|it| says.born < it) {
             return;
         }
@@ -72,7 +72,7 @@
 
     /// Learns from the answer to a call.
     pub(super) fn learn_terms(&mut self, call: &Call, says: &Statement) {
-        self.learn_departure(call.engine.key, call.engine.born, says);
+        self.learn_departure(call.engine.key, call.engine.started_at, says);
         if !call.has_begun {
             self.learn_back_off(call.engine.key, says.back_off);
         }
@@ -80,16 +80,16 @@
 
     /// Learns whether a life of an engine is about to leave.
     fn learn_departure(&mut self, engine: EngineKey, incarnation: Option<u64>, says: &Statement) {
-        if says.is_leaving && self.terms.departures.learn(engine, incarnation, self.now) {
+        if says.is_leaving && self.terms.departures.record_own(engine, incarnation, self.now) {
             self.unannounced.departures.push(engine);
             self.handle_departure(engine, None, Duration::ZERO);
         }
     }
 
     /// Takes what another box tells of engines that leave.
-    pub(super) fn receive_departures(&mut self, sender: SocketAddr, told: &[departure::Word]) {
+    pub(super) fn receive_departures(&mut self, sender: SocketAddr, told: &[departure::Announcement]) {
         for word in told {
-            if self.terms.departures.hear(word, self.now) {
+            if self.terms.departures.receive(word, self.now) {
                 let age = Duration::from_millis(u64::from(word.age_ms));
                 self.handle_departure(word.engine, Some(sender), age);
             }
@@ -117,7 +117,7 @@
 
     /// Gives what this box's heartbeat tells: the engines that it would issue permits of, so that each is
     /// told by one box, and those that have told it themselves a short time ago.
-    pub(super) fn departures_to_announce(&mut self) -> Vec<departure::Word> {
+    pub(super) fn departures_to_announce(&mut self) -> Vec<departure::Announcement> {
         if self.terms.departures.is_empty() {
             return Vec::new();
         }
@@ -134,15 +134,15 @@
     }
 
     /// Gives all that a box that has just started is told, as far as it goes into a datagram.
-    pub(super) fn all_departures(&self) -> Vec<departure::Word> {
+    pub(super) fn all_departures(&self) -> Vec<departure::Announcement> {
         let leaving = self.terms.departures.engines().take(MAX_ANNOUNCED_TO_NEW);
         self.departure_announcements(leaving.collect())
     }
 
     /// Gives what there is to tell of engines.
-    fn departure_announcements(&self, engines: Vec<EngineKey>) -> Vec<departure::Word> {
+    fn departure_announcements(&self, engines: Vec<EngineKey>) -> Vec<departure::Announcement> {
         let departures = &self.terms.departures;
-        engines.into_iter().filter_map(|it| departures.word(it, self.now)).collect()
+        engines.into_iter().filter_map(|it| departures.announcement(it, self.now)).collect()
     }
 
     /// Gives for how long an engine may be known to leave that is used for a request all the same; none
@@ -152,7 +152,7 @@
         if self.terms.departures.is_empty() {
             return None;
         }
-        let is_able = |it: &&Known| is_able(it) && self.is_allowed_at(flight, it);
+        let is_able = |it: &&Record| is_able(it) && self.is_allowed_at(flight, it);
         let mut open = self.directory.open(&flight.service.name, self.now).filter(is_able);
         let is_last = open.all(|it| self.terms.is_leaving(&it.engine));
         is_last.then(|| self.settings.drain.mul_f64(DRAIN_USED_SHARE))
@@ -228,7 +228,7 @@
             return None;
         }
         let leaving_for = self.leaving_for(flight);
-        let is_able = |it: &&Known| {
+        let is_able = |it: &&Record| {
             let is_usable = self.terms.is_usable(&it.engine, leaving_for, self.now);
             is_able(it) && self.is_allowed_at(flight, it) && is_usable
         };
@@ -298,6 +298,6 @@
 }
 
 /// Tells whether an engine can serve a request to its end, as those that only read prompts can't.
-fn is_able(known: &Known) -> bool {
+fn is_able(known: &Record) -> bool {
     known.engine.stage != Some(Stage::Prefill)
 }
--- a/crates/hollyspoke-gateway/src/in_flight.rs
+++ b/crates/hollyspoke-gateway/src/in_flight.rs
@@ -179,10 +179,10 @@
     /// Gives the silence after which a call is taken for failed, if it may be repeated then.
     pub fn silence_timeout(&self, task: &Task, expected: Duration) -> Option<Duration> {
         match task {
-            Task::Prefill => Some((expected * 3).max(self.route.target)),
+            Task::Prefill => Some((expected * 3).max(self.route.target_latency)),
             _ if !self.route.is_idempotent() => None,
             Task::Plain => Some(self.route.timeout.mul_f64(SILENCE_TIMEOUT_SHARE)),
-            Task::Decode(_) => Some((expected * 3).max(self.route.target)),
+            Task::Decode(_) => Some((expected * 3).max(self.route.target_latency)),
         }
     }
 
@@ -197,7 +197,7 @@
         if !self.route.is_idempotent() || self.route.kind != RouteKind::Stream {
             return None;
         }
-        let gap = self.route.longest_gap.unwrap_or(MIN_SILENCE);
+        let gap = self.route.max_gap.unwrap_or(MIN_SILENCE);
         Some((gap * SILENCE_GAP_COUNT).max(MIN_SILENCE))
     }
 }
@@ -209,10 +209,10 @@
         match self.task {
             Task::Prefill => false,
             _ if self.has_begun => {
-                let longest = in_flight.route.longest_gap;
+                let longest = in_flight.route.max_gap;
                 longest.is_some_and(|it| now.since(self.last_event_at) > it)
             }
-            Task::Plain | Task::Decode(_) => now.since(self.sent) > in_flight.route.target,
+            Task::Plain | Task::Decode(_) => now.since(self.sent) > in_flight.route.target_latency,
         }
     }
 
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -12,7 +12,7 @@
 use crate::engine::{EngineChange, EngineKey, Stage};
 use crate::evacuation::Evacuation;
 use crate::permit::{Ask, Reply};
-use crate::prompt::Kept;
+use crate::prompt::CachedPrompt;
 use crate::quarantine::Announcement;
 use crate::{departure, rate_limit};
 
@@ -221,7 +221,7 @@
     /// Changes that the sender has just read.
     pub engine_update: Option<Box<EngineUpdate>>,
     /// Prompts that engines have begun to generate from for the sender.
-    pub cached_prompts: Vec<Kept>,
+    pub cached_prompts: Vec<CachedPrompt>,
     /// Some boxes that the sender has heard from of late.
     pub peers: Vec<PeerAddress>,
     /// The newest era of the store that the sender knows of; 0 if it does not tell.
@@ -245,7 +245,7 @@
     /// Answers to the receiver's questions for permits.
     pub replies: Vec<Reply>,
     /// Engines that are about to leave.
-    pub departures: Vec<departure::Word>,
+    pub departures: Vec<departure::Announcement>,
 }
 
 impl Message {
--- a/crates/hollyspoke-gateway/src/rate_limit.rs
+++ b/crates/hollyspoke-gateway/src/rate_limit.rs
@@ -125,7 +125,7 @@
             return self.lift(engine.key, now);
         }
         let rate = told.max(MIN_RATE_PER_S);
-        let is_new = self.set(engine.key, Limit { rate, born: engine.born, named_at: now });
+        let is_new = self.set(engine.key, Limit { rate, born: engine.started_at, named_at: now });
         is_new.then_some(Change::Named(told, rate))
     }
 
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -96,7 +96,7 @@
             "held" => token.is_some(), "token" => token),
         LogEvent::Switch { id, stage, engines, demand } => info!(log, "engine to change its stage";
             "engine" => %id, "stage" => stage_name(*stage),
-            "readers" => engines.readers, "generators" => engines.generators,
+            "readers" => engines.prefill, "generators" => engines.decode,
             "reading" => demand.prefill_tokens_per_s, "held" => demand.held_tokens, "requests" => demand.requests),
         LogEvent::Ordered { id, stage, token, before } => info!(log, "order sent";
             "engine" => %id, "stage" => stage_name(*stage), "token" => token, "before" => before),
@@ -132,7 +132,7 @@
 fn end_name(end: departure::End) -> &'static str {
     match end {
         departure::End::Gone => "gone",
-        departure::End::Reborn => "started again",
+        departure::End::Restarted => "started again",
     }
 }
 
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -16,7 +16,7 @@
     DataCentreKey, Demand, EngineUpdate, Load, Message, PeerAddress, Readiness, Rejection,
     StageSwitch, StoreView, Usage,
 };
-use hollyspoke_gateway::prompt::{Kept, PromptKey};
+use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_platform::DIALECT;
 use hollyspoke_tests::gateway::{World, configuration, engine, engines, heartbeat, request};
 use http::StatusCode;
@@ -119,7 +119,7 @@
     let rejections = (some_engine(), number())
         .prop_map(|(engine, held_tokens)| Rejection { engine, held_tokens });
     let cached_prompts = (any::<u64>(), some_engine())
-        .prop_map(|(prompt, engine)| Kept { prompt: PromptKey(prompt), engine });
+        .prop_map(|(prompt, engine)| CachedPrompt { prompt: PromptKey(prompt), engine });
     let address = (any::<[u8; 4]>(), any::<u16>()).prop_map(SocketAddr::from);
     let peer = (address, 0..3u32).prop_map(|(address, data_centre)| PeerAddress {
         address,
--- a/tests/tests/quarantine.rs
+++ b/tests/tests/quarantine.rs
@@ -27,14 +27,14 @@
 
 /// Gives an engine in a life of its own.
 fn alive(number: u8, born: u64) -> Engine {
-    Engine { born: Some(born), ..engine(number, PLAIN, None) }
+    Engine { started_at: Some(born), ..engine(number, PLAIN, None) }
 }
 
 /// Has an engine crash under a request, as a box sees it that knows all that went before.
 fn crash(quarantine: &mut Quarantine, signature: Signature, engine: &Engine, now: Time) {
     let stand = quarantine.progress(signature);
     if quarantine.suspect(signature, stand, engine, about(), now) {
-        let incarnation = Incarnation { engine: engine.key, started_at: engine.born };
+        let incarnation = Incarnation { engine: engine.key, started_at: engine.started_at };
         quarantine.confirm(incarnation, Proof::Proven, now, UNIX);
     }
 }
@@ -78,7 +78,7 @@
         let stand = quarantine.progress(signature(1));
         let engine = alive(number, 1);
         assert!(quarantine.suspect(signature(1), stand, &engine, about(), now));
-        let incarnation = Incarnation { engine: engine.key, started_at: engine.born };
+        let incarnation = Incarnation { engine: engine.key, started_at: engine.started_at };
         quarantine.confirm(incarnation, Proof::Likely, now, UNIX);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Unconfirmed);
