--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -115,7 +115,8 @@
             self.unannounced.replaced.push(call.engine.key);
         } else if let Some(known) = self.directory.get_mut(call.engine.key) {
             known.record_rejection(call.load.held_tokens, now);
-            self.unannounced.rejections
+            self.unannounced
+                .rejections
                 .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
         }
         let backs_off = matches!(answer.statement.back_off, back_off::Reported::Duration(_));
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -107,7 +107,8 @@
     pub(super) fn reserve(&mut self, key: RequestKey, engine: Option<EngineKey>) {
         let Some(engine) = engine else { return };
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
-        let held_tokens = u32::try_from(in_flight.request.mean_held_tokens()).unwrap_or(u32::MAX / 4);
+        let held_tokens =
+            u32::try_from(in_flight.request.mean_held_tokens()).unwrap_or(u32::MAX / 4);
         let load = Load { prefill_tokens: 0, calls: 0, held_tokens };
         in_flight.reserved = Some((engine, load));
         self.ledger.add(engine, load);
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -75,7 +75,9 @@
             return self.refuse_on_arrival(
                 key,
                 request,
-                NotRunReason::StaleConfiguration, STALE_RETRY_DELAY);
+                NotRunReason::StaleConfiguration,
+                STALE_RETRY_DELAY,
+            );
         }
         self.log_refusal(request, "unknown key", None);
         self.effects.push(Effect::Refuse(key, Refusal::UnknownKey));
@@ -112,7 +114,8 @@
         let Some(proof) = Trace::clean().not_run() else { return };
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let (min, max) = RETRY_DELAY_BOUNDS;
-        let wait = if self.members.greets_seeds_often(self.now) { STARTUP_RETRY_DELAY } else { wait };
+        let wait =
+            if self.members.greets_seeds_often(self.now) { STARTUP_RETRY_DELAY } else { wait };
         let wait = wait.mul_f64(1.0 + RETRY_SPREAD * spread).clamp(min, max);
         self.log_refusal(request, "over limit", Some(customer));
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
@@ -192,7 +195,8 @@
             let (sender, incarnation) = (message.sender, message.incarnation);
             self.quota.apply_announcement(
                 self.now,
-                sender, incarnation,
+                sender,
+                incarnation,
                 &usage.accounts,
                 usage.is_complete,
             );
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -83,9 +83,10 @@
     pub(super) fn asking(&self, flight: &InFlight) -> PermitWait {
         match flight.permit_request {
             Some(asked) if self.is_waiting_for(&asked) => PermitWait::At(asked.engine),
-            _ if flight.permit_request_count >= MAX_ASKS || self.permit_deadline(flight) <= self.now =>
+            _ if flight.permit_request_count >= MAX_ASKS
+                || self.permit_deadline(flight) <= self.now =>
             {
-                Asking::Never
+                PermitWait::Never
             }
             _ => PermitWait::Open(self.patience(flight)),
         }
@@ -250,7 +251,12 @@
         if (1 + self.members.on_time_count(self.now)) * 2 > boxes {
             return Side::Majority;
         }
-        Side::Minority(self.members.alive_among_first(self.settings.peer, engine, PART_COUNT, boxes))
+        Side::Minority(self.members.alive_among_first(
+            self.settings.peer,
+            engine,
+            PART_COUNT,
+            boxes,
+        ))
     }
 
     /// Takes in questions for permits, and answers to this box's own.
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -69,8 +69,7 @@
             return;
         }
         if is_back {
-            return self
-                .confirm(
+            return self.confirm(
                 Incarnation { engine: engine.key, started_at: engine.started_at },
                 Proof::Proven,
             );
@@ -259,7 +258,8 @@
         for (incarnation, since) in self.quarantine.unproven() {
             let is_gone = match self.directory.get(incarnation.engine) {
                 Some(known) => {
-                    incarnation.started_at.is_some() && known.engine.started_at > incarnation.started_at
+                    incarnation.started_at.is_some()
+                        && known.engine.started_at > incarnation.started_at
                 }
                 None => self.now.since(since) >= UNLISTED_PROOF_DELAY,
             };
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -10,7 +10,7 @@
 use crate::effect::{Effect, LogEvent, NotRunReason, Prompt, Refusal, Send, Task};
 use crate::engine::EngineKey;
 use crate::gateway::customer::identify;
-use crate::gateway::permits::Leave;
+use crate::gateway::permits::Permission;
 use crate::in_flight::{Call, InFlight, task_name};
 use crate::message::Load;
 use crate::placement::{Choice, Selector};
@@ -171,7 +171,8 @@
             let in_flight = &self.in_flight[&key];
             let latest = in_flight.route.target_latency.mul_f64(LATEST_START_SHARE);
             // A prompt that is late for its own length would be late at any time.
-            let has_queue = next.choice.queued_tokens > in_flight.request.prompt_tokens_or_estimate();
+            let has_queue =
+                next.choice.queued_tokens > in_flight.request.prompt_tokens_or_estimate();
             let is_late = next.choice.expected > latest && has_queue;
             if is_late && in_flight.call_count == 0 && !in_flight.is_client_retry {
                 let wait = next.choice.expected.saturating_sub(latest / 2);
@@ -368,7 +369,8 @@
             && in_flight.permit_request_count >= PREFILL_PERMIT_REQUEST_COUNT;
     let prefill = if uses_one_engine { None } else { view.choose_prefill(staged, tokens) };
     let is_slow = |prefill: &Choice| {
-        let is_slow = prefill.expected > in_flight.route.target_latency.mul_f64(SINGLE_ENGINE_SHARE);
+        let is_slow =
+            prefill.expected > in_flight.route.target_latency.mul_f64(SINGLE_ENGINE_SHARE);
         is_slow && decode.expected < prefill.expected
     };
     let Some(prefill) = prefill.filter(|it| !is_slow(it)) else {
@@ -384,7 +386,11 @@
 }
 
 /// Chooses the next call of a request that may crash its engine: one engine does it all.
-fn next_on_one_engine(in_flight: &InFlight, view: &Selector<'_>, staged: &Staged) -> Option<NextCall> {
+fn next_on_one_engine(
+    in_flight: &InFlight,
+    view: &Selector<'_>,
+    staged: &Staged,
+) -> Option<NextCall> {
     let (tokens, held) =
         (in_flight.request.prompt_tokens_or_estimate(), in_flight.request.mean_held_tokens());
     let choice = view.choose_combined(staged, tokens, held)?;
@@ -404,7 +410,9 @@
     match task {
         Task::Plain => Load { prefill_tokens: 0, calls: 1, held_tokens: 0 },
         Task::Prefill => Load { prefill_tokens: tokens, calls: 1, held_tokens: tokens },
-        Task::Decode(Prompt::NotPrefilled) => Load { prefill_tokens: tokens, calls: 1, held_tokens },
+        Task::Decode(Prompt::NotPrefilled) => {
+            Load { prefill_tokens: tokens, calls: 1, held_tokens }
+        }
         Task::Decode(_) => Load { prefill_tokens: 0, calls: 1, held_tokens },
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -87,7 +87,11 @@
     }
 
     /// Takes what another box tells of engines that leave.
-    pub(super) fn receive_departures(&mut self, sender: SocketAddr, told: &[departure::Announcement]) {
+    pub(super) fn receive_departures(
+        &mut self,
+        sender: SocketAddr,
+        told: &[departure::Announcement],
+    ) {
         for word in told {
             if self.terms.departures.receive(word, self.now) {
                 let age = Duration::from_millis(u64::from(word.age_ms));
@@ -97,7 +101,12 @@
     }
 
     /// Goes by the news that an engine leaves: it is sent nothing that is not sent yet.
-    fn handle_departure(&mut self, engine: EngineKey, announced_by: Option<SocketAddr>, age: Duration) {
+    fn handle_departure(
+        &mut self,
+        engine: EngineKey,
+        announced_by: Option<SocketAddr>,
+        age: Duration,
+    ) {
         let id = self.engine_name(engine).into();
         self.log(LogEvent::ShuttingDown { id, announced_by, age });
         self.drop_unordered(engine, "engine leaves");
@@ -172,7 +181,8 @@
         let leaving = self.terms.departures.engines();
         let leaving = leaving.map(|engine| Exclusion { engine, reason: Restriction::Leaving });
         let backing_off = self.terms.back_offs.engines(self.now);
-        let backing_off = backing_off.map(|engine| Exclusion { engine, reason: Restriction::BackOff });
+        let backing_off =
+            backing_off.map(|engine| Exclusion { engine, reason: Restriction::BackOff });
         let kept = leaving.chain(backing_off);
         let is_concerned = |it: &Exclusion| {
             let known = self.directory.get(it.engine);
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -300,7 +300,9 @@
         match self.terms.restriction(&known.engine, self.max_drain_age, self.now) {
             None => true,
             Some(Restriction::Leaving | Restriction::BackOff) => false,
-            Some(Restriction::RateLimit) => !self.needs_permit(engine) || self.may_request_permit(engine),
+            Some(Restriction::RateLimit) => {
+                !self.needs_permit(engine) || self.may_request_permit(engine)
+            }
         }
     }
 
--- a/crates/hollyspoke-gateway/src/statement.rs
+++ b/crates/hollyspoke-gateway/src/statement.rs
@@ -1,7 +1,7 @@
 //! What an engine says of itself, whichever call or question brought the answer.
 
 use crate::back_off;
-use crate::intake;
+use crate::rate_limit;
 
 /// What an engine tells of its load with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/hollyspoke-gateway/src/terms.rs
+++ b/crates/hollyspoke-gateway/src/terms.rs
@@ -5,7 +5,7 @@
 use hollyspoke::time::Time;
 
 use crate::engine::Engine;
-use crate::{back_off, departure, intake};
+use crate::{back_off, departure, rate_limit};
 
 /// The terms of all engines that have set any.
 #[derive(Debug, Clone, Default)]
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -73,8 +73,7 @@
     let began = Event::Call(generating.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
     let kept = CachedPrompt { prompt: PromptKey(7), engine: generating.engine.key };
-    let is_told =
-        |it: &Effect| matches!(it, Effect::Announce(_, message) if message.cached_prompts == [kept]);
+    let is_told = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.cached_prompts == [kept]);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -245,6 +245,7 @@
 
 /// Gives the word of another box that an engine keeps the prompt.
 fn keeper_told(number: u64) -> Event {
-    let cached_prompts = vec![CachedPrompt { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
+    let cached_prompts =
+        vec![CachedPrompt { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
     Event::Received(Message { cached_prompts, ..heartbeat(2, number + 1, StoreView::default()) })
 }
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -6,7 +6,7 @@
 use hollyspoke_gateway::effect::{Effect, Task};
 use hollyspoke_gateway::engine::{EngineKey, Stage};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
-use hollyspoke_gateway::message::{Knowledge, Switching};
+use hollyspoke_gateway::message::{StageSwitch, StoreView};
 use hollyspoke_gateway::rate_limit::Reported;
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::gateway::{
--- a/tests/tests/statements.rs
+++ b/tests/tests/statements.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
+use hollyspoke_gateway::back_off::Reported;
 use hollyspoke_gateway::rate_limit;
-use hollyspoke_gateway::intake;
 use hollyspoke_gateway::statement::{ReportedLoad, Statement};
 use hollyspoke_platform::DIALECT;
 use http::{Response, StatusCode, response};
