--- a/crates/hollyspoke-gateway/src/demand.rs
+++ b/crates/hollyspoke-gateway/src/demand.rs
@@ -1,5 +1,5 @@
-//! What clients ask of a service with stages, as one box sees it: the tokens to read and the
-//! memory to hold, each as a mean that forgets.
+//! The demand for a service with stages, as one box sees it: the tokens to prefill and the memory
+//! to hold, each as an exponentially decaying mean.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 
 use crate::message::Demand;
 
-/// The time in which a request's part in the mean falls to a third. Long enough for some tens of
-/// requests, short enough to follow a load that shifts before it has passed.
+/// The time in which a request's weight in the mean decays to about a third. It covers some tens of
+/// requests, and is short enough to follow a shift of the load while it lasts.
 pub const DECAY_TIME: Duration = Duration::from_secs(6);
 
-/// The shortest time that a mean is taken over.
+/// The minimum time that a mean covers.
 const MIN_AGE: Duration = Duration::from_millis(500);
 
-/// The requests of one service that arrived of late.
+/// The recent requests for one service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Meter {
     /// When the first request arrived.
     first: Option<Time>,
-    /// When the sums were last brought up to date.
+    /// When the sums were last updated.
     updated: Time,
-    /// The tokens to read.
+    /// The tokens to prefill.
     reading: f64,
-    /// The tokens to hold in memory, each for the length of a run.
+    /// The tokens to hold in memory, each for the duration of a run.
     held: f64,
-    /// The requests.
+    /// The number of requests.
     requests: f64,
 }
 
 impl Meter {
-    /// Adds a request.
+    /// Adds a request that prefills `tokens` and holds `held` tokens in memory.
     pub fn record(&mut self, tokens: u64, held: u64, now: Time) {
         self.first.get_or_insert(now);
         self.decay(now);
@@ -39,13 +39,14 @@
         self.requests += 1.0;
     }
 
-    /// Gives what is asked of late, if a run holds its memory for `run` on the mean.
+    /// Returns the recent demand, if a run holds its memory for `run` on average.
     pub fn demand(&mut self, now: Time, run: Duration) -> Demand {
         self.decay(now);
         let Some(first) = self.first else { return Demand::default() };
         let age = now.since(first).max(MIN_AGE).as_secs_f64();
         let decay_s = DECAY_TIME.as_secs_f64();
-        // The sums of a meter that is younger than its memory are not full yet.
+        // While the meter is younger than the decay time, its sums cover less than their full
+        // window.
         let window_s = decay_s * (1.0 - (-age / decay_s).exp());
         Demand {
             reading: (self.reading / window_s) as u32,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Lets the sums fade up to a time.
+    /// Decays the sums up to the current time.
     fn decay(&mut self, now: Time) {
         let share = (-now.since(self.updated).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.updated = now;
@@ -64,22 +65,24 @@
     }
 }
 
-/// The length of a run that is assumed before any has ended, and how many ended runs that is worth.
+/// The run duration that is assumed initially, and the number of ended runs that the assumption
+/// counts as.
 const INITIAL_RUN: (Duration, f64) = (Duration::from_secs(2), 2.0);
 
-/// How long runs hold their memory: the runs that were under way of late, over those that ended.
+/// How long runs hold their memory: the time spent in recent runs, divided by the number of runs
+/// that ended.
 ///
-/// By Little's law this is the mean time of a run, and unlike the mean of the ended ones it is not
-/// too short while only the short ones have ended.
+/// By Little's law this is the mean duration of a run. Unlike the mean over ended runs, it is not
+/// too low while only short runs have ended.
 #[derive(Debug, Clone, Copy)]
 pub struct Runs {
-    /// The runs that are under way.
+    /// The number of runs in progress.
     running: u32,
-    /// The time that runs have taken, in seconds.
+    /// The decayed total time of runs, in seconds.
     busy_s: f64,
-    /// The runs that have ended.
+    /// The decayed number of runs that have ended.
     ended: f64,
-    /// When the sums were last brought up to date.
+    /// When the sums were last updated.
     updated: Time,
 }
 
@@ -92,29 +95,29 @@
 }
 
 impl Runs {
-    /// Notes that a run began.
+    /// Records the start of a run.
     pub fn begin(&mut self, now: Time) {
         self.advance(now);
         self.running += 1;
     }
 
-    /// Notes that a run ended.
+    /// Records the end of a run.
     pub fn end(&mut self, now: Time) {
         self.advance(now);
         self.running = self.running.saturating_sub(1);
         self.ended += 1.0;
     }
 
-    /// Gives how long a run holds its memory, in the mean.
+    /// Returns the mean time for which a run holds its memory.
     pub fn mean(&mut self, now: Time) -> Duration {
         self.advance(now);
         let (duration, count) = INITIAL_RUN;
-        // What was assumed at the start counts less and less, but never not at all.
+        // The weight of the initial assumption decays, but never to zero.
         let busy_s = self.busy_s + duration.as_secs_f64() * count * INITIAL_RUN_SHARE;
         Duration::from_secs_f64(busy_s / (self.ended + count * INITIAL_RUN_SHARE))
     }
 
-    /// Brings the sums up to a time.
+    /// Updates the sums to the current time.
     fn advance(&mut self, now: Time) {
         let decay_s = DECAY_TIME.as_secs_f64();
         let share = (-now.since(self.updated).as_secs_f64() / decay_s).exp();
@@ -124,6 +127,6 @@
     }
 }
 
-/// The share of what is assumed at the start that goes on counting, so that a box without runs
-/// still has a mean.
+/// The share of the initial assumption that never decays, so that a box without runs still has a
+/// mean.
 const INITIAL_RUN_SHARE: f64 = 0.1;
--- a/crates/hollyspoke-gateway/src/departure.rs
+++ b/crates/hollyspoke-gateway/src/departure.rs
@@ -1,7 +1,7 @@
-//! Engines that have said that they are about to leave.
+//! Engines that have announced that they are shutting down.
 //!
-//! Nothing takes the word back but a later life of the engine: neither an entry that still calls it
-//! ready, nor an answer that says nothing of it, nor that its entry is gone and comes back.
+//! Only a later incarnation of the engine revokes this. An entry that still lists it as ready, an
+//! answer that does not mention the shutdown, or an entry that is removed and reappears does not.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,71 +10,73 @@
 
 use crate::engine::{Engine, EngineKey};
 
-/// How long it is kept that an engine leaves after it was last listed: longer than an entry of the
-/// same life may come late, from a box that was cut off.
+/// How long a shutdown is remembered after the engine was last listed. Must exceed the time by
+/// which an entry of the same incarnation may arrive late from a box that was cut off.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// For how long each box that an engine has told itself repeats it to the others: some heartbeats, of
-/// which a few may be lost.
+/// How long each box that received the announcement from the engine itself repeats it to other
+/// boxes. This covers several heartbeats, of which a few may be lost.
 const REPEAT_DURATION: Duration = Duration::from_secs(4);
 
-/// The leaving of one engine.
+/// The shutdown of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
-    /// The life of the engine that leaves; any, if it does not tell.
+    /// The start time of the incarnation that is shutting down; `None` if unknown, which covers
+    /// every incarnation.
     pub started_at: Option<u64>,
-    /// When this box learnt it.
+    /// When this box received the announcement.
     received_at: Time,
-    /// For how long it was known then.
+    /// The age of the announcement when it was received.
     age: Duration,
-    /// Whether the engine has told this box itself.
+    /// Whether the engine announced it to this box itself.
     is_direct: bool,
     /// When the engine was last listed.
     listed: Time,
-    /// Whether that life has ended.
+    /// Whether the engine is gone, or a later incarnation is listed.
     has_ended: bool,
 }
 
-/// What a box tells of an engine that leaves.
+/// A box's announcement that an engine is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Announcement {
-    /// The engine.
+    /// The key of the engine.
     pub engine: EngineKey,
-    /// The life of the engine that leaves, if it tells.
+    /// The start time of the incarnation that is shutting down, if known.
     pub started_at: Option<u64>,
-    /// For how long it is known, in milliseconds.
+    /// How long the shutdown has been known, in milliseconds.
     pub age_ms: u32,
 }
 
-/// How a departure ended.
+/// The reason that a shutdown is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The engine is not listed any more.
+    /// The engine is no longer listed.
     Gone,
-    /// A later life of it is listed.
+    /// A later incarnation of the engine is listed.
     Restarted,
 }
 
-/// A departure that has ended.
+/// A shutdown that is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// The engine.
+    /// The key of the engine.
     pub engine: EngineKey,
-    /// How it ended.
+    /// The reason that it is over.
     pub end: End,
-    /// For how long it was known that it leaves.
+    /// How long the shutdown had been known.
     pub age: Duration,
 }
 
-/// All engines that leave.
+/// All engines that are shutting down.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    /// Their departures.
+    /// The shutdowns by engine.
     departures: BTreeMap<EngineKey, Departure>,
 }
 
 impl Table {
-    /// Learns from an engine's own answer that a life of it leaves; tells whether that is news.
+    /// Records an engine's own announcement that it is shutting down; returns whether it was
+    /// unknown.
     pub fn record_own(&mut self, engine: EngineKey, started_at: Option<u64>, now: Time) -> bool {
         self.record(
             engine,
@@ -83,14 +85,15 @@
         )
     }
 
-    /// Takes what another box tells; tells whether that is news.
+    /// Applies another box's announcement; returns whether it was unknown.
     pub fn receive(&mut self, announcement: &Announcement, now: Time) -> bool {
         let Announcement { engine, started_at, age_ms } = *announcement;
         let age = Duration::from_millis(u64::from(age_ms));
         self.record(engine, Departure::new(started_at, age, now), now)
     }
 
-    /// Takes a departure, if it is of a later life than the one that is known.
+    /// Records a shutdown if it is of a later incarnation than the known one; returns whether it
+    /// is.
     fn record(&mut self, engine: EngineKey, received: Departure, now: Time) -> bool {
         match self.departures.get_mut(&engine) {
             Some(known) if known.started_at > received.started_at => false,
@@ -108,37 +111,37 @@
         }
     }
 
-    /// Gives what there is to tell of an engine that leaves.
+    /// Returns the announcement for an engine that is shutting down.
     pub fn announcement(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
         let departure = self.departures.get(&engine).filter(|it| !it.has_ended)?;
         let age_ms = u32::try_from(departure.age(now).as_millis()).unwrap_or(u32::MAX);
         Some(Announcement { engine, started_at: departure.started_at, age_ms })
     }
 
-    /// Tells whether an engine has told this box itself, a short time ago, that it leaves: what was told
-    /// to the others then may not have come to the box that repeats it.
+    /// Returns whether an engine recently announced its shutdown to this box itself. The first
+    /// announcements to other boxes may have been lost, so this box repeats them.
     pub fn is_fresh(&self, engine: EngineKey, now: Time) -> bool {
         let departure = self.departures.get(&engine);
         departure.is_some_and(|it| it.is_direct && it.age(now) < REPEAT_DURATION)
     }
 
-    /// Gives the leaving of an engine in the life that is listed, if it leaves.
+    /// Returns the shutdown of an engine's listed incarnation, if it is shutting down.
     pub fn of(&self, engine: &Engine) -> Option<Departure> {
         let departure = self.departures.get(&engine.key)?;
         departure.covers(engine.started_at).then_some(*departure)
     }
 
-    /// Tells whether no engine is known to leave.
+    /// Returns whether no engine is known to be shutting down.
     pub fn is_empty(&self) -> bool {
         self.departures.is_empty()
     }
 
-    /// Goes over the engines that leave.
+    /// Iterates over the engines that are shutting down.
     pub fn engines(&self) -> impl Iterator<Item = EngineKey> {
         self.departures.iter().filter(|(_, it)| !it.has_ended).map(|(&it, _)| it)
     }
 
-    /// Gives the departures that have ended, by the engines as they are listed, and forgets those that
+    /// Returns the shutdowns that are over according to the listed engines, and forgets those that
     /// ended long ago.
     pub fn sweep<'a>(
         &mut self,
@@ -168,7 +171,7 @@
 }
 
 impl Departure {
-    /// Makes the departure of a life that another box has known for a time.
+    /// Creates the shutdown of an incarnation that has been known for `age`.
     fn new(started_at: Option<u64>, age: Duration, now: Time) -> Departure {
         Departure {
             started_at,
@@ -180,12 +183,12 @@
         }
     }
 
-    /// Gives for how long it is known.
+    /// Returns how long the shutdown has been known.
     pub fn age(&self, now: Time) -> Duration {
         self.age + now.since(self.received_at)
     }
 
-    /// Tells whether it is of a life that is listed, or of a later one.
+    /// Returns whether it concerns the listed incarnation or a later one.
     fn covers(&self, listed: Option<u64>) -> bool {
         self.started_at.is_none() || self.started_at >= listed
     }
--- a/crates/hollyspoke-gateway/src/directory.rs
+++ b/crates/hollyspoke-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The engines that the platform lists, and what their answers have told.
+//! The engines that the platform lists, and the state learned from their answers.
 
 mod departed;
 mod history;
@@ -22,61 +22,63 @@
 use history::History;
 use index::Index;
 
-/// The rate at which a prompt is read before any was measured, in tokens a millisecond.
+/// The prefill rate that is assumed before the first measurement, in tokens per millisecond.
 const INITIAL_PREFILL_RATE_TOKENS_PER_MS: f64 = 30.0;
 
-/// The weight of the newest measurement of a rate.
+/// The weight of the newest sample in a moving average of rates.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// The weights of a measurement above and below what a reader is taken to be able to read. Most
-/// measurements are too low, since they include the wait for work of others that was not known.
+/// The weights of samples above and below the best prefill rate. Most samples are too low, since
+/// they include the wait for other work that this box did not know of.
 const BEST_RATE_WEIGHTS: (f64, f64) = (0.2, 0.02);
 
 /// How long an engine's own measurements are preferred to those of its whole service.
 const MEASUREMENT_TTL: Duration = Duration::from_secs(8);
 
-/// What is known of one engine.
+/// The known state of one engine.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The engine as listed.
+    /// The engine's entry in the platform's list.
     pub engine: Arc<Engine>,
-    /// What its answers tell of its health.
+    /// The engine's health, derived from its answers.
     pub health: Health,
-    /// The load that it last told, and when.
+    /// The load that it last reported, and when.
     pub reported_load: Option<(ToldLoad, Time)>,
-    /// Its measured rate of reading, in tokens a millisecond, and when it was measured.
+    /// Its measured prefill rate in tokens per millisecond, and when it was measured.
     rate: Option<(f64, Time)>,
     /// Whether another incarnation answered at its address.
     is_replaced: bool,
-    /// The request that it last turned away, and when.
+    /// The size in tokens of the request that it last rejected, and when.
     rejected: Option<(u32, Time)>,
-    /// Set if its entry was missing after the store had been away: until when it may come back.
+    /// The time until which its entry may reappear, if it was missing after the store had been
+    /// unreachable.
     missing_until: Option<Time>,
-    /// The stage that it changes to, and until when that is counted on.
+    /// The stage that it is switching to, and until when the switch is assumed to take place.
     switching: Option<(Stage, Time)>,
-    /// Until when it is passed over since it said that it has another stage, or another id.
+    /// The time until which it is skipped because it reported another stage or another id.
     misdirected_until: Option<Time>,
     /// Whether its data centre is evacuated.
     is_evacuated: bool,
-    /// Until when it is cold after its start.
+    /// The time until which it is cold after its start.
     cold_until: Option<Time>,
-    /// Until when its entry may be that of an engine that has left, from an older copy of the store.
+    /// The time until which its entry, which comes from an older copy of the store, may be that of
+    /// an engine that has gone.
     unconfirmed_until: Option<Time>,
 }
 
-/// How long an engine with a stage is passed over that says that a call was not meant for it: its
-/// entry shows a new stage within about a heartbeat of the engines, 1.2 s on the users' sites.
+/// How long an engine with a stage is skipped after it reported that a call was not meant for it.
+/// Its entry shows the new stage within about one heartbeat of the engines (1.2 s).
 const MISDIRECTED_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// How long an entry is doubted that an older copy of the store has and that had gone: it lapses after
-/// three heartbeats of its engine, 3.6 s on the users' sites, unless that lives.
+/// How long an entry from an older copy of the store stays unconfirmed if the engine had gone.
+/// Unless the engine is alive, the entry expires after three heartbeats (3.6 s).
 const UNCONFIRMED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long an engine that turned a request away is taken to have no room.
+/// How long an engine that rejected a request is assumed to have no free capacity.
 const FULL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Record {
-    /// Notes that the engine turned a request away that would have held some tokens.
+    /// Records that the engine rejected a request that would have held `held` tokens.
     pub fn record_rejection(&mut self, held: u32, now: Time) {
         let smallest = match self.rejected {
             Some((known, at)) if now.since(at) < FULL_INTERVAL => known.min(held),
@@ -85,35 +87,35 @@
         self.rejected = Some((smallest, now));
     }
 
-    /// Tells whether the engine has of late turned away a request that held as much, or less.
+    /// Returns whether the engine recently rejected a request that held as many tokens or fewer.
     pub fn is_full(&self, held: u64, now: Time) -> bool {
         self.rejected.is_some_and(|(smallest, at)| {
             now.since(at) < FULL_INTERVAL && held >= u64::from(smallest)
         })
     }
 
-    /// Notes that the engine's entry is missing, and until when it may come back.
+    /// Marks the engine's entry as missing. It may reappear until the given time.
     fn mark_missing(self, until: Time) -> Record {
         let until = self.missing_until.map_or(until, |it| it.min(until));
         Record { missing_until: Some(until), ..self }
     }
 
-    /// Tells whether its entry is missing and may come back.
+    /// Returns whether its entry is missing and may reappear.
     pub fn is_missing(&self) -> bool {
         self.missing_until.is_some()
     }
 
-    /// Tells whether the engine's data centre is evacuated.
+    /// Returns whether the engine's data centre is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.is_evacuated
     }
 
-    /// Tells whether the engine is cold after its start.
+    /// Returns whether the engine is cold after its start.
     pub fn is_cold(&self, now: Time) -> bool {
         self.cold_until.is_some_and(|it| now < it)
     }
 
-    /// Tells whether the engine takes new requests.
+    /// Returns whether the engine accepts new requests.
     pub fn is_open(&self, now: Time) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|it| now < it);
         !self.engine.is_draining
@@ -124,59 +126,60 @@
             && self.switching(now).is_none()
     }
 
-    /// Tells whether its entry may be that of an engine that has left.
+    /// Returns whether its entry may be that of an engine that has gone.
     pub fn is_unconfirmed(&self, now: Time) -> bool {
         self.unconfirmed_until.is_some_and(|it| now < it)
     }
 
-    /// Gives the stage that the engine changes to, while it does.
+    /// Returns the stage that the engine is switching to, if any.
     pub fn switching(&self, now: Time) -> Option<Stage> {
         self.switching.filter(|(_, until)| now < *until).map(|(stage, _)| stage)
     }
 
-    /// Gives the stage that the engine has, or will have soon.
+    /// Returns the engine's stage, or the one that it is switching to.
     pub fn next_stage(&self, now: Time) -> Option<Stage> {
         self.switching(now).or(self.engine.stage)
     }
 }
 
-/// All engines.
+/// All known engines.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     /// The engines by key.
     engines: BTreeMap<EngineKey, Record>,
-    /// The same by what they are looked up by.
+    /// An index of the engines by service, data centre, stage and address.
     index: Index,
-    /// The rate of reading measured over a service's engines, by stage.
+    /// The prefill rate averaged over the engines of a service, separately for prefill engines.
     rates: HashMap<(Arc<str>, bool), f64>,
-    /// The rate at which a service's engines can read for others when nothing holds them up.
+    /// The prefill rate of a service's prefill engines when nothing delays them.
     best_rates: HashMap<Arc<str>, f64>,
-    /// The revision of the newest change that was seen. None if all that is known comes from the
-    /// first list, which does not tell when the last change was.
+    /// The revision of the newest change. `None` if only the first list is known, which does not
+    /// include the revision of its last change.
     changed: Option<Revision>,
-    /// The revision up to which nothing is missing.
+    /// The revision up to which all changes are known.
     complete: Revision,
-    /// When the next missing engine is to be taken as gone.
+    /// When the next missing engine is treated as gone.
     next_removal: Option<Time>,
-    /// The engines that have ended without a word, and were not told of yet.
+    /// The engines that ended without an announcement and are not yet reported by `take_ended`.
     ended: Vec<Arc<Engine>>,
     /// The data centres that are evacuated.
     evacuated: BTreeSet<Arc<str>>,
-    /// The newest changes.
+    /// The most recent changes.
     history: History,
-    /// The engines that have left of late.
+    /// The engines that were removed recently.
     departures: Departures,
-    /// The revision at which the present era was entered, and until when lists may be as old as the
-    /// copy that it began with.
+    /// The revision at which the current era was entered, and the time until which lists may be as
+    /// old as the copy of the store that it began with.
     entered: Option<(Revision, Time)>,
 }
 
 impl Directory {
-    /// Takes a whole list and gives what it changes; none if it was older than what is known.
-    /// Engines that are missing in it stay until `missing_until`, if that is given.
+    /// Applies a complete list and returns the changes it makes. Returns `None` if the list is
+    /// older than what is known. Engines that are missing from it are kept until `missing_until`,
+    /// if given.
     ///
-    /// The lists at the beginning of a later era may be older than what is known. Engines that have
-    /// left and are in one are doubted for a time, and one that is about to leave does not stay.
+    /// The first lists of a later era may be older than what is known. Engines in them that had
+    /// gone stay unconfirmed for a time. A missing engine that was draining is not kept.
     pub fn apply_list(
         &mut self,
         engines: Vec<Engine>,
@@ -221,7 +224,7 @@
         Some(changes)
     }
 
-    /// Notes that what is told from now on is of a later era; tells whether it is.
+    /// Records that a revision belongs to a later era, if it does, and returns whether it does.
     fn enter_era(&mut self, revision: Revision, now: Time) -> bool {
         if self.complete == Revision::default() || revision.era <= self.complete.era {
             return false;
@@ -230,8 +233,8 @@
         true
     }
 
-    /// Gives an entry as it holds: one from an older copy of the store does not take back that its
-    /// engine leaves.
+    /// Returns an entry with its draining state corrected. An entry from an older copy of the store
+    /// does not undo that its engine drains.
     fn keep_draining(&self, engine: Engine, is_copy: bool) -> Engine {
         let known = self.engines.get(&engine.key).filter(|_| is_copy);
         let leaves =
@@ -239,7 +242,7 @@
         Engine { is_draining: engine.is_draining || leaves, ..engine }
     }
 
-    /// Gives the changes that lead from what is known to a list.
+    /// Returns the changes that lead from the known engines to a list.
     fn difference(&self, engines: &[Engine], revision: Revision) -> Vec<EngineChange> {
         let listed: HashSet<EngineKey> = engines.iter().map(|it| it.key).collect();
         let is_new = |it: &&Engine| self.engines.get(&it.key).is_none_or(|old| *old.engine != **it);
@@ -249,7 +252,7 @@
         put.chain(left).collect()
     }
 
-    /// Notes a change; tells whether it was newer than what is known.
+    /// Advances to a revision; returns whether it is not older than the known one.
     fn advance(&mut self, revision: Revision, now: Time) -> bool {
         if revision < self.complete {
             return false;
@@ -262,12 +265,12 @@
         true
     }
 
-    /// Gives the changes since a revision, if none of them is forgotten.
+    /// Returns the changes since a revision, or `None` if some of them have been dropped.
     pub fn changes_since(&self, revision: Revision) -> Option<Vec<EngineChange>> {
         self.history.since(revision)
     }
 
-    /// Notes that nothing is missing up to a revision.
+    /// Records that all changes up to a revision are known.
     pub fn mark_complete(&mut self, revision: Revision, now: Time) {
         let from = self.complete;
         if self.enter_era(revision, now) {
@@ -277,12 +280,12 @@
         self.complete = self.complete.max(revision);
     }
 
-    /// Takes one engine's change; tells whether it was newer than what is known.
+    /// Applies a change of one engine; returns whether it was not older than what is known.
     pub fn apply_change(&mut self, engine: Engine, revision: Revision, now: Time) -> bool {
         if !self.advance(revision, now) {
             return false;
         }
-        // Those of this revision lead to the list with which the era began.
+        // The changes of this revision lead to the list with which the era began.
         let is_copy = self.entered.is_some_and(|(entered, _)| entered == revision);
         let engine = self.keep_draining(engine, is_copy);
         self.history.add(EngineChange::Put(engine.clone(), revision));
@@ -294,8 +297,8 @@
         true
     }
 
-    /// Removes an engine; tells whether it was there. One that was not about to leave stays until
-    /// `missing_until`, if that is given.
+    /// Removes an engine; returns whether it was known. An engine that was not draining is kept as
+    /// missing until `missing_until`, if given.
     pub fn remove(
         &mut self,
         id: &str,
@@ -315,28 +318,28 @@
         true
     }
 
-    /// Takes the engines that have ended without a word since they were last taken: those that have
-    /// started again, whose address another one has, or that left without draining.
+    /// Returns the engines that ended without an announcement since the last call: those that
+    /// restarted, whose address is taken by another engine, or that went without draining.
     pub fn take_ended(&mut self) -> Vec<Arc<Engine>> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Notes that an engine's entry is gone.
+    /// Records that an engine's entry is gone.
     fn record_departure(&mut self, known: &Record, now: Time) {
         self.departures.record(&known.engine, now);
         self.record_end(known);
     }
 
-    /// Notes that an engine has ended, unless that was announced.
+    /// Records that an engine has ended, unless it was draining.
     fn record_end(&mut self, known: &Record) {
         if !known.engine.is_draining {
             self.ended.push(known.engine.clone());
         }
     }
 
-    /// Joins what was known of an engine with its newest entry. A new life of it begins with
-    /// nothing known; an entry of an earlier life, written late, changes nothing. One from an older
-    /// copy of the store is doubted if its engine has left.
+    /// Merges an engine's newest entry into its known state. A new incarnation starts without known
+    /// state. A late entry of an earlier incarnation changes nothing. An entry from an older copy
+    /// of the store is unconfirmed if its engine had gone.
     fn merge(&mut self, known: Option<Record>, engine: Engine, is_copy: bool, now: Time) {
         let known = match known {
             Some(known) if known.engine.is_superseded_by(&engine) => {
@@ -361,7 +364,7 @@
         self.insert(Record { is_evacuated, unconfirmed_until, ..known });
     }
 
-    /// Notes that a new engine has an address; the one that had it has ended, unless it began later.
+    /// Marks the engine that had a new engine's address as ended, unless it started later.
     fn mark_replaced_at(&mut self, address: SocketAddr, started_at: Option<u64>) {
         let is_ended = |it: &Record| {
             let is_later = it.engine.started_at > started_at && started_at.is_some();
@@ -376,7 +379,7 @@
         }
     }
 
-    /// Finds, in a list, the engines whose address another one has that began later.
+    /// Marks the engines whose address is taken by an engine that started later.
     fn mark_all_replaced(&mut self) {
         let mut newest: HashMap<SocketAddr, (u64, EngineKey)> = HashMap::new();
         let mut replaced = Vec::new();
@@ -401,7 +404,7 @@
         }
     }
 
-    /// Removes the engines that were missing for long enough to be gone, and gives them.
+    /// Removes the missing engines whose time is over, and returns them.
     pub fn remove_missing(&mut self, now: Time) -> Vec<Arc<Engine>> {
         if self.next_removal.is_none_or(|it| now < it) {
             return Vec::new();
@@ -417,13 +420,13 @@
         gone
     }
 
-    /// Gives when the next missing engine is to be taken as gone.
+    /// Returns when the next missing engine is treated as gone.
     pub fn next_removal(&self) -> Option<Time> {
         self.next_removal
     }
 
-    /// Notes that an engine said that a call was not meant for it: another incarnation has its
-    /// address, or it has another stage than its entry tells.
+    /// Records that an engine reported that a call was not meant for it: its address belongs to
+    /// another incarnation, or it has another stage than its entry shows.
     pub fn mark_misdirected(&mut self, engine: EngineKey, now: Time) {
         let Some(known) = self.engines.get_mut(&engine) else { return };
         if known.engine.stage.is_some() {
@@ -433,14 +436,15 @@
         }
     }
 
-    /// Notes that an engine changes its stage, until when that is counted on; a time that has
-    /// passed says that it stays as it is.
+    /// Records that an engine switches to a stage, and until when this is assumed. A time in the
+    /// past means that it does not switch.
     pub fn set_switching(&mut self, engine: EngineKey, stage: Stage, until: Time) {
         let Some(known) = self.engines.get_mut(&engine) else { return };
         known.switching = (known.engine.stage != Some(stage)).then_some((stage, until));
     }
 
-    /// Goes over the engines of a service that do not leave.
+    /// Iterates over the engines of a service that are listed, confirmed, not draining and not
+    /// evacuated.
     pub fn active(&self, service: &str, now: Time) -> impl Iterator<Item = &Record> {
         self.of_service(service).filter(move |it| {
             let is_there = it.missing_until.is_none() && !it.is_unconfirmed(now);
@@ -448,7 +452,7 @@
         })
     }
 
-    /// Notes which data centres are evacuated.
+    /// Sets the data centres that are evacuated.
     pub fn set_evacuated(&mut self, data_centres: &BTreeSet<Arc<str>>) {
         self.evacuated.clone_from(data_centres);
         for known in self.engines.values_mut() {
@@ -456,64 +460,64 @@
         }
     }
 
-    /// Finds an engine.
+    /// Returns the known state of an engine.
     pub fn get(&self, engine: EngineKey) -> Option<&Record> {
         self.engines.get(&engine)
     }
 
-    /// Finds an engine to change what is known of it.
+    /// Returns the known state of an engine for modification.
     pub fn get_mut(&mut self, engine: EngineKey) -> Option<&mut Record> {
         self.engines.get_mut(&engine)
     }
 
-    /// Goes over the engines of a service.
+    /// Iterates over the engines of a service.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Record> {
         self.index.of_service(service).filter_map(|it| self.engines.get(&it))
     }
 
-    /// Goes over the engines of a service that take new requests.
+    /// Iterates over the engines of a service that accept new requests.
     pub fn open(&self, service: &str, now: Time) -> impl Iterator<Item = &Record> {
         self.of_service(service).filter(move |it| it.is_open(now))
     }
 
-    /// Goes over the engines whose entries are there, those that leave too.
+    /// Iterates over the engines whose entries are present, including draining ones.
     pub fn present(&self) -> impl Iterator<Item = &Record> {
         self.engines.values().filter(|it| it.missing_until.is_none())
     }
 
-    /// Goes over all engines, those that leave too.
+    /// Iterates over all engines, including draining and missing ones.
     pub fn all(&self) -> impl Iterator<Item = &Record> {
         self.engines.values()
     }
 
-    /// Gives the number of engines.
+    /// Returns the number of engines.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Tells whether no engine is known.
+    /// Returns whether no engine is known.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Gives the revision of the newest change that was seen, 0 if none was. Boxes that know a
-    /// lower one may be behind.
+    /// Returns the revision of the newest change, or 0 if there was none. Boxes that know an older
+    /// one may have missed changes.
     pub fn changed(&self) -> Revision {
         self.changed.unwrap_or_default()
     }
 
-    /// Gives the revision up to which nothing is missing.
+    /// Returns the revision up to which all changes are known.
     pub fn complete(&self) -> Revision {
         self.complete
     }
 
-    /// Gives the revision that another box must know for the next change to follow on what it
-    /// knows.
+    /// Returns the revision that another box must know so that the next change follows directly on
+    /// what it knows.
     pub fn next_since(&self) -> Revision {
         self.changed.unwrap_or(self.complete)
     }
 
-    /// Notes how long an engine took for the tokens before and of one prompt.
+    /// Records how long an engine took to prefill a prompt and the tokens queued before it.
     pub fn measure(&mut self, engine: EngineKey, tokens: u64, took: Duration, now: Time) {
         let millis = took.as_secs_f64() * 1e3;
         if millis <= 0.0 {
@@ -535,7 +539,7 @@
         *shared += SAMPLE_WEIGHT * (sample - *shared);
     }
 
-    /// Gives the rate at which an engine reads prompts, in tokens a millisecond.
+    /// Returns the rate at which an engine prefills prompts, in tokens per millisecond.
     pub fn prefill_rate(&self, known: &Record, now: Time) -> f64 {
         if let Some((rate, at)) = known.rate
             && now.since(at) < MEASUREMENT_TTL
@@ -552,13 +556,14 @@
         self.rates.get(&group).copied().unwrap_or(first)
     }
 
-    /// Gives the rate at which an engine of a service can read prompts for others when nothing
-    /// holds it up, in tokens a millisecond.
+    /// Returns the rate at which a prefill engine of a service prefills prompts when nothing delays
+    /// it, in tokens per millisecond.
     pub fn best_prefill_rate(&self, service: &str) -> f64 {
         self.best_rates.get(service).copied().unwrap_or(INITIAL_PREFILL_RATE_TOKENS_PER_MS)
     }
 
-    /// Gives at most so many engines of some groups of a service, from a drawn place on.
+    /// Returns up to `max_count` engines from the chosen groups of a service, starting at a random
+    /// position.
     pub fn sample(
         &self,
         service: &str,
@@ -570,12 +575,12 @@
         keys.into_iter().filter_map(|it| self.engines.get(&it))
     }
 
-    /// Gives the number of engines in some groups of a service.
+    /// Returns the number of engines in the chosen groups of a service.
     pub fn count(&self, service: &str, is_chosen: impl Fn(&Group) -> bool) -> usize {
         self.index.count(service, is_chosen)
     }
 
-    /// Adds an engine.
+    /// Adds an engine to the map and the index.
     fn insert(&mut self, known: Record) {
         self.index.add(&known);
         let until = known.missing_until;
@@ -583,7 +588,7 @@
         self.next_removal = self.next_removal.into_iter().chain(until).min();
     }
 
-    /// Takes an engine out.
+    /// Removes an engine from the map and the index, and returns it.
     fn take(&mut self, engine: EngineKey) -> Option<Record> {
         let known = self.engines.remove(&engine)?;
         self.index.remove(&known);
@@ -593,17 +598,17 @@
         Some(known)
     }
 
-    /// Finds when the next missing engine is to be taken as gone.
+    /// Recomputes when the next missing engine is treated as gone.
     fn update_next_removal(&mut self) {
         let missing = self.index.missing().filter_map(|it| self.engines.get(&it));
         self.next_removal = missing.filter_map(|it| it.missing_until).min();
     }
 }
 
-/// Joins what was known of an incarnation with its newest entry.
+/// Merges the newest entry of an incarnation into its known state.
 fn merge(known: Option<Record>, engine: Engine, now: Time) -> Record {
     let cold_until = match &known {
-        // An entry that is read once more tells nothing new.
+        // An entry that is read a second time contains nothing new.
         Some(known) if *known.engine == engine => known.cold_until,
         _ => cold_until(&engine, now),
     };
@@ -636,8 +641,8 @@
     }
 }
 
-/// Gives until when an engine is cold by an entry that has just come. It was written a little
-/// earlier, so that the time is rather too late.
+/// Returns the time until which an engine is cold, by an entry that has just arrived. The entry was
+/// written slightly earlier, so the result is at most too late.
 fn cold_until(engine: &Engine, now: Time) -> Option<Time> {
     let left = Duration::from_millis(u64::from(engine.cold_left_ms));
     (!left.is_zero()).then(|| now + left)
--- a/crates/hollyspoke-gateway/src/directory/departed.rs
+++ b/crates/hollyspoke-gateway/src/directory/departed.rs
@@ -1,7 +1,8 @@
-//! The engines that have left of late.
+//! The engines that were removed recently.
 //!
-//! A store that came back from an older copy lists some of them again until their entries lapse. An
-//! engine whose entry is gone may go on serving for a while, but is not to be sent to.
+//! A store that was restored from an older copy lists some of them again until their entries
+//! expire. An engine whose entry is gone may continue to serve for a while, but must not be sent
+//! new requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,32 +11,32 @@
 
 use crate::engine::{Engine, EngineKey};
 
-/// How long an engine that has left is remembered, which is longer than copies of the store are old.
+/// How long a removed engine is remembered. Must exceed the age of copies of the store.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// The most engines that are remembered.
+/// The maximum number of engines that are remembered.
 const MAX_ENGINES_COUNT: usize = 16_384;
 
-/// An engine that has left.
+/// An engine that was removed.
 #[derive(Debug, Clone, Copy)]
 struct Departed {
-    /// When this life of it began, if it told.
+    /// The start time of the removed incarnation in milliseconds of Unix time, if known.
     started_at: Option<u64>,
-    /// When it left.
+    /// When it was removed.
     at: Time,
 }
 
-/// The engines that have left of late.
+/// The engines that were removed recently.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Departures {
-    /// The engines.
+    /// The removed engines by key.
     engines: HashMap<EngineKey, Departed>,
-    /// The same in the order in which they left.
+    /// The keys and times of removals, oldest first.
     order: VecDeque<(EngineKey, Time)>,
 }
 
 impl Departures {
-    /// Notes that an engine has left.
+    /// Records that an engine was removed.
     pub(super) fn record(&mut self, engine: &Engine, now: Time) {
         self.engines.insert(engine.key, Departed { started_at: engine.started_at, at: now });
         self.order.push_back((engine.key, now));
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Tells whether an entry is of an engine that has left, and of no later life of it.
+    /// Returns whether an entry belongs to a removed engine and not to a later incarnation of it.
     pub(super) fn includes(&self, engine: &Engine, now: Time) -> bool {
         let departed = self.engines.get(&engine.key).filter(|it| !is_old(it.at, now));
         departed.is_some_and(|it| match (it.started_at, engine.started_at) {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Tells whether a departure was too long ago to matter.
+/// Returns whether a removal was so long ago that it is no longer remembered.
 fn is_old(at: Time, now: Time) -> bool {
     now.since(at) >= RETENTION
 }
--- a/crates/hollyspoke-gateway/src/directory/history.rs
+++ b/crates/hollyspoke-gateway/src/directory/history.rs
@@ -1,4 +1,4 @@
-//! The newest changes of engines, for boxes that have missed some.
+//! The most recent changes of engines, for boxes that have missed some.
 
 use std::collections::VecDeque;
 
@@ -6,31 +6,33 @@
 
 use crate::engine::EngineChange;
 
-/// The most changes that are kept: about a megabyte, by 250 bytes each. A box asks within two
-/// heartbeats of missing one, 3.2 s where boxes are many; in that time a large site whose engines
-/// all enter at once makes thousands.
+/// The maximum number of changes that are kept: about 1 MB at 250 bytes each. A box that misses a
+/// change asks for it within two heartbeats, 3.2 s at a site with many boxes. In that time a large
+/// site where all engines register at once produces thousands of changes.
 const MAX_CHANGES_COUNT: usize = 4096;
 
-/// The newest changes, in order.
+/// The most recent changes, in order.
 #[derive(Debug, Clone, Default)]
 pub(super) struct History {
-    /// The changes.
+    /// The changes, oldest first.
     changes: VecDeque<EngineChange>,
-    /// The revision after which none is missing among them.
+    /// The revision after which the changes are complete.
     since: Revision,
-    /// The last revision of an earlier era, to which all of them add up too, while none was dropped.
+    /// The last revision of the earlier era, if the changes also lead from there and none has been
+    /// dropped.
     entered_from: Option<Revision>,
 }
 
 impl History {
-    /// Begins anew after a list of a revision.
+    /// Restarts the history at the revision of a list.
     pub(super) fn begin(&mut self, revision: Revision) {
         self.changes.clear();
         self.since = revision;
         self.entered_from = None;
     }
 
-    /// Begins anew with the changes that lead from what was known in an earlier era to a later one.
+    /// Restarts the history with the changes that lead from the last revision of an earlier era to
+    /// a later era.
     pub(super) fn enter(&mut self, from: Revision, changes: &[EngineChange], revision: Revision) {
         self.begin(revision);
         if changes.len() <= MAX_CHANGES_COUNT {
@@ -39,19 +41,20 @@
         }
     }
 
-    /// Adds a change that follows on those before.
+    /// Appends a change.
     pub(super) fn add(&mut self, change: EngineChange) {
         self.changes.push_back(change);
         if self.changes.len() > MAX_CHANGES_COUNT
             && let Some(dropped) = self.changes.pop_front()
         {
-            // Others of the same revision may still be here; without this one they are no use.
+            // Others of the same revision may still be here, but are of no use without the dropped
+            // one.
             self.since = dropped.revision();
             self.entered_from = None;
         }
     }
 
-    /// Gives the changes since a revision, if none of them is missing.
+    /// Returns the changes since a revision, or `None` if some are missing.
     pub(super) fn since(&self, revision: Revision) -> Option<Vec<EngineChange>> {
         if revision < self.since && self.entered_from != Some(revision) {
             return None;
--- a/crates/hollyspoke-gateway/src/directory/index.rs
+++ b/crates/hollyspoke-gateway/src/directory/index.rs
@@ -1,7 +1,7 @@
-//! What is kept beside the engines so that no change and no choice has to look at all of them.
+//! An index of the engines, so that no change and no selection has to scan all of them.
 //!
-//! With all of it worked out anew at each change, 10,000 engines that entered one by one took 68 s in
-//! a debug build; with this they take less than 0.4 s (`tests/tests/directory.rs`).
+//! Without it, when 10,000 engines register one by one, the work takes 68 s in a debug build; with
+//! it, less than 0.4 s (`tests/tests/directory.rs`).
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -10,42 +10,43 @@
 use super::Record;
 use crate::engine::{Engine, EngineKey, Stage};
 
-/// The engines of one service that have a data centre and a stage in common.
+/// The engines of one service that have the same data centre and stage.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// The data centre.
+    /// The data centre of the engines.
     pub data_centre: Arc<str>,
     /// The stage, for services with stages.
     pub stage: Option<Stage>,
-    /// The engines, in order.
+    /// The keys of the engines, sorted.
     keys: Vec<EngineKey>,
 }
 
-/// The engines by what they are looked up by.
+/// The engines by service and group, by address, and those that are missing.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
-    /// The groups of each service.
+    /// The groups of engines of each service.
     services: HashMap<Arc<str>, Vec<Group>>,
-    /// The engines at each address; an old one may be known beside the one that has its address now.
+    /// The engines at each address. An old engine may still be known next to the one that has its
+    /// address now.
     addresses: HashMap<SocketAddr, Vec<EngineKey>>,
-    /// The engines whose entry is missing.
+    /// The engines whose entries are missing.
     missing: BTreeSet<EngineKey>,
 }
 
 impl Group {
-    /// Tells whether an engine belongs here.
+    /// Returns whether an engine belongs to this group.
     fn holds(&self, engine: &Engine) -> bool {
         self.stage == engine.stage && self.data_centre == engine.data_centre
     }
 
-    /// Adds an engine.
+    /// Adds an engine to the group.
     fn add(&mut self, key: EngineKey) {
         if let Err(place) = self.keys.binary_search(&key) {
             self.keys.insert(place, key);
         }
     }
 
-    /// Removes an engine.
+    /// Removes an engine from the group.
     fn remove(&mut self, key: EngineKey) {
         if let Ok(place) = self.keys.binary_search(&key) {
             self.keys.remove(place);
@@ -54,7 +55,7 @@
 }
 
 impl Index {
-    /// Adds an engine.
+    /// Adds an engine to the index.
     pub(super) fn add(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.entry(engine.service.clone()).or_default();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Removes an engine.
+    /// Removes an engine from the index.
     pub(super) fn remove(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.get_mut(&engine.service);
@@ -86,23 +87,23 @@
         self.missing.remove(&engine.key);
     }
 
-    /// Goes over the engines of a service.
+    /// Iterates over the engines of a service.
     pub(super) fn of_service(&self, service: &str) -> impl Iterator<Item = EngineKey> {
         self.groups(service).iter().flat_map(|it| it.keys.iter().copied())
     }
 
-    /// Gives the engines at an address.
+    /// Returns the engines at an address.
     pub(super) fn at(&self, address: SocketAddr) -> &[EngineKey] {
         self.addresses.get(&address).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Goes over the engines whose entry is missing.
+    /// Iterates over the engines whose entries are missing.
     pub(super) fn missing(&self) -> impl Iterator<Item = EngineKey> {
         self.missing.iter().copied()
     }
 
-    /// Gives at most so many engines of some groups of a service, from a drawn place on. Keys are
-    /// hashes, so that neighbours have nothing in common.
+    /// Returns up to `max_count` engines from the chosen groups of a service, starting at a random
+    /// position. Keys are hashes, so neighbours are unrelated.
     pub(super) fn sample(
         &self,
         service: &str,
@@ -116,7 +117,7 @@
             return Vec::new();
         };
         let mut sample = Vec::new();
-        // The groups are gone over twice, so that the sample goes on at the first after the last.
+        // The second pass over the groups wraps around from the last to the first.
         for group in chosen.iter().chain(&chosen) {
             let keys = &group.keys[skipped.min(group.keys.len())..];
             skipped = skipped.saturating_sub(group.keys.len());
@@ -126,12 +127,12 @@
         sample
     }
 
-    /// Gives the number of engines in some groups of a service.
+    /// Returns the number of engines in the chosen groups of a service.
     pub(super) fn count(&self, service: &str, is_chosen: impl Fn(&Group) -> bool) -> usize {
         self.groups(service).iter().filter(|it| is_chosen(it)).map(|it| it.keys.len()).sum()
     }
 
-    /// Gives the groups of a service.
+    /// Returns the groups of a service.
     fn groups(&self, service: &str) -> &[Group] {
         self.services.get(service).map(Vec::as_slice).unwrap_or_default()
     }
--- a/crates/hollyspoke-gateway/src/engine.rs
+++ b/crates/hollyspoke-gateway/src/engine.rs
@@ -1,7 +1,8 @@
-//! An engine, as the platform lists it. One that starts again under its id begins a new life.
+//! An engine, as the platform lists it. An engine that restarts under the same id is a new
+//! incarnation.
 //!
-//! Of two lives the one that began later is the newer, whichever entry was written last: a write of
-//! the earlier one may take effect late.
+//! The incarnation that started later is the newer one, whichever entry was written last: a write
+//! of the earlier one may take effect late.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The short name of an incarnation: a hash of its id, the same on all boxes.
+/// A hash of an engine's id, which is the same on all boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineKey(pub u64);
 
 impl EngineKey {
-    /// Makes the key of an id.
+    /// Computes the key of an id.
     pub fn of(id: &str) -> EngineKey {
         EngineKey(xxh3_64(id.as_bytes()))
     }
@@ -24,67 +25,69 @@
 /// The part of a request that an engine serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// It reads prompts for other engines.
+    /// Prefills prompts for other engines.
     Prefill,
-    /// It generates answers; it can read prompts itself, more slowly.
+    /// Decodes answers. It can prefill prompts itself, but more slowly.
     Decode,
 }
 
 /// One incarnation of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The key made from the id.
+    /// The key computed from the id.
     pub key: EngineKey,
-    /// The id; another start of the engine has another one, or the same.
+    /// The id. After a restart the engine has the same id or another one.
     pub id: Arc<str>,
-    /// When this life of the engine began, in milliseconds of Unix time, if it tells.
+    /// The start time of this incarnation in milliseconds of Unix time, if known.
     pub started_at: Option<u64>,
     /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: Arc<str>,
     /// Its stage, for services with stages.
     pub stage: Option<Stage>,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes at once.
     pub slots: u32,
-    /// Whether it is about to leave and takes nothing new.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_draining: bool,
-    /// How much longer it is cold after its start, in milliseconds, when it wrote its entry.
+    /// The remaining time for which it is cold after its start, in milliseconds, as of the write of
+    /// its entry.
     pub cold_left_ms: u32,
 }
 
 /// A change of the list of engines, with the store's revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineChange {
-    /// An engine appeared or changed.
+    /// An engine was added or changed.
     Put(Engine, Revision),
-    /// The engine of an id left.
+    /// The engine with this id was removed.
     Left(Arc<str>, Revision),
 }
 
 impl Engine {
-    /// Tells whether an entry is of the same life of the same engine, as far as both tell.
+    /// Returns whether an entry belongs to the same incarnation of the same engine, as far as the
+    /// start times are known.
     pub fn is_same_incarnation(&self, other: &Engine) -> bool {
         self.key == other.key && self.started_at == other.started_at
     }
 
-    /// Tells whether an entry is of a later life of the same engine.
+    /// Returns whether an entry belongs to a later incarnation of the engine.
     pub fn is_superseded_by(&self, newer: &Engine) -> bool {
         matches!((self.started_at, newer.started_at), (Some(own), Some(newer)) if own < newer)
     }
 }
 
 impl EngineChange {
-    /// Gives the revision.
+    /// Returns the store's revision at which the change was made.
     pub fn revision(&self) -> Revision {
         match self {
             EngineChange::Put(_, revision) | EngineChange::Left(_, revision) => *revision,
         }
     }
 
-    /// Gives the same change in an era.
+    /// Returns the same change with its revision in another era.
     #[must_use]
     pub fn in_era(self, era: u64) -> EngineChange {
         match self {
--- a/crates/hollyspoke-gateway/src/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/evacuation.rs
@@ -1,8 +1,9 @@
-//! The data centres whose engines get nothing, as the operator asks for in the platform's store.
+//! The evacuated data centres, whose engines receive no requests. Operators set them in the
+//! platform's store.
 //!
-//! Boxes that follow the store tell the others, so that one that can't read the store learns it too.
-//! What was true at a later revision of the store goes before what was true at an earlier one: a
-//! datagram that comes late brings back nothing that was lifted.
+//! Boxes that follow the store announce them to the others, so that boxes that can't read the store
+//! learn of them too. The state at a later revision of the store replaces that at an earlier one,
+//! so a delayed datagram can't restore an evacuation that was lifted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,60 +13,59 @@
 use hollyspoke::time::Time;
 use serde::{Deserialize, Serialize};
 
-/// How long an evacuation holds that a later era of the store does not have: whoever asked for it asks
-/// again.
+/// How long an evacuation stays in effect that a later era of the store lacks. Within this time,
+/// whoever requested it can request it again.
 const HOLD_DURATION: Duration = Duration::from_secs(30);
 
-/// The data centres that are evacuated at a revision of the store.
+/// The evacuated data centres at a revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// The revision; that of no store if nothing is known.
+    /// The revision; the default if nothing is known.
     pub revision: Revision,
-    /// The data centres.
+    /// The names of the data centres.
     pub data_centres: BTreeSet<Arc<str>>,
 }
 
-/// A change of what is evacuated.
+/// A change of the evacuated data centres.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A data centre is to be evacuated.
+    /// A data centre is evacuated.
     Begun(Arc<str>),
-    /// A data centre may be used again.
+    /// A data centre's evacuation is lifted.
     Lifted(Arc<str>),
 }
 
-/// What another state brings: the data centres that are newly evacuated, and those that are not any
-/// more.
+/// The difference between two states.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Those that are newly evacuated.
+    /// The data centres that are newly evacuated.
     pub begun: Vec<Arc<str>>,
-    /// Those that may be used again.
+    /// The data centres whose evacuation is lifted.
     pub lifted: Vec<Arc<str>>,
 }
 
-/// The evacuated data centres as they hold at a box: those of the newest state, and for a time those
-/// that an older copy of the store may have lost.
+/// The evacuations in effect at a box: those of the newest state, and temporarily those that an
+/// older copy of the store may have lost.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
-    /// The newest state.
+    /// The newest known state.
     newest: Evacuation,
-    /// Until when others hold too.
+    /// Other data centres that stay evacuated, and until when.
     held: BTreeMap<Arc<str>, Time>,
 }
 
 impl Evacuations {
-    /// Gives the newest state that was told.
+    /// Returns the newest known state.
     pub fn newest(&self) -> &Evacuation {
         &self.newest
     }
 
-    /// Gives the data centres whose engines get nothing.
+    /// Returns the data centres whose evacuation is in effect.
     pub fn effective(&self) -> BTreeSet<Arc<str>> {
         self.newest.data_centres.iter().chain(self.held.keys()).cloned().collect()
     }
 
-    /// Takes a state that was true at a later revision, and gives what it changes.
+    /// Applies a state if its revision is newer, and returns the difference in effect.
     pub fn apply(&mut self, newer: Evacuation, now: Time) -> Difference {
         if newer.revision <= self.newest.revision {
             return Difference::default();
@@ -81,7 +81,7 @@
         Difference::between(&before, &self.effective())
     }
 
-    /// Takes changes that led to a revision, and gives what they change.
+    /// Applies changes that led to a newer revision, and returns the difference in effect.
     pub fn apply_changes(
         &mut self,
         changes: Vec<Change>,
@@ -102,31 +102,31 @@
         Difference::between(&before, &self.effective())
     }
 
-    /// Lifts what was held for long enough, and gives what that changes.
+    /// Lifts the evacuations whose hold has expired, and returns the difference in effect.
     pub fn sweep(&mut self, now: Time) -> Difference {
         let before = self.effective();
         self.held.retain(|_, until| now < *until);
         Difference::between(&before, &self.effective())
     }
 
-    /// Gives when the next evacuation is held for long enough.
+    /// Returns when the next held evacuation expires.
     pub fn next_expiry(&self) -> Option<Time> {
         self.held.values().min().copied()
     }
 }
 
 impl Evacuation {
-    /// Tells whether anything is known, also that nothing is evacuated.
+    /// Returns whether the state is known, even if nothing is evacuated.
     pub fn is_known(&self) -> bool {
         self.revision > Revision::default()
     }
 
-    /// Tells whether a data centre is evacuated.
+    /// Returns whether a data centre is evacuated.
     pub fn includes(&self, data_centre: &str) -> bool {
         self.data_centres.contains(data_centre)
     }
 
-    /// Gives the state after changes that led to a revision.
+    /// Returns the state at a revision, after the changes that led to it.
     #[must_use]
     pub fn after(&self, changes: Vec<Change>, revision: Revision) -> Evacuation {
         let mut data_centres = self.data_centres.clone();
@@ -141,7 +141,7 @@
 }
 
 impl Difference {
-    /// Gives what leads from some evacuated data centres to others.
+    /// Returns the difference between two sets of evacuated data centres.
     fn between(before: &BTreeSet<Arc<str>>, after: &BTreeSet<Arc<str>>) -> Difference {
         Difference {
             begun: after.difference(before).cloned().collect(),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Tells whether nothing has changed.
+    /// Returns whether there is no difference.
     pub fn is_empty(&self) -> bool {
         self.begun.is_empty() && self.lifted.is_empty()
     }
--- a/crates/hollyspoke-gateway/src/gateway/cold.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! Cold engines: this box's part of what they bear.
+//! This box's share of the requests that cold engines can handle.
 
 use super::Gateway;
 use crate::cold::Part;
@@ -6,12 +6,12 @@
 use crate::member::number;
 
 impl Gateway {
-    /// Gives this box's part of what cold engines bear.
+    /// Returns what determines this box's share.
     pub(super) fn cold_share(&self) -> Part {
         Part { number: number(&self.settings.peer), boxes: self.sharing_boxes() }
     }
 
-    /// Notes that a call is sent to an engine, if that is cold.
+    /// Records that a call is sent to an engine, if the engine is cold.
     pub(super) fn record_cold_send(&mut self, engine: EngineKey) {
         if self.directory.get(engine).is_some_and(|it| it.is_cold(self.now)) {
             self.turns.record(engine, self.now);
--- a/crates/hollyspoke-gateway/src/gateway/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/gateway/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuated data centres: their engines get no call, no question and no order, until that is
-//! lifted. What already runs there goes on to its end.
+//! Evacuated data centres: until the evacuation is lifted, their engines receive no calls, probes
+//! or orders. Requests that already run there are completed.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 use crate::effect::Note;
 use crate::evacuation::{Change, Difference, Evacuation};
 
-/// The time after a box's start by which it serves even if nobody has told which data centres are
-/// evacuated: the store and the other boxes answer within milliseconds, and a box that waits for
-/// longer would refuse what all engines could serve.
+/// How long after its start a box waits to learn which data centres are evacuated. The store and
+/// the other boxes answer within milliseconds, and a box that waited longer would reject requests
+/// that all engines could serve.
 const MAX_EVACUATION_WAIT: Duration = Duration::from_secs(1);
 
 impl Gateway {
-    /// Tells whether it is known which data centres are evacuated, or was not to be learnt.
+    /// Returns whether the evacuated data centres are known, or the wait for them is over.
     pub(super) fn knows_evacuation(&self) -> bool {
         self.evacuations.newest().is_known() || self.now.since(Time::ZERO) >= MAX_EVACUATION_WAIT
     }
 
-    /// Gives the data centres that are evacuated.
+    /// Returns the evacuated data centres that are in effect.
     pub fn evacuation(&self) -> Evacuation {
         let revision = self.evacuations.newest().revision;
         Evacuation { revision, data_centres: self.evacuations.effective() }
     }
 
-    /// Takes changes that this box read from the store.
+    /// Applies changes that this box read from the store.
     pub(super) fn apply_evacuation_changes(&mut self, changes: Vec<Change>, revision: Revision) {
         let difference = self.evacuations.apply_changes(changes, revision, self.now);
         self.apply_difference(difference);
     }
 
-    /// Lifts the evacuations that were held for long enough after the store had lost them.
+    /// Lifts evacuations that the store had lost, once their hold has expired.
     pub(super) fn lift_expired(&mut self) {
         if self.evacuations.next_expiry().is_some_and(|it| it <= self.now) {
             let difference = self.evacuations.sweep(self.now);
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Takes a state from the store or from another box, if it is newer, and passes on what has
-    /// changed.
+    /// Applies a state from the store or from another box if it is newer, and announces the
+    /// difference.
     pub(super) fn apply_evacuation(&mut self, newer: Evacuation) {
         let difference = self.evacuations.apply(newer, self.now);
         self.apply_difference(difference);
     }
 
-    /// Has the engines of the evacuated data centres, and no others, left alone.
+    /// Applies a difference to the directory, and announces it.
     fn apply_difference(&mut self, difference: Difference) {
         if difference.is_empty() {
             return;
--- a/crates/hollyspoke-gateway/src/health.rs
+++ b/crates/hollyspoke-gateway/src/health.rs
@@ -1,48 +1,48 @@
-//! What an engine's answers tell about it: its rate of failure, and whether it is to be avoided.
+//! The health of an engine: its failure rate, and whether it should be avoided.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use hollyspoke::time::Time;
 
-/// The weight of the newest outcome in the rate of failure.
+/// The weight of the newest outcome in the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.2;
 
-/// The time after which a rate of failure counts half.
+/// The time in which the failure rate decays by half.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// How long an engine is avoided after its connection did not open.
+/// How long an engine is avoided after the first connection that could not be opened.
 const MIN_AVOIDANCE: Duration = Duration::from_millis(700);
 
-/// The longest time an engine is avoided before it is tried again.
+/// The maximum time for which an engine is avoided before the next attempt.
 const MAX_AVOIDANCE: Duration = Duration::from_secs(4);
 
-/// How long the word of other boxes counts that they did not reach an engine.
+/// How long another box's report that it could not reach an engine stays valid.
 const SUSPICION_TTL: Duration = Duration::from_millis(1500);
 
-/// How many other boxes must say so: one alone may be cut off itself.
+/// The minimum number of other boxes that must report so: a single one may itself be cut off.
 const MIN_SUSPECTING_COUNT: usize = 2;
 
-/// The rate of failure above which an engine is avoided while others are better.
+/// The failure rate above which an engine is avoided while others are better.
 const POOR_FAILURE_RATIO: f64 = 0.35;
 
-/// What is known of one engine's health.
+/// The health of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// The rate of failure at `rated`.
+    /// The failure rate at the time `rated`.
     rate: f64,
-    /// When the rate was last set.
+    /// When the failure rate was last set.
     rated: Time,
-    /// Connections in a row that did not open.
+    /// The number of consecutive connections that could not be opened.
     failed_connections: u32,
-    /// Until when it is avoided.
+    /// The time until which the engine is avoided.
     avoided_until: Option<Time>,
-    /// The boxes that have not reached it of late, and when they said so.
+    /// The boxes that recently reported that they could not reach the engine, and when.
     suspecting: Vec<(SocketAddr, Time)>,
 }
 
 impl Health {
-    /// Notes a good answer.
+    /// Records a successful answer.
     pub fn record_success(&mut self, now: Time) {
         self.failed_connections = 0;
         self.avoided_until = None;
@@ -50,13 +50,13 @@
         self.set(now, self.failure_rate(now) * (1.0 - OUTCOME_WEIGHT));
     }
 
-    /// Notes a failed answer.
+    /// Records a failed answer.
     pub fn record_failure(&mut self, now: Time) {
         self.set(now, self.failure_rate(now) * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT);
     }
 
-    /// Notes a connection that did not open, or an engine that fell silent; gives the time for
-    /// which it is avoided.
+    /// Records a connection that could not be opened, or an engine that timed out. Returns how long
+    /// the engine is avoided.
     pub fn record_unreachable(&mut self, now: Time) -> Duration {
         let interval = MIN_AVOIDANCE * 2u32.pow(self.failed_connections.min(4));
         let interval = interval.min(MAX_AVOIDANCE);
@@ -65,36 +65,36 @@
         interval
     }
 
-    /// Notes that another box has not reached the engine.
+    /// Records that another box could not reach the engine.
     pub fn suspect(&mut self, node: SocketAddr, now: Time) {
         let is_other = |it: &(SocketAddr, Time)| it.0 != node;
         self.suspecting.retain(|it| is_other(it) && now.since(it.1) < SUSPICION_TTL);
         self.suspecting.push((node, now));
     }
 
-    /// Tells whether several other boxes have not reached the engine of late.
+    /// Returns whether several other boxes recently could not reach the engine.
     pub fn is_suspected(&self, now: Time) -> bool {
         let fresh = self.suspecting.iter().filter(|it| now.since(it.1) < SUSPICION_TTL);
         fresh.count() >= MIN_SUSPECTING_COUNT
     }
 
-    /// Gives the rate of failure, from 0 to 1, which fades with time.
+    /// Returns the failure rate, from 0 to 1, which decays over time.
     pub fn failure_rate(&self, now: Time) -> f64 {
         let half_lives = now.since(self.rated).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.rate * 0.5f64.powf(half_lives)
     }
 
-    /// Tells whether the engine is to be avoided while others can be used.
+    /// Returns whether the engine should be avoided while others are available.
     pub fn is_poor(&self, now: Time) -> bool {
         self.is_unreachable(now) || self.failure_rate(now) > POOR_FAILURE_RATIO
     }
 
-    /// Tells whether the engine could not be reached of late, so that it gets nothing.
+    /// Returns whether the engine was recently unreachable, so that no requests are sent to it.
     pub fn is_unreachable(&self, now: Time) -> bool {
         self.avoided_until.is_some_and(|it| now < it)
     }
 
-    /// Sets the rate of failure.
+    /// Sets the failure rate.
     fn set(&mut self, now: Time, rate: f64) {
         self.rate = rate;
         self.rated = now;
--- a/crates/hollyspoke-gateway/src/lib.rs
+++ b/crates/hollyspoke-gateway/src/lib.rs
@@ -1,14 +1,14 @@
-//! Every decision of a gateway that forwards requests whole, as one reducer.
+//! The decisions of a gateway that forwards requests to engines, as one reducer.
 //!
-//! [`gateway::Gateway::step`] takes an [`event::Event`] and gives [`effect::Effect`]s. The library
-//! has no I/O, no runtime, no wall clock and no threads. A driver turns sockets, timers and store
-//! answers into events and carries the effects out.
+//! [`gateway::Gateway::step`] takes an [`event::Event`] and returns [`effect::Effect`]s. The
+//! library has no I/O, no runtime, no wall clock and no threads. A driver turns sockets, timers and
+//! store answers into events and executes the effects.
 //!
-//! Imports go one way: `route`, `engine` and `request` at the ground, with what engines say of
-//! themselves (`statement`; `intake`, `departure` and `rest` keep it, together `terms`); `message`,
-//! `event` and `effect` above them; then one mechanism a file (`budget`, `health`, `load`, `directory`,
-//! `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`, `cold`, `permit`); `flight`
-//! follows one request; `gateway` composes all.
+//! Imports are acyclic. `route`, `engine` and `request` import the least, with what engines report
+//! about themselves (`statement`; `intake`, `departure` and `rest` store it, and `terms` combines
+//! them). `message`, `event` and `effect` build on these. Then each mechanism has a file (`budget`,
+//! `health`, `load`, `directory`, `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`,
+//! `cold`, `permit`). `flight` follows one request, and `gateway` combines everything.
 
 pub mod budget;
 pub mod cadence;
--- a/crates/hollyspoke-gateway/src/load.rs
+++ b/crates/hollyspoke-gateway/src/load.rs
@@ -1,4 +1,5 @@
-//! What all boxes have sent to the engines: the box's own calls at once, others' by datagram.
+//! The load that all boxes place on the engines. This box's calls count at once, those of others
+//! when a datagram arrives.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -8,40 +9,42 @@
 use crate::engine::EngineKey;
 use crate::message::Load;
 
-/// How soon others must hear of a change.
+/// How soon other boxes must receive a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// At once, if memory or reading changes: engines tell their calls themselves.
+    /// At once, if reserved memory or queued prefill tokens change. Calls are less urgent, since
+    /// engines report those themselves.
     Now,
     /// With the next datagram.
     Later,
 }
 
-/// The work at every engine.
+/// The load on each engine.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    /// This box's own work.
+    /// The load from this box.
     own: BTreeMap<EngineKey, Load>,
-    /// Other boxes' work, by where they listen.
+    /// The load from each other box, by its address.
     peers: HashMap<SocketAddr, HashMap<EngineKey, Load>>,
-    /// The sum of other boxes' work.
+    /// The sum of the load from all other boxes.
     others: HashMap<EngineKey, Load>,
-    /// Until when memory that another box freed is left to others.
+    /// The time until which memory that another box freed is left to others.
     contested: HashMap<EngineKey, Time>,
-    /// Engines at which the own work has changed since it was last told.
+    /// Engines on which this box's load has changed since the last announcement.
     changed: BTreeSet<EngineKey>,
-    /// Whether some of that is memory or reading, which others must know of at once.
+    /// Whether some of these changes concern memory or prefill tokens, which others must receive at
+    /// once.
     is_urgent: bool,
 }
 
 impl Ledger {
-    /// Adds own work.
+    /// Adds load from this box.
     pub fn add(&mut self, engine: EngineKey, load: Load) {
         self.own.entry(engine).or_default().add(load);
         self.record_change(engine, load, Urgency::Now);
     }
 
-    /// Takes own work away.
+    /// Removes load from this box.
     pub fn remove(&mut self, engine: EngineKey, load: Load, urgency: Urgency) {
         let own = self.own.entry(engine).or_default();
         own.remove(load);
@@ -51,25 +54,25 @@
         self.record_change(engine, load, urgency);
     }
 
-    /// Notes that own work has changed.
+    /// Records that this box's load has changed.
     fn record_change(&mut self, engine: EngineKey, load: Load, urgency: Urgency) {
         self.changed.insert(engine);
         self.is_urgent |= urgency == Urgency::Now && (load.held > 0 || load.reading > 0);
     }
 
-    /// Tells whether own work has changed since it was last told.
+    /// Returns whether this box's load has changed since the last announcement.
     pub fn has_changed(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Tells whether others must know of the changes at once: engines tell their calls themselves,
-    /// but not what memory is reserved and what waits to be read.
+    /// Returns whether others must receive the changes at once. Engines report their calls
+    /// themselves, but not the reserved memory and the prompts that wait for prefill.
     pub fn is_urgent(&self) -> bool {
         self.is_urgent
     }
 
-    /// Takes in what another box tells. Memory that it freed is left to others until a time;
-    /// tells whether there is any.
+    /// Applies the load that another box announces. Memory that it freed is left to others until
+    /// `contested_until`. Returns whether it freed any.
     pub fn receive(
         &mut self,
         peer: SocketAddr,
@@ -94,43 +97,44 @@
         has_freed
     }
 
-    /// Forgets what a box told.
+    /// Removes the load that a box announced.
     pub fn forget(&mut self, peer: SocketAddr) {
         for (engine, load) in self.peers.remove(&peer).unwrap_or_default() {
             self.others.entry(engine).or_default().remove(load);
         }
     }
 
-    /// Gives the work of all boxes at an engine.
+    /// Returns the load of all boxes on an engine.
     pub fn at(&self, engine: EngineKey) -> Load {
         let mut sum = self.own_at(engine);
         sum.add(self.others.get(&engine).copied().unwrap_or_default());
         sum
     }
 
-    /// Tells whether another box has just freed memory at an engine, which many may want.
+    /// Returns whether another box has just freed memory at an engine, for which many boxes may
+    /// compete.
     pub fn is_contested(&self, engine: EngineKey, now: Time) -> bool {
         self.contested.get(&engine).is_some_and(|&it| now < it)
     }
 
-    /// Gives this box's work at an engine.
+    /// Returns this box's load on an engine.
     pub fn own_at(&self, engine: EngineKey) -> Load {
         self.own.get(&engine).copied().unwrap_or_default()
     }
 
-    /// Gives the own work that has changed since the last time.
+    /// Returns this box's load where it has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(EngineKey, Load)> {
         let changed = std::mem::take(&mut self.changed);
         self.is_urgent = false;
         changed.into_iter().map(|it| (it, self.own_at(it))).collect()
     }
 
-    /// Gives all own work.
+    /// Returns this box's load on all engines.
     pub fn own(&self) -> Vec<(EngineKey, Load)> {
         self.own.iter().map(|(&engine, &load)| (engine, load)).collect()
     }
 
-    /// Sets another box's work at an engine; gives what was known before.
+    /// Sets another box's load on an engine; returns the previous one.
     fn set(&mut self, peer: SocketAddr, engine: EngineKey, load: Load) -> Load {
         let known = self.peers.entry(peer).or_default();
         let old = if load.is_empty() { known.remove(&engine) } else { known.insert(engine, load) };
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine takes a call.
+//! Selection of the engine that serves a call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,127 +14,127 @@
 use crate::route::{Service, Staged};
 use crate::terms::{Bar, Terms};
 
-/// How long the load that an engine told with an answer counts.
+/// How long the load that an engine reported with an answer stays valid.
 const REPORTED_LOAD_TTL: Duration = Duration::from_millis(400);
 
-/// What another data centre costs, in shares of an engine that is full.
+/// The cost of another data centre, as a share of a full engine's load.
 const OTHER_DATA_CENTRE_SHARE: f64 = 0.1;
 
-/// What another region costs, in shares of an engine that is full: moves of memory take five times
-/// as long as between data centres of one, and each call some 25 ms more.
+/// The cost of another region, as a share of a full engine's load. Transfers of memory take five
+/// times as long as between data centres of one region, and each call about 25 ms more.
 const OTHER_REGION_SHARE: f64 = 0.3;
 
-/// What a rate of failure of one costs, in shares of an engine that is full.
+/// The cost of a failure rate of 1, as a share of a full engine's load.
 const FAILURE_SHARE: f64 = 2.0;
 
 /// The pace at which work takes as long as usual, in percent.
 const USUAL_PACE_PERCENT: f64 = 100.0;
 
-/// The work for each slot above which an engine's queue is too long for new work.
+/// The calls per slot above which an engine's queue is too long for new calls.
 const MAX_QUEUE_RATIO: f64 = 4.0;
 
-/// The share of an engine's memory that is given out.
+/// The share of an engine's memory that is allocated.
 const MEMORY_SHARE: f64 = 0.95;
 
-/// The share that is given out where another box has just freed memory: beyond it, the boxes that
-/// wait for memory would all take it at once.
+/// The share of memory that is allocated where another box has just freed some. Above it, all boxes
+/// that wait for memory would claim it at once.
 const CONTESTED_MEMORY_SHARE: f64 = 0.8;
 
-/// What moving a prompt to another data centre costs beside its time.
+/// The cost of a prompt's transfer to another data centre, in addition to the transfer time.
 const OTHER_DATA_CENTRE_TRANSFER: Duration = Duration::from_millis(25);
 
-/// What it costs to choose an engine of another data centre whose work is known from seldom
-/// heartbeats alone, where time is compared: most of a prompt of 5,000 tokens that a reader may
-/// have been sent meanwhile, which takes it 90 ms.
+/// The time penalty for an engine in another data centre whose load is known from infrequent
+/// heartbeats only. Meanwhile it may have been sent a prompt of 5,000 tokens, which takes it 90 ms;
+/// this is most of that.
 const REMOTE_STALENESS_COST: Duration = Duration::from_millis(75);
 
-/// The same, in shares of an engine that is full: two calls of six, or of a dozen four.
+/// The same penalty as a share of a full engine's load: two calls of six, or four of a dozen.
 const REMOTE_STALENESS_SHARE: f64 = 0.3;
 
-/// What a failure rate of one costs where time is compared.
+/// The time penalty for a failure rate of 1.
 const FAILURE_COST: Duration = Duration::from_millis(1500);
 
-/// What reading beside streams that are running costs them.
+/// The time penalty for each running stream that a prefill on the same engine slows down.
 const STREAM_INTERFERENCE_COST: Duration = Duration::from_millis(60);
 
-/// The time from a call's sending to an engine's start on it.
+/// The time from sending a call until the engine starts on it.
 const CALL_OVERHEAD: Duration = Duration::from_millis(15);
 
-/// The engines of a stage up to which all are compared; beyond, a part of them, since the cost of a
-/// request would grow with the engines. Up to some hundreds the best of all is worth its cost.
+/// The maximum number of engines of a stage that are all compared. Of more engines only a sample
+/// is, since the cost of a choice would grow with their number. Up to some hundreds, finding the
+/// best of all is worth that cost.
 const MAX_COMPARED_COUNT: usize = 300;
 
-/// The engines that are looked at where there are more: the best of 64 drawn ones is among the best
-/// 5 in 100 of all in 96 of 100 cases, and the cost of a choice does not grow with the engines.
+/// The number of engines in the sample. The best of 64 random engines is among the best 5 in 100 of
+/// all in 96 of 100 cases, and the cost of a choice does not grow with the number of engines.
 const SAMPLE_COUNT: usize = 64;
 
-/// Whether a request may ask for a permit to go to an engine in need.
+/// Whether a request may ask for a permit to use a rate-limited engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitWait {
-    /// At any engine whose next permit comes within the time that it can wait.
+    /// It can wait for this time, and may ask at any engine whose next permit is due within it.
     Open(Duration),
-    /// It has asked at this engine, and waits.
+    /// It has asked at this engine, and waits for the permit.
     At(EngineKey),
-    /// No more.
+    /// It may not ask any more.
     Never,
 }
 
-/// An engine for a call.
+/// An engine selected for a call.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The engine.
+    /// The selected engine.
     pub engine: Arc<Engine>,
-    /// How soon it is expected to be done with what comes before the answer.
+    /// The expected time until the work that precedes the answer is done.
     pub expected: Duration,
-    /// The tokens of prompts that are read before and with this one.
+    /// The prompt tokens that the engine prefills before and including this prompt.
     pub queued_tokens: u64,
 }
 
-/// What a choice is made from.
+/// The inputs of a selection.
 #[derive(Debug, Clone, Copy)]
 pub struct Selector<'a> {
-    /// The engines.
+    /// The known engines.
     pub directory: &'a Directory,
-    /// The work at them.
+    /// The load on the engines.
     pub ledger: &'a Ledger,
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a Service,
     /// This box's data centre.
     pub data_centre: &'a str,
-    /// Whether the work at engines of other data centres is known as soon as that of the own data
-    /// centre.
+    /// Whether the load on engines of other data centres is known as early as that on local ones.
     pub knows_remote: bool,
-    /// Engines that the request was sent to before.
+    /// Engines that the request was already sent to.
     pub tried: &'a [EngineKey],
-    /// Where the request may be served: by its route, and by its customer.
+    /// The regions that the request may be served in: by its route, and by its customer.
     pub homes: [&'a Homes; 2],
-    /// The regions of all data centres.
+    /// The region of each data centre.
     pub regions: &'a Regions,
-    /// When this box last sent to cold engines.
+    /// When this box last sent a request to each cold engine.
     pub cold_sends: &'a SendTimes,
-    /// This box's part of what cold engines bear.
+    /// What determines this box's share of the requests that cold engines can handle.
     pub cold_share: Part,
-    /// What engines have said that binds whoever sends to them.
+    /// The restrictions that engines have announced: shutdowns, back-offs and rate limits.
     pub terms: &'a Terms,
-    /// The permits to send to them.
+    /// This box's permits to use rate-limited engines.
     pub permits: &'a Holder,
-    /// Whether the request may wait for one more.
+    /// Whether the request may wait for another permit.
     pub permit_wait: PermitWait,
-    /// For how long an engine may be known to leave that is used all the same, as no other can serve;
-    /// none if another can.
+    /// How long ago an engine may have announced its shutdown and still be used, because no other
+    /// engine can serve the request. `None` if another can.
     pub max_drain_age: Option<Duration>,
-    /// Whether engines have crashed under the request.
+    /// Whether engines have crashed while they served the request.
     pub is_suspect: bool,
-    /// Engines at which a request is tried that may crash them.
+    /// Engines that a possibly crashing request is being tried on.
     pub trials: &'a [EngineKey],
-    /// The time.
+    /// The current time.
     pub now: Time,
-    /// A drawn number that breaks ties.
+    /// A random number, which breaks ties.
     pub draw: u64,
 }
 
 impl Selector<'_> {
-    /// Chooses an engine for a plain request; none if all queues are too long.
+    /// Selects an engine for a plain request; `None` if all queues are too long.
     pub fn choose_plain(&self) -> Option<Choice> {
         let candidates = self.candidates(None, self.data_centre, None, |_| true);
         let (known, cost) = self.cheapest(&candidates, |it| self.plain_cost(it))?;
@@ -145,7 +145,7 @@
         Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
     }
 
-    /// Chooses an engine to read a prompt for another.
+    /// Selects an engine to prefill a prompt for another engine.
     pub fn choose_prefill(&self, staged: &Staged, tokens: u64) -> Option<Choice> {
         let has_room = |it: &Record| self.has_memory(it, staged, tokens);
         let stage = Some(Stage::Prefill);
@@ -165,7 +165,7 @@
         })
     }
 
-    /// Chooses an engine that reads the prompt itself and then generates.
+    /// Selects an engine that prefills the prompt itself and then decodes.
     pub fn choose_combined(&self, staged: &Staged, tokens: u64, held: u64) -> Option<Choice> {
         let has_room = |it: &Record| self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
@@ -185,8 +185,8 @@
         })
     }
 
-    /// Chooses an engine that generates from a prompt read in a data centre; the preferred one,
-    /// where memory was reserved, if it can still be used.
+    /// Selects an engine that decodes a prompt prefilled in the given data centre. Prefers the
+    /// engine where memory was reserved, if it can still be used.
     pub fn choose_decode(
         &self,
         staged: &Staged,
@@ -219,23 +219,23 @@
         Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
     }
 
-    /// Makes the choice of an engine that has the prompt already.
+    /// Returns the choice of an engine that has the prompt cached.
     pub fn choose_cached(known: &Record) -> Choice {
         Choice { engine: known.engine.clone(), expected: CALL_OVERHEAD, queued_tokens: 0 }
     }
 
-    /// Tells whether an engine takes new requests and has room for one.
+    /// Returns whether an engine accepts new requests and has memory for one.
     pub fn has_room(&self, known: &Record, staged: &Staged, held: u64) -> bool {
         self.is_allowed(known) && self.has_memory(known, staged, held)
     }
 
-    /// Gives the engines that may take the call and have room for it: those not tried and in good
-    /// health, else those in poor health, else those tried before. Those that could not be reached
-    /// of late are left out: they seem to have room just because nothing runs there. Those that
-    /// other boxes could not reach are left out too, unless there are no more.
+    /// Returns the engines that can serve the call and have free capacity: untried ones in good
+    /// health, else those in poor health, else those tried before. Engines that were recently
+    /// unreachable are excluded: they only seem to have free capacity because nothing runs there.
+    /// Engines that other boxes could not reach are excluded as well, unless no others are left.
     ///
-    /// Of many engines a part is looked at, of a data centre first and then of all, beside the
-    /// preferred one.
+    /// If there are many engines, only a sample is checked, together with the preferred one: first
+    /// a sample of the given data centre, then of all.
     fn candidates(
         &self,
         stage: Option<Stage>,
@@ -244,7 +244,7 @@
         has_room: impl Fn(&Record) -> bool,
     ) -> Vec<&Record> {
         let is_of_stage = |it: &Group| stage.is_none() || it.stage.is_none() || it.stage == stage;
-        // Few of many engines may lie in the homes: a sample of all would miss them.
+        // Only few of many engines may be in the allowed regions: a sample of all would miss them.
         let is_usable = |it: &Group| is_of_stage(it) && self.is_home(&it.data_centre);
         let name = &self.service.name;
         let count = self.directory.count(name, is_usable);
@@ -265,7 +265,7 @@
         self.usable(remote.collect(), &has_room)
     }
 
-    /// Gives those of some engines that may take the call and have room for it.
+    /// Returns those of the given engines that can serve the call and have free capacity.
     fn usable<'a>(
         &self,
         engines: Vec<&'a Record>,
@@ -285,8 +285,9 @@
         self.separate_suspects(chosen)
     }
 
-    /// Tells whether the request may be sent to an engine at all: it takes new requests by what is
-    /// listed and by its own word, lies in all homes, and is not cold or bears one more request.
+    /// Returns whether the request may be sent to an engine at all: the engine accepts new requests
+    /// by its entry and its own announcements, lies in an allowed region, and is not cold or can
+    /// handle one more request.
     pub fn is_allowed(&self, known: &Record) -> bool {
         known.is_open(self.now)
             && self.is_home(&known.engine.data_centre)
@@ -294,7 +295,7 @@
             && self.is_admitted(known)
     }
 
-    /// Tells whether an engine's own word lets the request go there.
+    /// Returns whether an engine's own announcements allow the request.
     fn is_admitted(&self, known: &Record) -> bool {
         let engine = known.engine.key;
         match self.terms.bar(&known.engine, self.max_drain_age, self.now) {
@@ -304,17 +305,17 @@
         }
     }
 
-    /// Gives the view of a request that has not asked for a permit yet.
+    /// Returns a selector for the same request as if it had not asked for a permit yet.
     pub fn before_permit(&self) -> Selector<'_> {
         Selector { permit_wait: PermitWait::Open(Duration::ZERO), ..*self }
     }
 
-    /// Tells whether a request can go to an engine only with a permit that is not there yet.
+    /// Returns whether the request needs a permit for an engine that this box does not hold yet.
     pub fn needs_permit(&self, engine: EngineKey) -> bool {
         self.terms.limits.of(engine).is_some() && !self.permits.has(engine, self.now)
     }
 
-    /// Tells whether the request may wait for a permit for an engine.
+    /// Returns whether the request may wait for a permit for an engine.
     fn may_request_permit(&self, engine: EngineKey) -> bool {
         match self.permit_wait {
             PermitWait::Open(patience) => !self.permits.is_refused(engine, patience, self.now),
@@ -323,12 +324,12 @@
         }
     }
 
-    /// Tells whether the request may be served in a data centre.
+    /// Returns whether the request may be served in a data centre.
     fn is_home(&self, data_centre: &str) -> bool {
         self.homes.iter().all(|it| it.include(data_centre, self.regions))
     }
 
-    /// Tells whether an engine is cold and bears no more of this box's requests now.
+    /// Returns whether an engine is cold and can't accept another request of this box now.
     fn is_too_cold(&self, known: &Record) -> bool {
         let rate = self.service.cold_rate.filter(|_| known.is_cold(self.now));
         rate.is_some_and(|it| {
@@ -336,8 +337,9 @@
         })
     }
 
-    /// Keeps those of some engines where a suspect request harms the fewest others if it crashes its
-    /// engine, and keeps other requests away from such a one while there are other engines.
+    /// Keeps other requests off the engines on which a suspect request is tried, as long as there
+    /// are other engines. For a suspect request, keeps only the engines with the fewest calls, so
+    /// that a crash affects as few others as possible.
     fn separate_suspects<'a>(&self, mut engines: Vec<&'a Record>) -> Vec<&'a Record> {
         let is_tried = |it: &&Record| self.trials.contains(&it.engine.key);
         if engines.iter().any(|it| !is_tried(it)) {
@@ -351,7 +353,7 @@
         engines
     }
 
-    /// Finds the cheapest candidate; the drawn number breaks ties.
+    /// Returns the candidate with the lowest cost; the random number breaks ties.
     fn cheapest<'a>(
         &self,
         candidates: &[&'a Record],
@@ -366,7 +368,7 @@
         rotated.map(|&it| (it, cost(it))).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Gives the cost of a plain request at an engine.
+    /// Returns the cost of a plain request at an engine.
     fn plain_cost(&self, known: &Record) -> f64 {
         let staleness_share = self.staleness_share(known);
         let one = 1.0 / f64::from(known.engine.slots.max(1));
@@ -376,19 +378,20 @@
             + known.health.failure_rate(self.now) * FAILURE_SHARE
     }
 
-    /// Gives how long work takes at an engine now, in the usual time.
+    /// Returns how long work at an engine takes now, relative to its usual time.
     fn pace(&self, known: &Record) -> f64 {
         let reported =
             known.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
         reported.map_or(1.0, |(it, _)| f64::from(it.pace) / USUAL_PACE_PERCENT)
     }
 
-    /// Gives what the way to an engine costs, in shares of one that is full.
+    /// Returns the cost of the distance to an engine, as a share of a full engine's load.
     fn distance(&self, known: &Record) -> f64 {
         self.distance_from(self.data_centre, known)
     }
 
-    /// Gives what the way from a data centre to an engine costs, in shares of one that is full.
+    /// Returns the cost of the distance from a data centre to an engine, as a share of a full
+    /// engine's load.
     fn distance_from(&self, data_centre: &str, known: &Record) -> f64 {
         let other = &*known.engine.data_centre;
         if other == data_centre {
@@ -400,7 +403,7 @@
         }
     }
 
-    /// Gives what the age of what is known of an engine costs in time.
+    /// Returns the time penalty for outdated knowledge of an engine's load.
     fn staleness_cost(&self, known: &Record) -> Duration {
         if self.knows_remote || self.is_local(known) {
             Duration::ZERO
@@ -409,12 +412,13 @@
         }
     }
 
-    /// Gives what the age of what is known of an engine costs, in shares of one that is full.
+    /// Returns the penalty for outdated knowledge of an engine's load, as a share of a full
+    /// engine's load.
     fn staleness_share(&self, known: &Record) -> f64 {
         if self.knows_remote || self.is_local(known) { 0.0 } else { REMOTE_STALENESS_SHARE }
     }
 
-    /// Gives the work at an engine for each of its slots.
+    /// Returns the number of calls per slot at an engine.
     fn queue(&self, known: &Record) -> f64 {
         let sent = self.ledger.at(known.engine.key).calls;
         let reported =
@@ -423,32 +427,32 @@
         f64::from(sent.max(reported)) / f64::from(known.engine.slots.max(1))
     }
 
-    /// Gives the tokens that an engine has yet to read.
+    /// Returns the number of tokens that an engine has yet to prefill.
     fn queued_tokens(&self, known: &Record) -> u64 {
         u64::from(self.ledger.at(known.engine.key).reading)
     }
 
-    /// Gives the time until an engine would have read a prompt.
+    /// Returns the time until an engine would have prefilled a prompt.
     fn prefill_time(&self, known: &Record, tokens: u64) -> Duration {
         let rate = self.directory.prefill_rate(known, self.now).max(0.1);
         let millis = (self.queued_tokens(known) + tokens) as f64 / rate;
         CALL_OVERHEAD + Duration::from_secs_f64(millis / 1e3)
     }
 
-    /// Gives the time that a move of a prompt takes over an idle link.
+    /// Returns the time that the transfer of a prompt takes over an idle link.
     fn transfer_time(&self, staged: &Staged, tokens: u64) -> Duration {
         let bits = (tokens * staged.token_bytes * 8) as f64;
         let rate = (staged.link_mbps * 1e6).max(1.0);
         Duration::from_secs_f64((bits / rate).min(10.0))
     }
 
-    /// Gives what an engine's failures cost in time.
+    /// Returns the time penalty for an engine's failures.
     fn failure_cost(&self, known: &Record) -> Duration {
         FAILURE_COST.mul_f64(known.health.failure_rate(self.now))
     }
 
-    /// Tells whether an engine has memory for more tokens. An empty engine always has, so that a
-    /// request larger than all engines gets the engine's own answer.
+    /// Returns whether an engine has memory for more tokens. An empty engine always has, so that a
+    /// request that is too large for every engine gets the engine's own answer.
     fn has_memory(&self, known: &Record, staged: &Staged, tokens: u64) -> bool {
         if known.is_full(tokens, self.now) {
             return false;
@@ -461,7 +465,7 @@
         held == 0 || (held + tokens) as f64 <= memory * share
     }
 
-    /// Tells whether an engine is in this box's data centre.
+    /// Returns whether an engine is in this box's data centre.
     fn is_local(&self, known: &Record) -> bool {
         *known.engine.data_centre == *self.data_centre
     }
--- a/crates/hollyspoke-gateway/src/prompt.rs
+++ b/crates/hollyspoke-gateway/src/prompt.rs
@@ -1,8 +1,8 @@
-//! Which engines keep a prompt in their memory, so that a request that comes again with the same
-//! prompt need not have it read anew.
+//! Which engines have a prompt cached, so that a repeated request with the same prompt need not
+//! prefill it again.
 //!
-//! An engine keeps what it has read until newer prompts displace it. What is noted here is a hint:
-//! an engine that no longer keeps a prompt reads it itself.
+//! An engine caches a prompt until newer prompts displace it. The records here are hints: an engine
+//! that no longer has a prompt cached prefills it itself.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,60 +13,61 @@
 
 use crate::engine::EngineKey;
 
-/// How long an engine is taken to keep a prompt. A run may take some seconds of it.
+/// How long an engine is assumed to have a prompt cached. A run may take several seconds of this
+/// time.
 const CACHE_TTL: Duration = Duration::from_secs(12);
 
-/// The most engines noted for one prompt.
+/// The maximum number of engines recorded per prompt.
 const MAX_ENGINES_COUNT: usize = 2;
 
-/// The short name of a prompt: a hash of the platform's name for its last part.
+/// The key of a prompt: a hash of the platform's name for its last part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PromptKey(pub u64);
 
 impl PromptKey {
-    /// Makes the key of a name.
+    /// Computes the key of a name.
     pub fn of(name: &str) -> PromptKey {
         PromptKey(xxh3_64(name.as_bytes()))
     }
 }
 
-/// An engine that keeps a prompt.
+/// The fact that an engine has a prompt cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedPrompt {
-    /// The prompt.
+    /// The cached prompt.
     pub prompt: PromptKey,
-    /// The engine.
+    /// The engine that has it cached.
     pub engine: EngineKey,
 }
 
-/// The engines that keep one prompt.
+/// The engines that have one prompt cached.
 #[derive(Debug, Clone, Default)]
 struct CachingEngines {
-    /// The engines, the newest last.
+    /// The engines, newest last.
     engines: Vec<EngineKey>,
-    /// When one was last noted.
+    /// When the latest of them was recorded.
     noted: Time,
 }
 
-/// The prompts that engines have read of late.
+/// The prompts that engines have recently prefilled.
 #[derive(Debug, Clone, Default)]
 pub struct Prompts {
-    /// The engines that keep each prompt.
+    /// The engines that have each prompt cached.
     caching_engines: HashMap<PromptKey, CachingEngines>,
-    /// When each prompt was noted, the oldest first.
+    /// When each prompt was recorded, oldest first.
     noted: VecDeque<(Time, PromptKey)>,
-    /// What this box has seen itself and not told yet.
+    /// What this box has observed and not yet announced to other boxes.
     unannounced: Vec<CachedPrompt>,
 }
 
 impl Prompts {
-    /// Notes what this box has seen, to be told to others.
+    /// Records what this box has observed, for announcement to other boxes.
     pub fn observe(&mut self, cached: CachedPrompt, now: Time) {
         self.record(cached, now);
         self.unannounced.push(cached);
     }
 
-    /// Notes that an engine keeps a prompt.
+    /// Records that an engine has a prompt cached.
     pub fn record(&mut self, cached: CachedPrompt, now: Time) {
         self.remove_expired(now);
         let caching_engines = self.caching_engines.entry(cached.prompt).or_default();
@@ -79,14 +80,14 @@
         self.noted.push_back((now, cached.prompt));
     }
 
-    /// Gives the engines that keep a prompt, the newest first.
+    /// Returns the engines that have a prompt cached, newest first.
     pub fn caching_engines(&self, prompt: PromptKey) -> impl Iterator<Item = EngineKey> {
         let caching_engines = self.caching_engines.get(&prompt);
         let engines = caching_engines.map(|it| it.engines.as_slice()).unwrap_or_default();
         engines.iter().rev().copied()
     }
 
-    /// Notes that an engine keeps nothing any more.
+    /// Records that an engine has no prompts cached any more.
     pub fn forget(&mut self, engine: EngineKey) {
         for caching_engines in self.caching_engines.values_mut() {
             caching_engines.engines.retain(|it| *it != engine);
@@ -94,17 +95,17 @@
         self.unannounced.retain(|it| it.engine != engine);
     }
 
-    /// Tells whether something is to be told to others.
+    /// Returns whether something remains to be announced to other boxes.
     pub fn has_unannounced(&self) -> bool {
         !self.unannounced.is_empty()
     }
 
-    /// Gives what is to be told to others.
+    /// Returns what remains to be announced to other boxes, and clears it.
     pub fn take_unannounced(&mut self) -> Vec<CachedPrompt> {
         std::mem::take(&mut self.unannounced)
     }
 
-    /// Drops prompts that were not noted of late.
+    /// Removes prompts that were not recorded recently.
     fn remove_expired(&mut self, now: Time) {
         while let Some(&(noted, prompt)) = self.noted.front() {
             if now.since(noted) < CACHE_TTL {
--- a/crates/hollyspoke-gateway/src/ratio.rs
+++ b/crates/hollyspoke-gateway/src/ratio.rs
@@ -1,81 +1,81 @@
-//! How many engines of a service read prompts, and how many generate.
+//! How many engines of a service prefill prompts, and how many decode.
 //!
-//! Reading takes time of an engine, generating takes its memory. The best split is the one whose
-//! scarcer side has the most to spare: then both sides bear the same growth of the load before
-//! requests wait. Which one that is depends on the lengths of prompts and answers alone, so that a
-//! burst of the usual requests changes nothing.
+//! Prefill is limited by an engine's time, decode by its memory. The best split is the one where
+//! the scarcer side has the most spare capacity: then both sides can handle the same growth of the
+//! load before requests wait. Which split that is depends only on the lengths of prompts and
+//! answers, so a burst of the usual requests changes nothing.
 
 use crate::message::Demand;
 
-/// The share of the reading rate beyond which prompts wait for long.
+/// The share of the prefill rate above which prompts wait for long.
 const MAX_PREFILL_SHARE: f64 = 1.0;
 
-/// The share of the memory beyond which requests wait for room.
+/// The share of the memory above which requests wait for free capacity.
 const MAX_MEMORY_SHARE: f64 = 0.65;
 
-/// The pressure below which no split is worth a change: nobody waits.
+/// The pressure below which no change of the split is worthwhile, since no request waits.
 const MIN_PRESSURE_RATIO: f64 = 0.35;
 
-/// The share of the pressure that a change must take away to pay for an engine that does nothing
-/// for some seconds.
+/// The minimum share of the pressure that a change must remove, since the engine that changes is
+/// idle for some seconds.
 const MIN_GAIN_SHARE: f64 = 0.12;
 
-/// The share of what a side can bear that must be left to it while one of its engines changes.
+/// The maximum pressure on a side while one of its engines changes.
 const MAX_REMAINING_RATIO: f64 = 1.0;
 
-/// The engines of a service by what they do.
+/// The number of engines of a service in each stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Split {
-    /// Those that read prompts.
+    /// The engines that prefill prompts.
     pub prefill: u32,
-    /// Those that generate.
+    /// The engines that decode answers.
     pub decode: u32,
 }
 
-/// What one engine can bear.
+/// The capacity of one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
-    /// Tokens that a reader reads a second.
+    /// The rate of a prefill engine, in tokens per second.
     pub prefill_rate: f64,
-    /// Tokens that a generator's memory holds.
+    /// The tokens that a decode engine's memory holds.
     pub memory_tokens: f64,
 }
 
-/// Which way an engine is to change.
+/// The stage change of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// From reading to generating.
+    /// From prefill to decode.
     ToDecode,
-    /// From generating to reading.
+    /// From decode to prefill.
     ToPrefill,
 }
 
-/// Gives the share of what readers can bear that is asked of a number of them.
+/// Returns the demand for prefill as a share of what the given number of engines can handle.
 fn prefill_pressure(demand: Demand, capacity: Capacity, prefill: u32) -> f64 {
     let rate = capacity.prefill_rate * f64::from(prefill) * MAX_PREFILL_SHARE;
     f64::from(demand.reading) / rate.max(f64::MIN_POSITIVE)
 }
 
-/// Gives the share of what generators can bear that is asked of a number of them.
+/// Returns the demand for memory as a share of what the given number of decode engines can handle.
 fn memory_pressure(demand: Demand, capacity: Capacity, decode: u32) -> f64 {
     let memory = capacity.memory_tokens * f64::from(decode) * MAX_MEMORY_SHARE;
     f64::from(demand.held) / memory.max(f64::MIN_POSITIVE)
 }
 
-/// Gives the pressure on the scarcer side of a split.
+/// Returns the pressure on the scarcer side of a split.
 pub fn pressure(demand: Demand, capacity: Capacity, split: Split) -> f64 {
     let reading = prefill_pressure(demand, capacity, split.prefill);
     reading.max(memory_pressure(demand, capacity, split.decode))
 }
 
-/// Gives the split with the least pressure; both sides keep an engine.
+/// Returns the split with the least pressure that has at least one engine on each side.
 pub fn best(demand: Demand, capacity: Capacity, engines: u32) -> Option<Split> {
     let splits = (1..engines).map(|prefill| Split { prefill, decode: engines - prefill });
     splits.min_by(|a, b| pressure(demand, capacity, *a).total_cmp(&pressure(demand, capacity, *b)))
 }
 
-/// Gives the change that a split needs, if one is worth it; `working` are the engines that are not
-/// changing already.
+/// Returns the change that a split needs, if one is worthwhile. `working` counts the engines that
+/// are not already changing.
 pub fn change(demand: Demand, capacity: Capacity, split: Split, working: Split) -> Option<Change> {
     let best = best(demand, capacity, split.prefill + split.decode)?;
     let now = pressure(demand, capacity, split);
--- a/crates/hollyspoke-gateway/src/route.rs
+++ b/crates/hollyspoke-gateway/src/route.rs
@@ -9,59 +9,60 @@
 use crate::customer::Customers;
 use crate::region::Homes;
 
-/// What may be done again with the requests of a route.
+/// How requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// Requests that may run more than once.
     Safe,
     /// Requests that may run at most once.
     Unsafe,
-    /// Requests answered by a series of events.
+    /// Requests that are answered with a stream of events.
     Stream,
 }
 
-/// One part of a route's traffic.
+/// A share of a route's traffic that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
-    /// The service that takes the part.
+    /// The service that receives the share.
     pub service: Arc<str>,
-    /// The part's weight among all parts of the route.
+    /// The share's weight relative to all others of the route.
     pub weight: u32,
 }
 
 /// One route: which requests it covers, and how they are served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The route's name.
+    /// The name of the route.
     pub name: Arc<str>,
     /// The host that the route belongs to.
     pub host: Arc<str>,
-    /// The start of the paths that the route covers; begins and ends with a slash.
+    /// The path prefix that the route covers. It begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be done again.
+    /// How requests may be repeated.
     pub kind: RouteKind,
-    /// The longest time a request may be held.
+    /// The maximum time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer earns its full credit.
+    /// The time within which an answer counts in full.
     pub target_latency: Duration,
-    /// The rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
     /// The services and their weights; never empty.
     pub splits: Vec<Split>,
     /// Whether requests need no key.
     pub is_auth_exempt: bool,
-    /// The most engines that one request may be sent to.
+    /// The maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another engine.
+    /// Whether an interrupted stream may be continued at another engine.
     pub resumable: bool,
-    /// The longest pause between events with which a stream is in time.
+    /// The longest pause between events for which a stream counts as on time; `None` if there is no
+    /// limit.
     pub max_gap: Option<Duration>,
-    /// Where requests of the route may be served.
+    /// The regions in which requests of the route may be served.
     pub homes: Homes,
 }
 
 impl Route {
-    /// Tells whether a request of the route may run more than once.
+    /// Returns whether a request of the route may run more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Chooses the service of a request by a number drawn from all of `u64`.
+    /// Selects the service of a request by a random number from the whole range of `u64`.
     pub fn service(&self, draw: u64) -> &Arc<str> {
         let whole: u64 = self.splits.iter().map(|it| u64::from(it.weight)).sum();
         let mut rest = draw.checked_rem(whole).unwrap_or(0);
@@ -85,53 +86,54 @@
     }
 }
 
-/// The engines of a service that reads prompts and generates answers in separate stages.
+/// The engines of a service that prefills prompts and decodes answers in separate stages.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Staged {
     /// The tokens that one engine's memory holds.
     pub memory_tokens: u64,
-    /// The bytes of memory a token.
+    /// The KV cache size per token, in bytes.
     pub token_bytes: u64,
-    /// The rate of an engine's link, in megabits a second.
+    /// The bandwidth of an engine's link, in megabits per second.
     pub link_mbps: f64,
-    /// How long an engine keeps a prompt that it has read for another engine.
+    /// How long an engine caches a prompt that it prefilled for another engine.
     pub handle_ttl: Duration,
-    /// How long an engine takes to change its stage once nothing runs there; none if it can't.
+    /// How long an idle engine takes to change its stage; `None` if it can't.
     pub switch_duration: Option<Duration>,
 }
 
-/// One service.
+/// A group of engines that serve the same requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// The service's name.
+    /// The name of the service.
     pub name: Arc<str>,
-    /// Set for services with separate stages.
+    /// The parameters of services with separate stages; `None` for plain services.
     pub staged: Option<Staged>,
-    /// The requests a second that an engine bears while it is cold; none if as many as ever.
+    /// The rate that an engine can handle while it is cold, in requests per second; `None` if there
+    /// is no limit.
     pub cold_rate: Option<f64>,
 }
 
-/// What clients may send, and how long they may take.
+/// Limits on what clients may send and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The most bytes of a head.
+    /// The maximum size of a request head.
     pub head_bytes: usize,
-    /// The most bytes of a body.
+    /// The maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// The maximum time for receiving a head.
     pub head_timeout: Duration,
-    /// How long a connection may rest.
+    /// The maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration, whole and never changed.
+/// One immutable version of the configuration.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// The version; later ones are higher.
+    /// The version; newer configurations have higher ones.
     pub version: u64,
-    /// What clients may send.
+    /// The limits on what clients send.
     pub limits: Limits,
-    /// The customers, if requests need their keys.
+    /// The customers; `None` if requests need no keys.
     pub customers: Option<Customers>,
     /// The services by name.
     services: HashMap<Arc<str>, Service>,
@@ -140,7 +142,7 @@
 }
 
 impl Configuration {
-    /// Makes a version from its parts. Routes without a service are left out.
+    /// Creates a version from its parts. Routes without a service are omitted.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -162,9 +164,9 @@
         Configuration { customers: Some(customers), ..self }
     }
 
-    /// Finds the route with the longest prefix that begins the path.
+    /// Returns the route with the longest prefix of the path.
     ///
-    /// Prefixes end with a slash, so that only the path's own slashes are looked up.
+    /// Prefixes end with a slash, so only prefixes that end at a slash of the path are looked up.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self.routes.get(host)?;
         let mut rest = path;
@@ -177,22 +179,22 @@
         None
     }
 
-    /// Finds a service.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Goes over the services.
+    /// Iterates over the services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Goes over the routes.
+    /// Iterates over the routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flat_map(HashMap::values)
     }
 
-    /// Gives the number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(HashMap::len).sum()
     }
