--- a/crates/hollyspoke-gateway/src/demand.rs
+++ b/crates/hollyspoke-gateway/src/demand.rs
@@ -20,11 +20,11 @@
     /// When the first request arrived.
     first: Option<Time>,
     /// When the sums were last updated.
-    updated: Time,
+    updated_at: Time,
     /// The tokens to prefill.
-    reading: f64,
+    prefill_tokens: f64,
     /// The tokens to hold in memory, each for the duration of a run.
-    held: f64,
+    held_tokens: f64,
     /// The number of requests.
     requests: f64,
 }
@@ -34,8 +34,8 @@
     pub fn record(&mut self, tokens: u64, held: u64, now: Time) {
         self.first.get_or_insert(now);
         self.decay(now);
-        self.reading += tokens as f64;
-        self.held += held as f64;
+        self.prefill_tokens += tokens as f64;
+        self.held_tokens += held as f64;
         self.requests += 1.0;
     }
 
@@ -49,18 +49,18 @@
         // window.
         let window_s = decay_s * (1.0 - (-age / decay_s).exp());
         Demand {
-            reading: (self.reading / window_s) as u32,
-            held: (self.held / window_s * run.as_secs_f64()) as u32,
+            reading: (self.prefill_tokens / window_s) as u32,
+            held: (self.held_tokens / window_s * run.as_secs_f64()) as u32,
             requests: self.requests as u32,
         }
     }
 
     /// Decays the sums up to the current time.
     fn decay(&mut self, now: Time) {
-        let share = (-now.since(self.updated).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
-        self.updated = now;
-        self.reading *= share;
-        self.held *= share;
+        let share = (-now.since(self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        self.updated_at = now;
+        self.prefill_tokens *= share;
+        self.held_tokens *= share;
         self.requests *= share;
     }
 }
@@ -83,14 +83,14 @@
     /// The decayed number of runs that have ended.
     ended: f64,
     /// When the sums were last updated.
-    updated: Time,
+    updated_at: Time,
 }
 
 impl Default for Runs {
     fn default() -> Runs {
         let (duration, count) = INITIAL_RUN;
         let busy_s = duration.as_secs_f64() * count;
-        Runs { running: 0, busy_s, ended: count, updated: Time::ZERO }
+        Runs { running: 0, busy_s, ended: count, updated_at: Time::ZERO }
     }
 }
 
@@ -120,8 +120,8 @@
     /// Updates the sums to the current time.
     fn advance(&mut self, now: Time) {
         let decay_s = DECAY_TIME.as_secs_f64();
-        let share = (-now.since(self.updated).as_secs_f64() / decay_s).exp();
-        self.updated = now;
+        let share = (-now.since(self.updated_at).as_secs_f64() / decay_s).exp();
+        self.updated_at = now;
         self.busy_s = self.busy_s * share + f64::from(self.running) * decay_s * (1.0 - share);
         self.ended *= share;
     }
--- a/crates/hollyspoke-gateway/src/directory.rs
+++ b/crates/hollyspoke-gateway/src/directory.rs
@@ -513,7 +513,7 @@
 
     /// Returns the revision that another box must know so that the next change follows directly on
     /// what it knows.
-    pub fn next_since(&self) -> Revision {
+    pub fn base_revision(&self) -> Revision {
         self.changed.unwrap_or(self.complete)
     }
 
--- a/crates/hollyspoke-gateway/src/directory/index.rs
+++ b/crates/hollyspoke-gateway/src/directory/index.rs
@@ -35,7 +35,7 @@
 
 impl Group {
     /// Returns whether an engine belongs to this group.
-    fn holds(&self, engine: &Engine) -> bool {
+    fn matches(&self, engine: &Engine) -> bool {
         self.stage == engine.stage && self.data_centre == engine.data_centre
     }
 
@@ -59,7 +59,7 @@
     pub(super) fn add(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.entry(engine.service.clone()).or_default();
-        let place = groups.iter().position(|it| it.holds(engine)).unwrap_or_else(|| {
+        let place = groups.iter().position(|it| it.matches(engine)).unwrap_or_else(|| {
             let (data_centre, stage) = (engine.data_centre.clone(), engine.stage);
             groups.push(Group { data_centre, stage, keys: Vec::new() });
             groups.len() - 1
@@ -75,7 +75,7 @@
     pub(super) fn remove(&mut self, known: &Record) {
         let engine = &known.engine;
         let groups = self.services.get_mut(&engine.service);
-        if let Some(group) = groups.and_then(|it| it.iter_mut().find(|it| it.holds(engine))) {
+        if let Some(group) = groups.and_then(|it| it.iter_mut().find(|it| it.matches(engine))) {
             group.remove(engine.key);
         }
         if let Some(keys) = self.addresses.get_mut(&engine.address) {
--- a/crates/hollyspoke-gateway/src/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/evacuation.rs
@@ -51,7 +51,7 @@
     /// The newest known state.
     newest: Evacuation,
     /// Other data centres that stay evacuated, and until when.
-    held: BTreeMap<Arc<str>, Time>,
+    held_until: BTreeMap<Arc<str>, Time>,
 }
 
 impl Evacuations {
@@ -62,7 +62,7 @@
 
     /// Returns the data centres whose evacuation is in effect.
     pub fn effective(&self) -> BTreeSet<Arc<str>> {
-        self.newest.data_centres.iter().chain(self.held.keys()).cloned().collect()
+        self.newest.data_centres.iter().chain(self.held_until.keys()).cloned().collect()
     }
 
     /// Applies a state if its revision is newer, and returns the difference in effect.
@@ -74,9 +74,9 @@
         if newer.revision.era > self.newest.revision.era {
             let until = now + HOLD_DURATION;
             let lost = self.newest.data_centres.difference(&newer.data_centres);
-            self.held.extend(lost.map(|it| (it.clone(), until)));
+            self.held_until.extend(lost.map(|it| (it.clone(), until)));
         }
-        self.held.retain(|it, _| !newer.data_centres.contains(it));
+        self.held_until.retain(|it, _| !newer.data_centres.contains(it));
         self.newest = newer;
         Difference::between(&before, &self.effective())
     }
@@ -94,7 +94,7 @@
         let before = self.effective();
         for change in &changes {
             if let Change::Lifted(data_centre) = change {
-                self.held.remove(data_centre);
+                self.held_until.remove(data_centre);
             }
         }
         let newer = self.newest.after(changes, revision);
@@ -105,13 +105,13 @@
     /// Lifts the evacuations whose hold has expired, and returns the difference in effect.
     pub fn sweep(&mut self, now: Time) -> Difference {
         let before = self.effective();
-        self.held.retain(|_, until| now < *until);
+        self.held_until.retain(|_, until| now < *until);
         Difference::between(&before, &self.effective())
     }
 
     /// Returns when the next held evacuation expires.
     pub fn next_expiry(&self) -> Option<Time> {
-        self.held.values().min().copied()
+        self.held_until.values().min().copied()
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/kept.rs
+++ b/crates/hollyspoke-gateway/src/gateway/kept.rs
@@ -31,7 +31,7 @@
         let generators = keepers.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
         // A kept prompt is no reason to wait for an engine in need: others read it in less.
         let at_once = generators.filter(|it| !view.needs_permit(it.engine.key));
-        let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| kept_by(it));
+        let own = at_once.filter(|it| view.has_capacity(it, staged, held)).map(|it| kept_by(it));
         own.chain(keepers.iter().filter_map(|it| taken_from(it, view, staged, held))).next()
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -191,7 +191,7 @@
         let known = self.directory.complete();
         let enters = self.is_listed && revision.era > known.era;
         // Only what was known at the same revision adds up with the changes to a later era's list.
-        let since = if enters { known } else { self.directory.next_since() };
+        let since = if enters { known } else { self.directory.base_revision() };
         let missing_until = self.missing_until();
         match self.directory.apply_list(engines, revision, missing_until, self.now) {
             Some(changes) => {
@@ -214,7 +214,7 @@
     /// Takes changes that this box read from the store. One that follows it passes them on; the
     /// others have read what they had missed, which the rest knows.
     pub(super) fn change(&mut self, changes: Vec<EngineChange>) {
-        let since = self.directory.next_since();
+        let since = self.directory.base_revision();
         let own = self.directory.complete();
         let newer: Vec<_> = changes.into_iter().filter(|it| it.revision() > own).collect();
         self.apply(&newer);
--- a/crates/hollyspoke-gateway/src/health.rs
+++ b/crates/hollyspoke-gateway/src/health.rs
@@ -29,10 +29,10 @@
 /// The health of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// The failure rate at the time `rated`.
+    /// The failure rate at the time `rated_at`.
     rate: f64,
     /// When the failure rate was last set.
-    rated: Time,
+    rated_at: Time,
     /// The number of consecutive connections that could not be opened.
     failed_connections: u32,
     /// The time until which the engine is avoided.
@@ -80,7 +80,7 @@
 
     /// Returns the failure rate, from 0 to 1, which decays over time.
     pub fn failure_rate(&self, now: Time) -> f64 {
-        let half_lives = now.since(self.rated).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let half_lives = now.since(self.rated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.rate * 0.5f64.powf(half_lives)
     }
 
@@ -97,6 +97,6 @@
     /// Sets the failure rate.
     fn set(&mut self, now: Time, rate: f64) {
         self.rate = rate;
-        self.rated = now;
+        self.rated_at = now;
     }
 }
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -147,9 +147,9 @@
 
     /// Selects an engine to prefill a prompt for another engine.
     pub fn choose_prefill(&self, staged: &Staged, tokens: u64) -> Option<Choice> {
-        let has_room = |it: &Record| self.has_memory(it, staged, tokens);
+        let has_capacity = |it: &Record| self.has_memory(it, staged, tokens);
         let stage = Some(Stage::Prefill);
-        let candidates = self.candidates(stage, self.data_centre, None, has_room);
+        let candidates = self.candidates(stage, self.data_centre, None, has_capacity);
         let (known, _) = self.cheapest(&candidates, |it| {
             let distance =
                 OTHER_DATA_CENTRE_TRANSFER.mul_f64(self.distance(it) / OTHER_DATA_CENTRE_SHARE);
@@ -167,9 +167,9 @@
 
     /// Selects an engine that prefills the prompt itself and then decodes.
     pub fn choose_combined(&self, staged: &Staged, tokens: u64, held: u64) -> Option<Choice> {
-        let has_room = |it: &Record| self.has_memory(it, staged, held);
+        let has_capacity = |it: &Record| self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
-        let candidates = self.candidates(stage, self.data_centre, None, has_room);
+        let candidates = self.candidates(stage, self.data_centre, None, has_capacity);
         let (known, cost) = self.cheapest(&candidates, |it| {
             let load = self.ledger.at(it.engine.key);
             let interference = STREAM_INTERFERENCE_COST * load.calls.min(4);
@@ -198,9 +198,9 @@
             let total = u64::from(self.ledger.at(it.engine.key).held);
             preferred == Some(it.engine.key) && total <= staged.memory_tokens
         };
-        let has_room = |it: &Record| is_reserved(it) || self.has_memory(it, staged, held);
+        let has_capacity = |it: &Record| is_reserved(it) || self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
-        let candidates = self.candidates(stage, source_data_centre, preferred, has_room);
+        let candidates = self.candidates(stage, source_data_centre, preferred, has_capacity);
         let (known, _) = self.cheapest(&candidates, |it| {
             if is_reserved(it) {
                 return 0.0;
@@ -225,7 +225,7 @@
     }
 
     /// Returns whether an engine accepts new requests and has memory for one.
-    pub fn has_room(&self, known: &Record, staged: &Staged, held: u64) -> bool {
+    pub fn has_capacity(&self, known: &Record, staged: &Staged, held: u64) -> bool {
         self.is_allowed(known) && self.has_memory(known, staged, held)
     }
 
@@ -241,42 +241,42 @@
         stage: Option<Stage>,
         data_centre: &str,
         preferred: Option<EngineKey>,
-        has_room: impl Fn(&Record) -> bool,
+        has_capacity: impl Fn(&Record) -> bool,
     ) -> Vec<&Record> {
         let is_of_stage = |it: &Group| stage.is_none() || it.stage.is_none() || it.stage == stage;
         // Only few of many engines may be in the allowed regions: a sample of all would miss them.
-        let is_usable = |it: &Group| is_of_stage(it) && self.is_home(&it.data_centre);
+        let is_usable = |it: &Group| is_of_stage(it) && self.is_region_allowed(&it.data_centre);
         let name = &self.service.name;
         let count = self.directory.count(name, is_usable);
         if count <= MAX_COMPARED_COUNT {
             let mut all: Vec<_> =
                 self.directory.sample(name, is_usable, count, self.draw).collect();
             all.sort_by_key(|it| it.engine.key);
-            return self.usable(all, &has_room);
+            return self.usable(all, &has_capacity);
         }
         let preferred = preferred.and_then(|it| self.directory.get(it));
         let is_local = |it: &Group| is_usable(it) && *it.data_centre == *data_centre;
         let local = self.directory.sample(name, is_local, SAMPLE_COUNT, self.draw);
-        let usable = self.usable(preferred.into_iter().chain(local).collect(), &has_room);
+        let usable = self.usable(preferred.into_iter().chain(local).collect(), &has_capacity);
         if !usable.is_empty() {
             return usable;
         }
         let remote = self.directory.sample(name, is_usable, SAMPLE_COUNT, self.draw);
-        self.usable(remote.collect(), &has_room)
+        self.usable(remote.collect(), &has_capacity)
     }
 
     /// Returns those of the given engines that can serve the call and have free capacity.
     fn usable<'a>(
         &self,
         engines: Vec<&'a Record>,
-        has_room: impl Fn(&Record) -> bool,
+        has_capacity: impl Fn(&Record) -> bool,
     ) -> Vec<&'a Record> {
         let allowed = engines.into_iter().filter(|it| self.is_allowed(it));
         let mut all: Vec<_> = allowed.filter(|it| !it.health.is_unreachable(self.now)).collect();
         if all.iter().any(|it| !it.health.is_suspected(self.now)) {
             all.retain(|it| !it.health.is_suspected(self.now));
         }
-        all.retain(|it| has_room(it));
+        all.retain(|it| has_capacity(it));
         let is_new = |it: &&Record| !self.tried.contains(&it.engine.key);
         let new: Vec<_> = all.iter().copied().filter(is_new).collect();
         let is_good = |it: &&Record| !it.health.is_poor(self.now);
@@ -290,7 +290,7 @@
     /// handle one more request.
     pub fn is_allowed(&self, known: &Record) -> bool {
         known.is_open(self.now)
-            && self.is_home(&known.engine.data_centre)
+            && self.is_region_allowed(&known.engine.data_centre)
             && !self.is_too_cold(known)
             && self.is_admitted(known)
     }
@@ -325,7 +325,7 @@
     }
 
     /// Returns whether the request may be served in a data centre.
-    fn is_home(&self, data_centre: &str) -> bool {
+    fn is_region_allowed(&self, data_centre: &str) -> bool {
         self.homes.iter().all(|it| it.include(data_centre, self.regions))
     }
 
--- a/crates/hollyspoke-gateway/src/prompt.rs
+++ b/crates/hollyspoke-gateway/src/prompt.rs
@@ -46,7 +46,7 @@
     /// The engines, newest last.
     engines: Vec<EngineKey>,
     /// When the latest of them was recorded.
-    noted: Time,
+    recorded_at: Time,
 }
 
 /// The prompts that engines have recently prefilled.
@@ -55,7 +55,7 @@
     /// The engines that have each prompt cached.
     caching_engines: HashMap<PromptKey, CachingEngines>,
     /// When each prompt was recorded, oldest first.
-    noted: VecDeque<(Time, PromptKey)>,
+    recorded_at: VecDeque<(Time, PromptKey)>,
     /// What this box has observed and not yet announced to other boxes.
     unannounced: Vec<CachedPrompt>,
 }
@@ -71,13 +71,13 @@
     pub fn record(&mut self, cached: CachedPrompt, now: Time) {
         self.remove_expired(now);
         let caching_engines = self.caching_engines.entry(cached.prompt).or_default();
-        caching_engines.noted = now;
+        caching_engines.recorded_at = now;
         caching_engines.engines.retain(|it| *it != cached.engine);
         caching_engines.engines.push(cached.engine);
         if caching_engines.engines.len() > MAX_ENGINES_COUNT {
             caching_engines.engines.remove(0);
         }
-        self.noted.push_back((now, cached.prompt));
+        self.recorded_at.push_back((now, cached.prompt));
     }
 
     /// Returns the engines that have a prompt cached, newest first.
@@ -107,12 +107,12 @@
 
     /// Removes prompts that were not recorded recently.
     fn remove_expired(&mut self, now: Time) {
-        while let Some(&(noted, prompt)) = self.noted.front() {
-            if now.since(noted) < CACHE_TTL {
+        while let Some(&(recorded_at, prompt)) = self.recorded_at.front() {
+            if now.since(recorded_at) < CACHE_TTL {
                 return;
             }
-            self.noted.pop_front();
-            if self.caching_engines.get(&prompt).is_some_and(|it| it.noted <= noted) {
+            self.recorded_at.pop_front();
+            if self.caching_engines.get(&prompt).is_some_and(|it| it.recorded_at <= recorded_at) {
                 self.caching_engines.remove(&prompt);
             }
         }
