--- a/crates/hollyspoke/src/lib.rs
+++ b/crates/hollyspoke/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision of the router, as one reducer: `step(now, event) -> effects`.
+//! The decision logic of the router as one deterministic reducer: `step(now, event) -> effects`.
 //!
-//! The library has no I/O, no runtime, no wall clock and no threads. A driver turns sockets,
-//! timers and store answers into [`event::Event`]s, feeds them to [`node::Node::step`], and
-//! carries out the [`effect::Effect`]s that come back. Two nodes with the same settings that see
-//! the same events at the same times give the same effects.
+//! The library has no I/O, no async runtime, no wall clock and no threads. A driver turns socket
+//! input, timers and store responses into [`event::Event`]s, passes them to [`node::Node::step`],
+//! and executes the returned [`effect::Effect`]s. Two nodes with equal settings that receive the
+//! same events at the same times return the same effects.
 
 pub mod address;
 pub mod call;
--- a/crates/hollyspoke/src/node.rs
+++ b/crates/hollyspoke/src/node.rs
@@ -1,4 +1,4 @@
-//! One box's reducer: all its state, and the step that takes one event.
+//! The reducer of one box: its whole state and the step function that handles one event.
 
 mod gossip;
 mod report;
@@ -32,71 +32,71 @@
 use crate::store;
 use crate::time::Time;
 
-/// A gap between two events after which the box takes itself to have been paused.
+/// The gap between two events above which the box assumes that its process was paused.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// What a box is told at its start.
+/// The settings with which a box starts.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its incarnation, drawn at random for each start.
+    /// The incarnation, drawn at random at each start.
     pub incarnation: Incarnation,
-    /// Its name.
+    /// The box's name.
     pub name: String,
-    /// Its address for callers.
+    /// The address for callers.
     pub caller_address: String,
-    /// Its address for other boxes.
+    /// The address for other boxes.
     pub peer_address: String,
-    /// Its data centre's name.
+    /// The name of the box's data centre.
     pub data_centre: String,
-    /// Addresses of other boxes to greet.
+    /// Addresses of other boxes to contact at start.
     pub seeds: Vec<String>,
-    /// The seed of its random choices.
+    /// The seed of the random number generator.
     pub random_seed: u64,
 }
 
-/// One box's reducer.
+/// The reducer of one box.
 #[derive(Debug, Clone)]
 pub struct Node {
     /// The time of the last event.
     now: Time,
-    /// Whether there was an event.
+    /// Whether any event has been handled.
     started: bool,
-    /// This box.
+    /// The incarnation of this box.
     me: Incarnation,
-    /// The members known.
+    /// The membership table.
     members: Table,
-    /// The configuration.
+    /// The configuration in force and its freshness.
     config: Config,
-    /// What follows from the configuration.
+    /// The shards and addresses derived from the configuration.
     layout: Layout,
     /// The owner of each shard, in this box's view.
     owners: BTreeMap<ShardId, Incarnation>,
-    /// The members' revision and the site's version from which the owners follow.
+    /// The membership revision and site version from which `owners` was computed.
     owners_version: Option<(u64, u64)>,
-    /// The front.
+    /// The part that serves callers.
     front: Front,
-    /// The shards that this box owns.
+    /// The ledgers of the shards that this box owns.
     pools: BTreeMap<ShardId, Pool>,
-    /// Orders to engines.
+    /// The part that sends orders to engines.
     orders: Orders,
-    /// Addresses of boxes to greet.
+    /// Addresses of boxes to contact.
     seeds: Vec<String>,
-    /// Addresses in the platform's list.
+    /// The boxes in the platform's list.
     listed: Vec<Listed>,
-    /// When boxes were last greeted.
+    /// When unknown boxes were last contacted.
     last_greeting: Option<Time>,
-    /// When this box last gossiped.
+    /// When this box last sent gossip.
     last_gossip: Option<Time>,
-    /// The planned stop, once it has begun.
+    /// The planned shutdown, once it has begun.
     shutdown: Option<Shutdown>,
-    /// Random choices.
+    /// The random number generator.
     random: Pcg64Mcg,
-    /// Effects and messages put out.
+    /// Effects and local messages produced by the current step.
     out: Out,
 }
 
 impl Node {
-    /// Makes a box that knows nobody and has no configuration.
+    /// Creates a box that knows no other boxes and has no configuration.
     pub fn new(now: Time, settings: Settings) -> Node {
         let me = settings.incarnation;
         let beat = Heartbeat { incarnation: me, counter: 0, epoch: 1, state: State::Live };
@@ -130,9 +130,10 @@
         }
     }
 
-    /// Takes one event and gives what is to be done.
+    /// Handles one event and returns the effects to execute.
     ///
-    /// Times must not go back; a time before the last one counts as the last one.
+    /// Time must not go backwards; a time earlier than the previous one is treated as the previous
+    /// one.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
@@ -147,37 +148,38 @@
         std::mem::take(&mut self.out.effects)
     }
 
-    /// Gives this box's incarnation.
+    /// Returns this box's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.me
     }
 
-    /// Gives this box's entry, for greetings.
+    /// Returns this box's membership entry, with which it introduces itself to others.
     pub fn entry(&self) -> &Entry {
         self.members.my_entry()
     }
 
-    /// Gives the configuration in force.
+    /// Returns the configuration in force.
     pub fn site(&self) -> &Arc<Versioned> {
         self.config.current()
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether the box accepts requests: it is neither shutting down nor cut off, and has a
+    /// configuration.
     pub fn is_ready(&self) -> bool {
         self.closed_reason().is_none() && self.config.current().version > 0
     }
 
-    /// Gives the number of requests in progress here.
+    /// Returns the number of requests in progress here.
     pub fn in_progress(&self) -> usize {
         self.front.in_progress()
     }
 
-    /// Ranks the boxes for a caller.
+    /// Ranks the boxes for a caller, those of its data centre first.
     pub fn addresses(&self, caller: &str, data_centre: Option<&str>) -> address::Answer {
         address::answer(&self.members, caller, data_centre.map(DataCentreId::of))
     }
 
-    /// Takes an event.
+    /// Dispatches an event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
@@ -211,7 +213,7 @@
                 let (new, is_new) = (entry.incarnation, self.members.is_dead(entry.incarnation));
                 self.add_entries(vec![entry]);
                 if is_new {
-                    // A box that has just started learns of all others at once.
+                    // A box that has just started receives the entries of all others at once.
                     let known = self.members.alive().cloned().collect();
                     self.send(new, Message::Entries(known));
                 }
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another box or from this one.
     fn handle_message(&mut self, from: Incarnation, message: Message) {
         match message {
             Message::Gossip { beats, site_version } => {
@@ -259,8 +261,8 @@
                 }
                 let refusal = crate::outcome::Refusal::Leaving;
                 let retry_after = Duration::ZERO;
-                // This box does not own the shard in its own view. The front asks again when
-                // its view has changed too; an answer at once would only make it ask at once.
+                // This box does not own the shard in its own view. The front retries once its view
+                // has changed too; an immediate refusal would only cause an immediate retry.
                 if self.shutdown.is_some() {
                     self.send(from, Message::Refused { ticket, refusal, retry_after });
                 }
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the periodic work: gossip, ownership, ledgers, requests, orders and shutdown.
     fn tick(&mut self) {
         let now = self.now;
         if self.last_gossip.is_none_or(|at| now.since(at) >= self.gossip_interval()) {
@@ -308,7 +310,8 @@
         self.continue_shutdown();
     }
 
-    /// Takes a configuration, and passes a new one on to the boxes of this data centre.
+    /// Applies a configuration if it is newer than the current one, and forwards it to up to
+    /// [`CONFIG_FANOUT`] boxes.
     fn apply_config(&mut self, offered: &Arc<Versioned>) {
         if !self.config.accept_newer(self.now, offered) {
             return;
@@ -335,7 +338,7 @@
         }
     }
 
-    /// Works out the shards' owners anew when members or site have changed.
+    /// Recomputes the owners of the shards if members or site have changed.
     fn update_owners(&mut self) {
         let of = (self.members.revision(), self.config.current().version);
         if self.owners_version == Some(of) {
@@ -344,7 +347,7 @@
         self.owners_version = Some(of);
         let mut candidates: Vec<u64> = self.members.live().map(|it| it.incarnation.0).collect();
         if candidates.is_empty() {
-            // All are leaving: one of them must own the shard until the end.
+            // All boxes are shutting down: one of them must own the shard until it exits.
             candidates = self.members.alive().map(|it| it.incarnation.0).collect();
         }
         self.owners = self
@@ -370,18 +373,19 @@
         }
     }
 
-    /// Goes on after a pause of this box: what it held may have been taken from it.
+    /// Recovers after this box was paused: other boxes may have taken over its shards and revoked
+    /// its grants.
     fn recover_from_pause(&mut self, gap: Duration) {
         let millis = gap.as_millis();
         self.out.effects.push(Effect::Note(format!("this box was paused for {millis} ms")));
         self.members.restart_timeouts(self.now);
-        // Another box may have owned the shards meanwhile: the ledgers begin anew.
+        // Another box may have owned the shards in the meantime, so the ledgers are rebuilt.
         self.pools.clear();
         self.owners_version = None;
         self.with_front(Front::fence_all);
     }
 
-    /// Gives why this box takes nothing new, where that is so.
+    /// Returns why this box accepts no new requests, or `None` if it accepts them.
     fn closed_reason(&self) -> Option<&'static str> {
         if self.shutdown.is_some() {
             return Some("the box is leaving");
@@ -390,12 +394,12 @@
         isolated.then_some("the box is cut off from the platform and from every other box")
     }
 
-    /// Sends a message.
+    /// Sends a message to a box.
     fn send(&mut self, to: Incarnation, message: Message) {
         self.with_front(|_, cx| cx.send(to, message));
     }
 
-    /// Runs a step of the front.
+    /// Runs a step of the front with a [`Context`].
     fn with_front(&mut self, step: impl FnOnce(&mut Front, &mut Context<'_>)) {
         let current = self.config.current().clone();
         let mut cx = Context {
@@ -410,7 +414,7 @@
         step(&mut self.front, &mut cx);
     }
 
-    /// Runs a step of the orders to engines.
+    /// Runs a step of the part that sends orders to engines.
     fn with_orders(&mut self, step: impl FnOnce(&mut Orders, &mut Context<'_>)) {
         let now = self.now;
         let data_centre = self.members.my_data_centre();
@@ -420,14 +424,14 @@
         self.orders = orders;
     }
 
-    /// Runs a step of one shard's ledger, if this box owns the shard.
+    /// Runs a step of a shard's ledger, if this box owns the shard.
     fn with_pool(&mut self, shard: ShardId, step: impl FnOnce(&mut Pool, &mut Context<'_>)) {
         let Some(mut pool) = self.pools.remove(&shard) else { return };
         self.with_front(|_, cx| step(&mut pool, cx));
         self.pools.insert(shard, pool);
     }
 
-    /// Runs a step of every ledger that this box owns.
+    /// Runs a step of each ledger that this box owns.
     fn for_each_pool(&mut self, mut step: impl FnMut(&mut Pool, &mut Context<'_>)) {
         let shards: Vec<ShardId> = self.pools.keys().copied().collect();
         for shard in shards {
--- a/crates/hollyspoke/src/node/gossip.rs
+++ b/crates/hollyspoke/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: who lives, who is new, and which version of the configuration is in force.
+//! Gossip: which boxes are alive, which are new, and which configuration version is in force.
 
 use std::time::Duration;
 
@@ -10,20 +10,22 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// How often unknown boxes among the seeds and in the platform's list are greeted.
+/// How often unknown boxes among the seeds and in the platform's list are contacted.
 pub(super) const GREETING_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The boxes up to which every gossip tells all boxes of all others.
+/// The number of boxes up to which every gossip message is sent in full to all boxes.
 pub(super) const SMALL_SITE_BOXES: usize = 8;
 
-/// The boxes to which a new configuration is passed on at once; gossip brings it to the rest.
+/// The number of boxes to which a new configuration is forwarded at once; gossip spreads it to the
+/// rest.
 pub(super) const CONFIG_FANOUT: usize = 8;
 
-/// The most heartbeats in one gossip.
+/// The maximum number of heartbeats in one gossip message.
 pub(super) const MAX_HEARTBEATS: usize = 64;
 
 impl Node {
-    /// Gossips, and does what is due as often.
+    /// Sends gossip and runs the work that shares its interval: expiry of members, the store watch,
+    /// fetches and greetings.
     pub(super) fn run_heartbeat(&mut self) {
         let now = self.now;
         self.members.advance_heartbeat(now, self.front.home.epoch(), self.my_state());
@@ -40,12 +42,12 @@
         self.send_gossip();
     }
 
-    /// Sends this box's heartbeat to every other box, and what it knows of others to some.
+    /// Sends this box's own heartbeat to every other box, and the heartbeats of others to some.
     ///
-    /// In a large site only one other box, at random, gets what is known of others: that lets
-    /// boxes find each other, and it is each box's own heartbeat that keeps it alive. Passing
-    /// heartbeats on to a few instead of sending one's own to all was tried with 75 boxes: live
-    /// ones were taken for dead.
+    /// In a large site only one randomly chosen box receives the heartbeats of others. This lets
+    /// boxes discover each other; liveness relies on each box's own heartbeat, which is sent to
+    /// all. Relaying heartbeats through a few boxes instead of sending them to all makes boxes
+    /// declare live ones dead at 75 boxes.
     pub(super) fn send_gossip(&mut self) {
         let others = self.others();
         let Some(last) = others.len().checked_sub(1) else { return };
@@ -65,18 +67,19 @@
         }
     }
 
-    /// Gives how often this box gossips.
+    /// Returns how often this box sends gossip, which depends on the size of the site.
     pub(super) fn gossip_interval(&self) -> Duration {
         let small = self.members.alive().count() <= SMALL_SITE_BOXES;
         if small { member::GOSSIP_INTERVAL } else { member::LARGE_SITE_GOSSIP_INTERVAL }
     }
 
-    /// Gives all other boxes alive.
+    /// Returns all other boxes that are alive.
     pub(super) fn others(&self) -> Vec<Incarnation> {
         self.members.alive().map(|it| it.incarnation).filter(|it| *it != self.me).collect()
     }
 
-    /// Makes a gossip: this box's heartbeat and those of some others.
+    /// Creates a gossip message: this box's heartbeat first, then those of up to [`MAX_HEARTBEATS`]
+    /// - 1 others.
     pub(super) fn my_gossip(&mut self) -> Message {
         let mut beats = self.members.heartbeats();
         let mine = beats.iter().position(|it| it.incarnation == self.me).unwrap_or(0);
@@ -88,7 +91,7 @@
         Message::Gossip { beats, site_version: self.config.current().version }
     }
 
-    /// Takes a gossip.
+    /// Applies received heartbeats and exchanges entries and configurations that either side lacks.
     pub(super) fn handle_gossip(
         &mut self,
         from: Incarnation,
@@ -116,13 +119,13 @@
         self.update_owners();
     }
 
-    /// Takes entries of boxes.
+    /// Adds received membership entries.
     pub(super) fn add_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let (name, address) = (entry.name.clone(), entry.peer_address.clone());
             let new = entry.incarnation;
             if self.members.add_entry(self.now, entry) {
-                // The new box can't answer one that it does not know.
+                // The new box can't send messages to a box that it does not know.
                 let mine = vec![self.members.my_entry().clone()];
                 self.send(new, Message::Entries(mine));
                 self.out.effects.push(Effect::Note(format!("box {name} joined at {address}")));
@@ -131,7 +134,8 @@
         self.update_owners();
     }
 
-    /// Greets the boxes among seeds and in the platform's list that are not known to be alive.
+    /// Contacts the boxes among the seeds and in the platform's list that are not known to be
+    /// alive.
     pub(super) fn greet(&mut self) {
         if self.last_greeting.is_some_and(|at| self.now.since(at) < GREETING_INTERVAL) {
             return;
--- a/crates/hollyspoke/src/node/report.rs
+++ b/crates/hollyspoke/src/node/report.rs
@@ -1,4 +1,4 @@
-//! What a box says of itself to operators.
+//! The status that a box reports to operators.
 
 use crate::layout::ShardId;
 use crate::member::{Entry, State};
@@ -7,7 +7,7 @@
 use crate::status::{BoxStatus, EngineStatus, PoolStatus, Status, UpstreamStatus};
 
 impl Node {
-    /// Gives the box's state for operators.
+    /// Returns the box's status.
     pub fn status(&self) -> Status {
         let current = self.config.current();
         let entry = self.members.my_entry();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Gives a shard's state for operators.
+    /// Returns the status of a shard that this box owns.
     fn pool_status(&self, id: ShardId, pool: &Pool) -> PoolStatus {
         let site = &self.config.current().site;
         let service = site.service(id.service).map(|it| it.name.clone()).unwrap_or_default();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Gives a plain upstream's state for operators.
+    /// Returns the status of a plain upstream.
     fn upstream_status(&self, upstream: &crate::site::Upstream) -> UpstreamStatus {
         let id = upstream.id();
         let state = match upstream.leaving {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Gives a box's state for operators.
+/// Returns the status of a member.
 fn box_status(entry: &Entry) -> BoxStatus {
     let state = match entry.beat.state {
         State::Live => "live",
--- a/crates/hollyspoke/src/node/shutdown.rs
+++ b/crates/hollyspoke/src/node/shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned stop: say so, drain, hand the keys over, exit.
+//! Planned shutdown: announce it, drain, hand the keys over to a successor, exit.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 use crate::rank;
 use crate::time::Time;
 
-/// How long a leaving box stays at least, so that the others hear of it.
+/// The minimum duration of a shutdown, so that the other boxes receive the announcement.
 pub(super) const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(1);
 
-/// How often a leaving box offers its keys again.
+/// How often the handover is sent again until the successor confirms it.
 pub(super) const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a leaving box waits for its successor at most.
+/// How long a box waits for its successor's confirmation before it exits without one.
 pub(super) const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How far a planned stop has come.
+/// The progress of a planned shutdown.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Shutdown {
-    /// When it began.
+    /// When the shutdown began.
     since: Time,
-    /// The box that takes the keys.
+    /// The box that takes over the keys.
     successor: Option<Incarnation>,
-    /// When the keys were last offered, and first.
+    /// When the handover was last and first sent.
     offered: Option<(Time, Time)>,
-    /// Whether the driver was told to exit.
+    /// Whether [`Effect::Exit`] was issued.
     exited: bool,
 }
 
 impl Node {
-    /// Begins the planned stop.
+    /// Begins the planned shutdown.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
@@ -45,7 +45,7 @@
         self.update_owners();
     }
 
-    /// Goes on with the planned stop: drain, hand over, exit.
+    /// Continues the planned shutdown: drain, hand over, exit.
     pub(super) fn continue_shutdown(&mut self) {
         let Some(mut shutdown) = self.shutdown else { return };
         let now = self.now;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes the successor's word that it has the keys.
+    /// Handles the successor's confirmation that it has the keys.
     pub(super) fn handover_taken(&mut self, from: Incarnation) {
         let Some(shutdown) = self.shutdown else { return };
         if shutdown.successor == Some(from) && shutdown.offered.is_some() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Ends the planned stop.
+    /// Ends the planned shutdown.
     pub(super) fn exit(&mut self, successor: Option<Incarnation>) {
         let Some(shutdown) = &mut self.shutdown else { return };
         if shutdown.exited {
@@ -97,7 +97,7 @@
         self.out.effects.push(Effect::Exit);
     }
 
-    /// Tells every box this one's state at once.
+    /// Announces this box's state to every other box at once.
     pub(super) fn announce_state(&mut self) {
         self.members.advance_heartbeat(self.now, self.front.home.epoch(), self.my_state());
         let message = self.my_gossip();
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Chooses the box that takes this one's keys.
+    /// Chooses the box that takes over this box's keys.
     pub(super) fn choose_successor(&self) -> Option<Incarnation> {
         let others = self.members.live().map(|it| it.incarnation.0).filter(|it| *it != self.me.0);
         rank::first(self.me.0, others).map(Incarnation)
     }
 
-    /// Gives this box's own state.
+    /// Returns the state that this box announces about itself.
     pub(super) fn my_state(&self) -> State {
         match self.shutdown {
             None => State::Live,
--- a/crates/hollyspoke/src/pool.rs
+++ b/crates/hollyspoke/src/pool.rs
@@ -1,9 +1,9 @@
-//! The owner's ledger of one shard: the one place that grants its engines' memory.
+//! The owner's ledger of one shard: the only place that grants the memory of its engines.
 //!
-//! The ledger is soft state. A new owner learns of running grants from the fronts that hold them
-//! and from the engines' own lists, and waits with new grants until it has heard from every live
-//! front or [`SETTLE_TIMEOUT`] is over. If two boxes own a shard for a moment they may grant too much;
-//! the engine then refuses, and the owner learns.
+//! The ledger is soft state. A new owner rebuilds it from the grants that fronts declare and from
+//! the reports of the engines, and issues no new grants until every live front has contacted it or
+//! [`SETTLE_TIMEOUT`] has passed. If two boxes own a shard for a short time they may grant too much
+//! memory; the engine then refuses, and the owner corrects its ledger.
 
 pub mod admission;
 mod engine;
@@ -27,86 +27,86 @@
 use crate::site::{DataCentreId, Kind, Site, TenantId, UpstreamId};
 use crate::time::Time;
 
-/// How long a new owner waits for the fronts before it grants.
+/// How long a new owner waits for the fronts before it issues grants.
 pub const SETTLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long the grants of a front that has gone silent are kept.
+/// How long the grants of a front are kept after its last message.
 pub const GRANT_TTL: Duration = Duration::from_secs(4);
 
-/// How often each engine is asked for its report.
+/// How often each engine is polled for its report.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a stream that the ledger doesn't know may stay on an engine.
+/// How long a stream that is not in the ledger may stay on an engine before it is cancelled.
 pub const STRAY_GRACE: Duration = Duration::from_secs(2);
 
-/// How long a fenced attempt is remembered.
+/// How long a fenced attempt is remembered, so that late messages can't revive it.
 pub const FENCED_TTL: Duration = Duration::from_secs(60);
 
-/// How long a decode engine that refused for lack of room is given nothing more.
+/// How long a decode engine receives no new grants after it refused one for lack of memory.
 pub const FULL_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The share of the tokens asked for that answers are taken to have before any is known.
+/// The assumed ratio of generated to requested tokens before any answer has completed.
 const INITIAL_ANSWER_SHARE: f64 = 0.5;
 
-/// The weight of a new answer in the mean of their lengths.
+/// The weight of a new answer in the moving average of that ratio.
 const LENGTH_WEIGHT: f64 = 0.02;
 
 /// A grant in the ledger.
 #[derive(Debug, Clone)]
 struct HeldGrant {
-    /// What was granted.
+    /// The grant.
     grant: Grant,
     /// When the attempt entered its stage.
     since: Time,
-    /// How long the prefill was expected to take at the described rate.
+    /// The expected duration of the prefill at the engine's configured rate.
     prefill_expected: Duration,
-    /// The link, and how long the transfer takes there at the described rate.
+    /// The link, and the duration of the transfer at its configured rate.
     transfer: Option<(LinkId, Duration)>,
 }
 
-/// A link by its ends, the smaller first.
+/// A link identified by its two ends, the smaller first.
 pub type LinkId = (DataCentreId, DataCentreId);
 
-/// What the owner knows of a front.
+/// The owner's record of a front.
 #[derive(Debug, Clone, Copy)]
 struct Front {
-    /// When it was last heard.
+    /// When its last message was received.
     last_contact: Time,
-    /// Renewals in a row whose count was not the ledger's.
+    /// Consecutive renewals whose number of grants differed from the ledger's.
     mismatches: u8,
 }
 
 /// The ledger of one shard.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// The shard.
+    /// The shard of the ledger.
     shard: ShardId,
     /// When this box became its owner.
     since: Time,
-    /// Whether the wait for the fronts is over.
+    /// Whether the wait for the fronts has ended.
     settled: bool,
-    /// The engines.
+    /// The engines of the shard.
     engines: BTreeMap<UpstreamId, Engine>,
-    /// The links between the engines' data centres.
+    /// The links between the data centres of the engines.
     links: BTreeMap<LinkId, Link>,
-    /// The grants.
+    /// The grants by attempt.
     grants: BTreeMap<Ticket, HeldGrant>,
-    /// The requests waiting.
+    /// The queued requests.
     queue: Queue,
-    /// The fronts heard.
+    /// The fronts that have sent messages.
     fronts: BTreeMap<Incarnation, Front>,
-    /// Attempts taken from their fronts, and when.
+    /// Attempts that were released or revoked, and when.
     fenced: BTreeMap<Ticket, Time>,
-    /// Streams seen on engines that the ledger doesn't know, since when.
+    /// Streams on engines that are not in the ledger, and when they were first reported.
     strays: BTreeMap<(UpstreamId, Ticket), Time>,
     /// When the engines were last polled.
     polled: Option<Time>,
-    /// The share of the tokens asked for that answers have, on average.
+    /// The moving average of the ratio of generated to requested tokens.
     answer_share: f64,
 }
 
 impl Pool {
-    /// Makes the ledger of a shard which this box has come to own.
+    /// Creates the ledger of a shard that this box has become the owner of.
     pub fn new(now: Time, shard: ShardId, site: &Site, layout: &Layout) -> Pool {
         let mut pool = Pool {
             shard,
@@ -126,7 +126,7 @@
         pool
     }
 
-    /// Takes over a new version of the site, keeping what is known of engines that stay.
+    /// Applies a new version of the site and keeps the state of engines that remain.
     pub fn configure(&mut self, site: &Site, layout: &Layout) {
         let mut engines = BTreeMap::new();
         for engine in layout.engines_of(site, self.shard) {
@@ -149,22 +149,22 @@
         self.engines = engines;
     }
 
-    /// Gives the engines, for choosing and for the status page.
+    /// Returns the engines of the shard.
     pub fn engines(&self) -> &BTreeMap<UpstreamId, Engine> {
         &self.engines
     }
 
-    /// Gives the number of grants held.
+    /// Returns the number of grants held.
     pub fn granted(&self) -> usize {
         self.grants.len()
     }
 
-    /// Gives the number of requests waiting.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes a front's question; a repeated one gets the answer it had.
+    /// Handles a front's request for engines; a repeated one receives the same grant.
     pub fn handle_ask(&mut self, cx: &mut Context<'_>, ask: Ask) {
         self.record_contact(cx.now, ask.ticket.front);
         if let Some(held) = self.grants.get(&ask.ticket) {
@@ -184,7 +184,7 @@
         self.process_queue(cx);
     }
 
-    /// Takes a front's renewal.
+    /// Handles a front's renewal and compares its number of grants with the ledger's.
     pub fn renew(&mut self, cx: &mut Context<'_>, from: Incarnation, held: u32) {
         let known = self.grants.keys().filter(|it| it.front == from).count();
         let settled = self.settled;
@@ -194,8 +194,8 @@
             self.process_queue(cx);
             return;
         }
-        // One difference may be a message on its way; a second one is not. A new owner asks at
-        // once, since it is to learn what runs.
+        // One mismatch may be caused by a message in transit; a second one in a row is not. A new
+        // owner asks for the full list at once, since it has yet to rebuild its ledger.
         front.mismatches += 1;
         let must_ask = front.mismatches > 1 || !settled;
         if must_ask {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Takes the full list of a front's grants.
+    /// Reconciles the ledger with the full list of a front's grants.
     pub fn declare(&mut self, cx: &mut Context<'_>, from: Incarnation, held: Vec<Grant>) {
         self.record_contact(cx.now, from);
         let named: BTreeSet<Ticket> = held.iter().map(|it| it.ticket).collect();
@@ -215,7 +215,8 @@
             .copied()
             .collect();
         for ticket in gone {
-            // A grant on its way to the front is not named yet, so only older ones are dropped.
+            // A grant in transit to the front is not declared yet, so only older grants are
+            // dropped.
             let age = cx.now.since(self.grants[&ticket].since);
             if age > STRAY_GRACE {
                 self.drop_grant(cx, ticket);
@@ -231,7 +232,7 @@
         self.process_queue(cx);
     }
 
-    /// Notes how far an attempt has come.
+    /// Records the stage that an attempt has reached.
     pub fn progress(&mut self, cx: &mut Context<'_>, ticket: Ticket, stage: Stage) {
         self.record_contact(cx.now, ticket.front);
         let now = cx.now;
@@ -268,7 +269,7 @@
         self.process_queue(cx);
     }
 
-    /// Takes an attempt back.
+    /// Releases an attempt and records its outcome.
     pub fn release(&mut self, cx: &mut Context<'_>, ticket: Ticket, end: End) {
         self.record_contact(cx.now, ticket.front);
         self.queue.remove(ticket);
@@ -280,12 +281,12 @@
             self.update_answer_share(&held, end);
             self.release_resources(cx.now, &held);
         }
-        // A late copy of the question must not be granted.
+        // A late duplicate of the ask must not be granted.
         self.fenced.insert(ticket, cx.now);
         self.process_queue(cx);
     }
 
-    /// Does what is due: expires silent fronts, polls engines, decides on those who wait.
+    /// Runs the periodic work: expires silent fronts, polls engines and processes the queue.
     pub fn tick(&mut self, cx: &mut Context<'_>) {
         let now = cx.now;
         self.expire_fronts(cx);
@@ -299,7 +300,7 @@
         self.process_queue(cx);
     }
 
-    /// Gives all that waits back to the fronts, when the shard passes to another owner.
+    /// Refuses all queued requests, so that their fronts ask the shard's new owner.
     pub fn return_queue(&mut self, cx: &mut Context<'_>) {
         for waiting in self.queue.drain() {
             let ticket = waiting.ask.ticket;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Decides on those who wait, in their order, as far as engines are free.
+    /// Decides on queued requests in order, as far as engines are free.
     fn process_queue(&mut self, cx: &mut Context<'_>) {
         if !self.is_settled(cx) {
             return;
@@ -334,7 +335,7 @@
         }
     }
 
-    /// Books what a placement uses.
+    /// Books the resources of a placement and creates its grant.
     fn book(&mut self, now: Time, waiting: &Waiting, placement: &admission::Placement) -> Grant {
         let ask = &waiting.ask;
         let tokens = ask.prompt_tokens + ask.max_tokens;
@@ -369,7 +370,7 @@
         grant
     }
 
-    /// Adds a grant that another owner made.
+    /// Adds a grant that a previous owner issued.
     fn adopt(&mut self, now: Time, grant: Grant) {
         if let Some(held) = self.grants.get_mut(&grant.ticket) {
             held.grant.stage = held.grant.stage.max(grant.stage);
@@ -384,7 +385,7 @@
         self.grants.insert(held.grant.ticket, held);
     }
 
-    /// Gives a grant's memory back to the ledger.
+    /// Frees the memory, link time and prefill time that a grant holds.
     fn release_resources(&mut self, now: Time, held: &HeldGrant) {
         let tokens = u64::from(held.grant.tokens);
         if let Some(engine) = self.engines.get_mut(&held.grant.decode) {
@@ -397,14 +398,14 @@
         if held.grant.stage > Stage::Prefill {
             return;
         }
-        // The rest of a prefill that was stopped is not computed any more.
+        // The remainder of a cancelled prefill is not computed.
         if let Some(engine) = self.engines.get_mut(&held.grant.prefill) {
             let left = held.prefill_expected.saturating_sub(now.since(held.since));
             engine.prefill_free_at = engine.prefill_free_at - left;
         }
     }
 
-    /// Takes a grant from its front and stops the streams on the engines.
+    /// Revokes a grant and cancels its streams on the engines.
     fn drop_grant(&mut self, cx: &mut Context<'_>, ticket: Ticket) {
         let Some(held) = self.grants.remove(&ticket) else { return };
         self.release_resources(cx.now, &held);
@@ -416,7 +417,7 @@
         }
     }
 
-    /// Drops the grants and the questions of fronts that have gone silent.
+    /// Drops the grants and queued requests of fronts that have been silent for [`GRANT_TTL`].
     fn expire_fronts(&mut self, cx: &mut Context<'_>) {
         let now = cx.now;
         let silent: Vec<Incarnation> = self
@@ -439,14 +440,14 @@
         }
     }
 
-    /// Notes that a front lives.
+    /// Records that a front is alive.
     fn record_contact(&mut self, now: Time, front: Incarnation) -> &mut Front {
         let front = self.fronts.entry(front).or_insert(Front { last_contact: now, mismatches: 0 });
         front.last_contact = now;
         front
     }
 
-    /// Tells whether the wait for the fronts is over.
+    /// Returns whether the wait for the fronts has ended.
     fn is_settled(&mut self, cx: &Context<'_>) -> bool {
         if !self.settled {
             let all_heard = cx.members.alive().all(|it| self.fronts.contains_key(&it.incarnation));
@@ -455,17 +456,18 @@
         self.settled
     }
 
-    /// Gives the queue.
+    /// Returns the queue of requests.
     pub(crate) fn queue(&self) -> &Queue {
         &self.queue
     }
 
-    /// Gives a link as the ledger has it.
+    /// Returns the state of a link; an unused one has the default state.
     pub(crate) fn link(&self, link: LinkId) -> Link {
         self.links.get(&link).copied().unwrap_or_default()
     }
 
-    /// Gives the expected ends of all streams being generated, with the memory each frees.
+    /// Returns the decode engine, the expected end and the memory of each granted stream, in
+    /// tokens.
     pub(crate) fn expected_ends(&self) -> impl Iterator<Item = (UpstreamId, Time, u64)> {
         self.grants.values().map(|held| {
             let token_time =
@@ -476,7 +478,7 @@
         })
     }
 
-    /// Gives the service's first-token target, where the site has the service.
+    /// Returns the first-token target of the shard's service, if the site has the service.
     pub fn first_token_target(&self, site: &Site) -> Option<Duration> {
         match &site.service(self.shard.service)?.kind {
             Kind::Engines { first_token, .. } => Some(*first_token),
@@ -485,7 +487,7 @@
     }
 }
 
-/// Gives a tenant's share against others; one that the site's file does not name has 1.
+/// Returns a tenant's fair share; a tenant that is not in the site file has a share of 1.
 fn share_of(site: &Site, tenant: TenantId) -> f64 {
     let named = site.tenants.iter().find(|it| TenantId::of(&it.name) == tenant);
     named.map_or(1.0, |it| it.share)
--- a/crates/hollyspoke/src/pool/admission.rs
+++ b/crates/hollyspoke/src/pool/admission.rs
@@ -1,9 +1,9 @@
-//! Which request goes next, to which engines, and which is refused at once.
+//! Admission control: which request is served next, on which engines, and which is refused.
 //!
-//! Decode memory is scarce and a prefill result lives a few seconds, so memory is reserved
-//! before a prefill begins, and a prefill begins only when an engine can compute it now. A
-//! request that can't meet its first-token target any more is refused before any prefill is
-//! spent on it, with the time at which to come back.
+//! Decode memory is scarce and a prefill result is kept for only a few seconds. Memory is therefore
+//! reserved before a prefill begins, and a prefill begins only when an engine can compute it
+//! immediately. A request that can no longer meet its first-token target is refused before any
+//! prefill is spent on it, with a time after which to retry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,85 +16,87 @@
 
 use super::{Engine, Pool};
 
-/// How far ahead of an engine's being free its next prefill is granted, to cover the way there.
+/// How long before an engine becomes free its next prefill is granted, to cover the network
+/// latency.
 pub const PREFILL_LEAD_TIME: Duration = Duration::from_millis(30);
 
-/// How long a prefix is believed to stay in an engine's cache.
+/// How long a prefix is assumed to stay in an engine's cache.
 pub const PREFIX_TTL: Duration = Duration::from_secs(60);
 
-/// How many prefixes are remembered for one engine.
+/// The maximum number of prefixes remembered per engine.
 pub const MAX_PREFIXES: usize = 512;
 
-/// The tokens of one block of a prompt, by which prefixes are compared.
+/// The number of tokens in a block, the unit in which prompt prefixes are compared.
 pub const BLOCK_TOKENS: u32 = 64;
 
-/// The time added to a prefill and transfer for the calls between them.
+/// The time added to a prefill and a transfer for the calls between them.
 pub const CALL_OVERHEAD: Duration = Duration::from_millis(10);
 
-/// Placements that are ready within the same step, in microseconds, count as equally early.
+/// The granularity at which ready times of placements are compared, in microseconds.
 const READY_STEP_US: u64 = 2000;
 
-/// The weight of a new measurement of an engine's rate.
+/// The weight of a new sample in the moving average of an engine's slowness.
 const RATE_WEIGHT: f64 = 0.2;
 
-/// The shortest time named to a refused caller.
+/// The minimum retry delay given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The rate assumed for a link that the site's file does not name, in bytes a second.
+/// The rate assumed for a link that is not in the site file, in bytes per second.
 const DEFAULT_LINK_BYTES_PER_S: u64 = 10_000_000_000;
 
-/// A request that waits for engines.
+/// A queued request that waits for engines.
 #[derive(Debug, Clone)]
 pub struct Waiting {
-    /// The question.
+    /// The front's ask.
     pub ask: Ask,
-    /// When it came.
+    /// When the ask arrived.
     pub arrived: Time,
-    /// When its first token is due.
+    /// When the first token is due.
     pub due: Time,
 }
 
 impl Waiting {
-    /// Makes a waiting request from a question that comes now.
+    /// Creates a queued request from an ask that arrives now.
     pub fn new(now: Time, ask: Ask) -> Waiting {
         let due = now + ask.due_in;
         Waiting { ask, arrived: now, due }
     }
 
-    /// Gives what the request uses of a pool, in tokens of decode memory.
+    /// Returns the cost of the request for fair sharing, in tokens of decode memory.
     pub fn cost(&self) -> f64 {
         f64::from(self.tokens())
     }
 
-    /// Gives the decode memory that it needs, in tokens.
+    /// Returns the decode memory that the request needs, in tokens.
     pub fn tokens(&self) -> u32 {
         self.ask.prompt_tokens + self.ask.max_tokens
     }
 }
 
-/// The requests that wait, and what each tenant has used.
+/// The queued requests, and the usage of each tenant for weighted fair queueing.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
-    /// The requests, in the order in which they came.
+    /// The requests in order of arrival.
     waiting: Vec<Waiting>,
-    /// What each tenant has used, divided by its share.
+    /// The cost charged to each tenant, divided by its share.
     used: BTreeMap<TenantId, f64>,
-    /// The use of the tenant served last; a tenant that comes back starts here.
+    /// The usage of the tenant served last; a tenant that returns after being idle starts at this
+    /// value.
     virtual_time: f64,
 }
 
 impl Queue {
-    /// Gives the number waiting.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Tells whether an attempt waits.
+    /// Returns whether an attempt is queued.
     pub fn contains(&self, ticket: Ticket) -> bool {
         self.waiting.iter().any(|it| it.ask.ticket == ticket)
     }
@@ -103,12 +105,12 @@
     pub fn push(&mut self, waiting: Waiting) {
         let virtual_time = self.virtual_time;
         let used = self.used.entry(waiting.ask.tenant).or_insert(virtual_time);
-        // A tenant that was away gets no credit for the time it did not use.
+        // An idle tenant gets no credit for the time in which it sent no requests.
         *used = used.max(virtual_time);
         self.waiting.push(waiting);
     }
 
-    /// Removes an attempt.
+    /// Removes an attempt from the queue.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
         let place = self.waiting.iter().position(|it| it.ask.ticket == ticket)?;
         Some(self.waiting.remove(place))
@@ -119,20 +121,21 @@
         self.waiting.retain(|it| it.ask.ticket.front != front);
     }
 
-    /// Empties the queue.
+    /// Removes and returns all queued requests.
     pub fn drain(&mut self) -> Vec<Waiting> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Charges a tenant for what it was granted.
+    /// Charges a tenant for a grant.
     pub fn charge(&mut self, tenant: TenantId, cost: f64) {
         let used = self.used.entry(tenant).or_insert(self.virtual_time);
         self.virtual_time = self.virtual_time.max(*used);
         *used += cost;
     }
 
-    /// Gives those who wait in the order in which they are served: by class, then by what their
-    /// tenant has used of its share, then the cheaper first, then by when the first token is due.
+    /// Returns the queued requests in the order in which they are served: by class, then by the
+    /// tenant's usage relative to its share, then the cheaper first, then by when the first token
+    /// is due.
     pub fn in_order(&self) -> Vec<&Waiting> {
         let mut order: Vec<&Waiting> = self.waiting.iter().collect();
         order.sort_by(|a, b| {
@@ -149,65 +152,65 @@
     }
 }
 
-/// A decision: engines, link and expected times.
+/// The engines and the link chosen for a request, with the expected times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Placement {
-    /// The engine that computes the prompt.
+    /// The engine that runs the prefill.
     pub prefill: UpstreamId,
-    /// The engine that generates.
+    /// The engine that runs the decode.
     pub decode: UpstreamId,
-    /// The link that the prefill result crosses.
+    /// The link over which the prefill result is transferred.
     pub link: (DataCentreId, DataCentreId),
-    /// How long the prefill takes at the described rate.
+    /// The expected duration of the prefill, slowness included.
     pub prefill_time: Duration,
-    /// How long the transfer takes at the link's described rate.
+    /// The duration of the transfer at the link's configured rate.
     pub transfer_time: Duration,
-    /// When the prefill ends.
+    /// When the prefill is expected to end.
     pub prefill_end: Time,
-    /// When the prefill result has crossed the link.
+    /// When the transfer is expected to end.
     pub ready: Time,
 }
 
-/// A refusal with the time at which to come back.
+/// A refusal with a retry delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub refusal: Refusal,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub retry_after: Duration,
 }
 
 impl Rejection {
-    /// Makes the message that tells the front.
+    /// Creates the message that reports the refusal to the front.
     pub fn message(self, ticket: Ticket) -> Message {
         Message::Refused { ticket, refusal: self.refusal, retry_after: self.retry_after }
     }
 }
 
-/// What is decided on a request that waits.
+/// The decision on a queued request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It gets engines.
+    /// The request is granted engines.
     Grant(Placement),
-    /// Its first token would come too late even with the best engines there are.
+    /// The first token would be late even on the best available engines.
     Refuse(Rejection),
 }
 
-/// Finds the request to decide on next: one for which engines are free now, or which no engines
-/// could serve in time any more.
+/// Finds the next request to decide on: one for which engines are free now, or which no engine
+/// could serve in time.
 pub fn next_decision(now: Time, site: &Site, pool: &Pool) -> Option<(Ticket, Decision)> {
     let order = pool.queue().in_order();
     let ahead = now + PREFILL_LEAD_TIME;
     for waiting in order {
-        // A request that finds no room lets smaller ones pass: it is refused soon if it never
-        // finds any, so that it is not passed for ever.
+        // Smaller requests may overtake one that does not fit now. That request can't starve: it is
+        // refused soon if it never fits.
         let Some(placement) = place(now, site, pool, waiting) else { continue };
         let start = placement.prefill_end - placement.prefill_time;
         if start > ahead {
             return None;
         }
-        // The link may be what makes it late: waiting does not help, since the link's own backlog
-        // does not shrink faster than time passes.
+        // If the link causes the delay, waiting does not help: its backlog does not shrink faster
+        // than time passes.
         let ticket = waiting.ask.ticket;
         if let Some(rejection) = too_late(placement.ready + CALL_OVERHEAD, waiting.due) {
             return Some((ticket, Decision::Refuse(rejection)));
@@ -217,7 +220,8 @@
     None
 }
 
-/// Refuses a request that comes when those before it leave it no chance.
+/// Refuses an arriving request that could not be served in time behind those already queued, or at
+/// all.
 pub fn refuse_on_arrival(now: Time, pool: &Pool, waiting: &Waiting) -> Option<Rejection> {
     let usable = |decodes: bool| {
         pool.engines().values().any(|it| {
@@ -235,7 +239,7 @@
     too_late(first_token, waiting.due)
 }
 
-/// Lists those waiting who can't meet their target any more even if they were next.
+/// Returns the queued requests that could not meet their target even if they were served next.
 pub fn find_late(now: Time, pool: &Pool) -> Vec<(Ticket, Rejection)> {
     let best_rate = best_rate(pool, now);
     let mut late = Vec::new();
@@ -249,7 +253,7 @@
     late
 }
 
-/// Learns how much slower than described an engine computes prompts.
+/// Updates an engine's slowness from the expected and the actual duration of a prefill.
 pub fn update_slowness(engine: &mut Engine, expected: Duration, took: Duration) {
     if expected < Duration::from_millis(5) {
         return;
@@ -259,7 +263,7 @@
     engine.slowness += RATE_WEIGHT * (seen - engine.slowness);
 }
 
-/// Drops the hints that have aged, and the oldest where there are too many.
+/// Removes prefix hints that have expired, and the oldest ones above [`MAX_PREFIXES`].
 pub fn forget_prefixes(now: Time, engine: &mut Engine) {
     engine.prefixes.retain(|_, seen| now.since(*seen) < PREFIX_TTL);
     while engine.prefixes.len() > MAX_PREFIXES {
@@ -269,7 +273,7 @@
     }
 }
 
-/// Chooses the pair of engines whose prefill result is ready first.
+/// Chooses the prefill and decode engines whose prefill result is ready first.
 fn place(now: Time, site: &Site, pool: &Pool, waiting: &Waiting) -> Option<Placement> {
     let kv_bytes = kv_bytes(site, waiting);
     let decodes = decode_candidates(now, pool, waiting);
@@ -304,10 +308,10 @@
     best.map(|(_, placement)| placement)
 }
 
-/// How good a placement is, the best first: when it is ready, then the free decode memory.
+/// The sort key of a placement, best first: when it is ready, then the free decode memory.
 type Rank = (u64, std::cmp::Reverse<u64>);
 
-/// Finds in each data centre the decode engine with the most free memory, where it is enough.
+/// Returns for each data centre the decode engine with the most free memory, if that is enough.
 fn decode_candidates(
     now: Time,
     pool: &Pool,
@@ -330,8 +334,8 @@
     best
 }
 
-/// Tells whether a request that has just failed on an engine should go to another one, which it
-/// should wherever another engine of the role is usable.
+/// Returns whether a request that has just failed on an engine should avoid it. This is the case if
+/// each role of the engine is also served by another one that is not shutting down.
 fn is_avoided(pool: &Pool, waiting: &Waiting, id: UpstreamId) -> bool {
     let Some(engine) = pool.engines().get(&id) else { return false };
     let has_other = |prefills: bool| {
@@ -345,7 +349,7 @@
     waiting.ask.avoid == Some(id) && replaceable
 }
 
-/// Expects when the first token of a request that comes now could be there.
+/// Estimates when the first token of a request that arrives now could be generated.
 fn expected_first_token(now: Time, pool: &Pool, waiting: &Waiting) -> Time {
     let queue = pool.queue();
     let ahead: Vec<&Waiting> =
@@ -364,7 +368,7 @@
     (now + seconds(prefill)).max(decode) + seconds(own) + CALL_OVERHEAD
 }
 
-/// Expects when the decode engines together have an amount of memory free, in tokens.
+/// Estimates when the decode engines together have `need` tokens of memory free.
 fn decode_free_at(now: Time, pool: &Pool, need: u64) -> Time {
     let decoding = |it: &Engine| it.role.decodes() && it.is_usable(now);
     let mut free: u64 =
@@ -384,11 +388,12 @@
             return end.max(now);
         }
     }
-    // All that runs would not free enough: the last end is the best that can be said.
+    // Even the end of all running streams would not free enough memory, so there is no estimate;
+    // one second is assumed.
     now + Duration::from_secs(1)
 }
 
-/// Refuses when a first token would come after it is due.
+/// Returns a refusal if the first token would arrive after it is due.
 fn too_late(first_token: Time, due: Time) -> Option<Rejection> {
     if first_token <= due {
         return None;
@@ -397,23 +402,24 @@
     Some(Rejection { refusal: Refusal::TooLate, retry_after })
 }
 
-/// Tells whether some engine that decodes is large enough at all.
+/// Returns whether any decode engine is large enough for the request when it is empty.
 fn fits_any_engine(pool: &Pool, waiting: &Waiting) -> bool {
     let need = u64::from(waiting.tokens());
     pool.engines().values().any(|it| it.role.decodes() && it.memory_tokens >= need)
 }
 
-/// Gives the time an engine needs for a prompt, less what its cache is believed to hold.
+/// Returns the time that an engine needs for a prompt, without the part that its cache is assumed
+/// to hold.
 fn prefill_time(engine: &Engine, ask: &Ask) -> Duration {
     let known = ask.prefix.iter().take_while(|it| engine.prefixes.contains_key(it)).count();
-    // The digests stand for 1, 2, 4, 8, … blocks.
+    // The digests cover 1, 2, 4, 8, … blocks.
     let blocks = if known == 0 { 0 } else { 1 << (known - 1).min(16) };
     let cached = (blocks * BLOCK_TOKENS).min(ask.prompt_tokens.saturating_sub(1));
     let tokens = f64::from(ask.prompt_tokens - cached);
     seconds(tokens * engine.slowness / engine.prefill_rate.max(1.0))
 }
 
-/// Gives the rate of the fastest usable prefill engine, in tokens a second.
+/// Returns the rate of the fastest usable prefill engine, in tokens per second.
 fn best_rate(pool: &Pool, now: Time) -> f64 {
     pool.engines()
         .values()
@@ -422,7 +428,7 @@
         .fold(0.0, f64::max)
 }
 
-/// Gives the size of a request's prefill result, in bytes.
+/// Returns the size of a request's prefill result, in bytes.
 fn kv_bytes(site: &Site, waiting: &Waiting) -> u64 {
     let service: ServiceId = waiting.ask.shard.service;
     let per_token = site
@@ -432,7 +438,7 @@
     per_token * u64::from(waiting.ask.prompt_tokens)
 }
 
-/// Gives a link's rate, in bytes a second.
+/// Returns a link's rate, in bytes per second.
 fn link_rate(site: &Site, link: (DataCentreId, DataCentreId)) -> u64 {
     let ends =
         |it: &crate::site::Link| link_id(DataCentreId::of(&it.from), DataCentreId::of(&it.to));
@@ -440,7 +446,7 @@
     named.map_or(DEFAULT_LINK_BYTES_PER_S, |it| it.bytes_per_second.max(1))
 }
 
-/// Names a link the same way from both ends.
+/// Returns the id of a link, which is the same from both ends.
 fn link_id(a: DataCentreId, b: DataCentreId) -> (DataCentreId, DataCentreId) {
     (a.min(b), a.max(b))
 }
--- a/crates/hollyspoke/src/pool/engine.rs
+++ b/crates/hollyspoke/src/pool/engine.rs
@@ -7,45 +7,46 @@
 use crate::site::{DataCentreId, Role};
 use crate::time::Time;
 
-/// An engine's row.
+/// An engine's state in the ledger.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its address.
+    /// The engine's address.
     pub address: String,
-    /// Its data centre.
+    /// The engine's data centre.
     pub data_centre: DataCentreId,
-    /// Its role.
+    /// The engine's role.
     pub role: Role,
-    /// The KV cache it can hold, in tokens.
+    /// The capacity of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// How fast it computes prompts, in tokens a second.
+    /// The configured prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// How long a token takes.
+    /// The time to generate one token.
     pub token_time: Duration,
-    /// Whether it gets no new work, by the site's file or its own report.
+    /// Whether it is shutting down, according to the site file or its own report, and gets no new
+    /// work.
     pub leaving: bool,
     /// The decode memory granted, in tokens.
     pub reserved: u64,
-    /// When it is expected to have computed all prompts granted.
+    /// When it is expected to have finished all granted prefills.
     pub prefill_free_at: Time,
-    /// How much slower than the site's file says it computes prompts; 1 is as described.
+    /// The ratio of the actual to the configured prefill time; 1 means as configured.
     pub slowness: f64,
-    /// The memory that its last report showed in use, in tokens.
+    /// The memory in use according to its last report, in tokens.
     pub reported: Option<u64>,
-    /// Until when it is given nothing after it refused for lack of room.
+    /// Until when it gets no new grants after it refused one for lack of memory.
     pub full_until: Time,
-    /// Its health.
+    /// Failures and ejections.
     pub health: Health,
-    /// When each prefix was last computed here; a hint that ages.
+    /// When each prefix was last computed here; a hint that expires.
     pub prefixes: BTreeMap<u32, Time>,
-    /// Failed polls in a row, without a success of a request between.
+    /// Consecutive failed polls without a successful request in between.
     pub failed_polls: u32,
-    /// Whether it is taken to be dead for its silence.
+    /// Whether it is considered dead because its polls fail.
     pub is_unresponsive: bool,
 }
 
 impl Engine {
-    /// Makes an engine's row from the site's file.
+    /// Creates an engine's state from its entry in the site file.
     pub(super) fn new(engine: &crate::site::Engine) -> Engine {
         Engine {
             address: engine.address.clone(),
@@ -67,21 +68,23 @@
         }
     }
 
-    /// Tells whether it may be given new work.
+    /// Returns whether the engine may get new work.
     pub fn is_usable(&self, now: Time) -> bool {
         !self.leaving && !self.health.is_out(now) && !self.is_unresponsive
     }
 
-    /// Notes that a request succeeded here, which is as good as a report.
+    /// Records that a request succeeded here, which proves as much as a report that the engine is
+    /// alive.
     pub fn succeed(&mut self, now: Time) {
         self.health.succeed(now);
         self.failed_polls = 0;
         self.is_unresponsive = false;
     }
 
-    /// Gives the memory that may still be granted, in tokens.
+    /// Returns the memory that can still be granted, in tokens.
     ///
-    /// A report above the ledger means streams that the ledger doesn't know of yet.
+    /// A reported use above the reserved memory means that there are streams that the ledger does
+    /// not know yet.
     pub fn free_tokens(&self, now: Time) -> u64 {
         let used = self.reserved.max(self.reported.unwrap_or(0));
         let ceiling = self.memory_tokens as f64 * self.health.weight(now);
--- a/crates/hollyspoke/src/pool/feedback.rs
+++ b/crates/hollyspoke/src/pool/feedback.rs
@@ -1,4 +1,4 @@
-//! What the owner learns: from engines' reports, and from how attempts go and end.
+//! Feedback to the ledger from the reports of engines and the outcomes of attempts.
 
 use crate::context::Context;
 use crate::effect::Effect;
@@ -13,7 +13,7 @@
 use crate::time::Time;
 
 impl Pool {
-    /// Takes an engine's report.
+    /// Handles an engine's report, or a failed poll if there is none.
     pub fn report(&mut self, cx: &mut Context<'_>, id: UpstreamId, report: Option<Report>) {
         let now = cx.now;
         let leaving = cx.site.engine(id).is_some_and(|it| it.leaving);
@@ -38,8 +38,9 @@
         self.process_queue(cx);
     }
 
-    /// Decides which engines are taken to be dead for their silence. When most are silent it is
-    /// the reports that have stopped, and not the engines.
+    /// Decides which engines are considered dead because their polls fail. If the polls of more
+    /// than half of the engines fail, the cause is assumed to be the polling itself and no engine
+    /// is marked.
     pub(super) fn update_unresponsive(&mut self) {
         let has_failed_polls = |it: &Engine| it.failed_polls >= health::EJECTION_FAILURES;
         let count = self.engines.values().filter(|it| has_failed_polls(it)).count();
@@ -49,14 +50,14 @@
         }
     }
 
-    /// Learns how long answers are against what was asked for.
+    /// Updates the ratio of generated to requested tokens from a completed attempt.
     pub(super) fn update_answer_share(&mut self, held: &HeldGrant, end: End) {
         let End::Done { tokens } = end else { return };
         let share = f64::from(tokens) / f64::from(held.grant.max_tokens.max(1));
         self.answer_share += LENGTH_WEIGHT * (share.min(1.0) - self.answer_share);
     }
 
-    /// Stops the streams on an engine which the ledger has not known for some time.
+    /// Cancels the streams on an engine that have not been in the ledger for [`STRAY_GRACE`].
     pub(super) fn cancel_strays(
         &mut self,
         cx: &mut Context<'_>,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Learns from a transfer that did not come to its end; tells whether its link is to blame
-    /// and not the engine.
+    /// Records a transfer that did not finish; returns whether its link explains the failure, so
+    /// that the engine is not blamed.
     pub(super) fn record_stalled_transfer(&mut self, now: Time, ticket: Ticket, end: End) -> bool {
         let Some(held) = self.grants.get(&ticket) else { return false };
         let (Stage::Transfer, Some((link, transfer_time))) = (held.grant.stage, held.transfer)
@@ -96,7 +97,7 @@
         link.explains_stall()
     }
 
-    /// Learns from how an attempt ended.
+    /// Updates the state of an engine from the outcome of an attempt.
     pub(super) fn record_outcome(&mut self, cx: &mut Context<'_>, end: End) {
         let now = cx.now;
         match end {
--- a/crates/hollyspoke/src/pool/link.rs
+++ b/crates/hollyspoke/src/pool/link.rs
@@ -1,28 +1,27 @@
-//! One shared link in a shard's ledger.
+//! The state of one shared link in a shard's ledger.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// The weight of a new measurement of a link's rate.
+/// The weight of a new sample in the moving average of a link's slowness.
 const RATE_WEIGHT: f64 = 0.3;
 
-/// The shortest expected time of a transfer from which the rate is learnt.
+/// The minimum expected duration of a transfer that is used as a sample.
 const MIN_MEASURED_TRANSFER: Duration = Duration::from_millis(5);
 
-/// How much slower than described a link may be taken to be.
+/// The maximum slowness that is assumed for a link.
 const MAX_SLOWNESS: f64 = 100.0;
 
-/// How much slower than described a link must be for a stalled transfer to be blamed on it and
-/// not on the engine.
+/// The slowness from which a stalled transfer is attributed to the link and not to the engine.
 const STALL_SLOWNESS: f64 = 2.0;
 
-/// A link's row: what was granted that has yet to cross it.
+/// A link's outstanding transfers and measured slowness.
 #[derive(Debug, Clone, Copy)]
 pub struct Link {
-    /// How long what has yet to cross takes at the described rate.
+    /// The duration of all outstanding transfers at the configured rate.
     outstanding: Duration,
-    /// How much slower than the site's file says it is; 1 is as described.
+    /// The ratio of the actual to the configured transfer time; 1 means as configured.
     slowness: f64,
     /// When the last transfer ended.
     last_end: Time,
@@ -35,30 +34,30 @@
 }
 
 impl Link {
-    /// Gives when all that was granted is expected to have crossed.
+    /// Returns when all outstanding transfers are expected to have ended.
     pub fn free_at(&self, now: Time) -> Time {
         now + self.outstanding.mul_f64(self.slowness)
     }
 
-    /// Gives how long a transfer takes that takes some time at the described rate.
+    /// Returns the expected duration of a transfer, given its duration at the configured rate.
     pub fn transfer_time(&self, described: Duration) -> Duration {
         described.mul_f64(self.slowness)
     }
 
-    /// Books a transfer by its time at the described rate.
+    /// Adds a transfer, given its duration at the configured rate.
     pub fn book(&mut self, described: Duration) {
         self.outstanding += described;
     }
 
-    /// Takes a transfer off that has crossed or won't.
+    /// Removes a transfer that has ended or was cancelled.
     pub fn unbook(&mut self, described: Duration) {
         self.outstanding = self.outstanding.saturating_sub(described);
     }
 
-    /// Learns from a transfer that began at a time and has ended now.
+    /// Updates the slowness from a transfer that has ended now.
     ///
-    /// Transfers cross one after another, or share the link, which comes to the same: between two
-    /// ends the link carried one transfer's bytes.
+    /// Whether transfers run one after another or share the link, it carries the bytes of one
+    /// transfer between the ends of two.
     pub fn record_transfer(&mut self, now: Time, began: Time, described: Duration) {
         let took = now.since(began.max(self.last_end));
         self.last_end = now;
@@ -69,7 +68,7 @@
         self.slowness += RATE_WEIGHT * (seen - self.slowness);
     }
 
-    /// Learns from a transfer that has not ended after a time.
+    /// Raises the slowness after a transfer that has not ended within `waited`.
     pub fn record_stall(&mut self, waited: Duration, described: Duration) {
         if described < MIN_MEASURED_TRANSFER {
             return;
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Tells whether the link is so slow that it explains a stalled transfer.
+    /// Returns whether the link is slow enough to explain a stalled transfer.
     pub fn explains_stall(&self) -> bool {
         self.slowness >= STALL_SLOWNESS
     }
