--- a/crates/hollyspoke/src/call.rs
+++ b/crates/hollyspoke/src/call.rs
@@ -1,4 +1,4 @@
-//! The front's part in one call of a plain service.
+//! The front's handling of a call of a plain service.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use crate::retry;
 use crate::site::Kind;
 
-/// What is added to a call's timeout before the front stops waiting for the driver's word.
+/// The time added to a call's timeout before the front stops waiting for the driver's response.
 const TIMEOUT_GRACE: Duration = Duration::from_secs(1);
 
 impl Front {
-    /// Calls an upstream, or refuses when none has room.
+    /// Calls an upstream, or refuses the request if none has free capacity.
     pub(crate) fn call(&mut self, cx: &mut Context<'_>, id: Id) {
         let ticket = self.new_ticket(cx, id);
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -52,7 +52,7 @@
         cx.effect(effect);
     }
 
-    /// Delivers an upstream's answer.
+    /// Delivers an upstream's answer to the caller.
     pub(crate) fn answered(&mut self, cx: &mut Context<'_>, id: Id, answer: Answer) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Call { upstream } = request.phase else { return };
@@ -67,8 +67,8 @@
         self.complete(cx, id, Ended::Answered(answer));
     }
 
-    /// Takes a call's failure. A call of which nothing was sent may go to another upstream; one
-    /// that may have been sent is sent again only if it is repeatable.
+    /// Handles a failed call. A call of which nothing was sent may be sent to another upstream; one
+    /// that may have been sent is retried only if it is repeatable.
     pub(crate) fn call_failed(&mut self, cx: &mut Context<'_>, id: Id, detail: &str, trace: Trace) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Call { upstream } = request.phase else { return };
@@ -97,7 +97,7 @@
         self.fail(cx, id, kind, detail);
     }
 
-    /// Stops waiting for a call about which the driver has said nothing.
+    /// Fails a call for which the driver has sent no response in time.
     pub(crate) fn check_call(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get(id) else { return };
         let timeout = match cx.site.service(request.service).map(|it| &it.kind) {
--- a/crates/hollyspoke/src/claim.rs
+++ b/crates/hollyspoke/src/claim.rs
@@ -1,9 +1,10 @@
-//! Callers' own idempotency keys: each is bound to one key of ours by a conditional write.
+//! Callers' own idempotency keys: each is bound to one key of the router by a conditional write.
 //!
-//! Claims are grouped into [`OBJECT_COUNT`] objects. One operation a shard is under way at a time, and
-//! all claims that wait for it go into the same write. A lost answer is settled by reading back:
-//! a claim found with this box's key is this box's; a claim not found is written again on the
-//! version just read, after which the lost write can no longer take effect.
+//! Claims are grouped into [`OBJECT_COUNT`] objects. Each object has one operation in progress at a
+//! time, and all claims that wait for it are combined into the next write. A lost answer is
+//! resolved by reading the object: a claim found with this box's key belongs to this box; a claim
+//! not found is written again on the version just read, after which the lost write can no longer
+//! take effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,23 +17,24 @@
 use crate::store::{Answer, Operation};
 use crate::time::Time;
 
-/// The objects over which claims are spread.
+/// The number of objects over which claims are spread.
 pub const OBJECT_COUNT: u64 = 8;
 
-/// The claims kept in one object; the oldest beyond it are dropped.
+/// The maximum number of claims kept in one object; the oldest ones above it are dropped.
 pub const MAX_CLAIMS_PER_OBJECT: usize = 12_000;
 
-/// The writes of claims that all boxes of a site together make in a second, at most. Each box
-/// spaces its own by its part of that; what waits meanwhile goes into one write.
+/// The maximum rate of claim writes by all boxes of a site together, per second. Each box spaces
+/// its writes by its part of that rate; claims that wait in the meantime are combined into one
+/// write.
 pub const MAX_WRITES_PER_S: u32 = 60;
 
 /// How long a request waits for its claim before it is refused as not run.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long to wait before an operation is tried again after no answer.
+/// How long to wait before an operation without an answer is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The kind of the objects.
+/// The kind of the objects in the store.
 const KIND: &str = "claims";
 
 /// A caller's own key, digested together with its tenant.
@@ -40,7 +42,7 @@
 pub struct Claim(u64);
 
 impl Claim {
-    /// Makes the claim of a tenant's own key.
+    /// Creates the claim for a tenant's own key.
     pub fn of(tenant: &str, own_key: &str) -> Claim {
         let mut bytes = Vec::with_capacity(tenant.len() + own_key.len() + 1);
         bytes.extend_from_slice(tenant.as_bytes());
@@ -49,18 +51,18 @@
         Claim(xxh3_64(&bytes))
     }
 
-    /// Gives the object that holds the claim.
+    /// Returns the number of the object that holds the claim.
     fn shard(self) -> u64 {
         self.0 % OBJECT_COUNT
     }
 }
 
-/// What has become of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
     /// The claim is bound to this key.
     Bound(Key),
-    /// The store is away, and nothing was sent for the request.
+    /// The store is unreachable, and nothing was sent for the request.
     StoreUnreachable,
 }
 
@@ -69,25 +71,26 @@
 struct Waiting {
     /// The request.
     request: request::Id,
-    /// The claim.
+    /// The caller's claim.
     claim: Claim,
     /// The key to bind it to.
     key: Key,
-    /// Since when it waits.
+    /// Since when the request waits.
     since: Time,
-    /// Whether a binding to a home that is gone may be replaced.
+    /// Whether a binding to a dead home may be replaced.
     may_replace: bool,
 }
 
-/// The claims in one object, the oldest first.
+/// The claims in one object.
 #[derive(Debug, Clone, Default)]
 struct Bound {
-    /// The bindings.
+    /// The bindings, the oldest first.
     claims: Vec<(Claim, Key)>,
 }
 
 impl Bound {
-    /// Reads an object's value: a line a claim, `<claim> <key>`. Lines that aren't are passed over.
+    /// Parses an object's value, which has one line `<claim> <key>` per claim. Malformed lines are
+    /// skipped.
     fn parse(value: &str) -> Bound {
         let line = |text: &str| {
             let (claim, key) = text.split_once(' ')?;
@@ -96,17 +99,17 @@
         Bound { claims: value.lines().filter_map(line).collect() }
     }
 
-    /// Writes an object's value.
+    /// Formats the value of an object.
     fn to_text(&self) -> String {
         self.claims.iter().map(|(claim, key)| format!("{:x} {key}\n", claim.0)).collect()
     }
 
-    /// Finds the key to which a claim is bound.
+    /// Returns the key to which a claim is bound.
     fn find(&self, claim: Claim) -> Option<Key> {
         self.claims.iter().find(|it| it.0 == claim).map(|it| it.1)
     }
 
-    /// Binds a claim, in place of an older binding.
+    /// Binds a claim and replaces an older binding.
     fn bind(&mut self, claim: Claim, key: Key) {
         self.claims.retain(|it| it.0 != claim);
         self.claims.push((claim, key));
@@ -115,39 +118,39 @@
     }
 }
 
-/// What is under way for one object.
+/// The operation in progress for one object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pending {
-    /// A read.
+    /// A read, with the operation's number.
     Get(u64),
-    /// A write.
+    /// A write, with the operation's number.
     Put(u64),
-    /// Nothing until a time.
+    /// Nothing before this time.
     Idle(Time),
 }
 
-/// One object's claims in waiting.
+/// The waiting claims of one object.
 #[derive(Debug, Clone, Default)]
 struct Shard {
-    /// The requests that wait.
+    /// The requests that wait for their claims.
     waiting: Vec<Waiting>,
-    /// What is under way.
+    /// The operation in progress.
     pending: Option<Pending>,
-    /// Whether it has waited for its turn to write.
+    /// Whether it has waited for its turn to write already.
     has_turn: bool,
 }
 
-/// All claims in waiting at this box.
+/// All claims that wait at this box.
 #[derive(Debug, Clone, Default)]
 pub struct Claims {
-    /// The objects with something under way.
+    /// The objects that have been used.
     shards: BTreeMap<u64, Shard>,
-    /// The first turn to write that is still free.
+    /// The next time at which this box may write.
     next_turn: Time,
 }
 
 impl Claims {
-    /// Has a claim bound to a key, or finds the key to which it is bound already.
+    /// Submits a claim: it is bound to a key, or found to be bound to another one already.
     pub fn submit(
         &mut self,
         cx: &mut Context<'_>,
@@ -163,14 +166,14 @@
         }
     }
 
-    /// Forgets a request that no longer waits.
+    /// Removes a request that no longer waits.
     pub fn forget(&mut self, request: request::Id) {
         for shard in self.shards.values_mut() {
             shard.waiting.retain(|it| it.request != request);
         }
     }
 
-    /// Takes an answer of the store; gives the requests whose claims are settled.
+    /// Handles an answer of the store; returns the requests whose claims are settled.
     pub fn answer(
         &mut self,
         cx: &mut Context<'_>,
@@ -192,8 +195,8 @@
                 self.pause(cx.now, name);
                 Vec::new()
             }
-            // After a write, taken or not, what stands there is read back: the read alone says
-            // whose claims hold.
+            // After a write, successful or not, the object is read back: only a read shows whose
+            // claims are bound.
             Answer::Found { .. } | Answer::Absent | Answer::Written { .. } | Answer::Conflict => {
                 self.get(cx, name);
                 Vec::new()
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Tries again what is due, and gives up on the requests that have waited too long.
+    /// Retries operations that are due, and settles requests that have waited too long.
     pub fn tick(&mut self, cx: &mut Context<'_>) -> Vec<(request::Id, Settled)> {
         let now = cx.now;
         let mut settled = Vec::new();
@@ -224,7 +227,7 @@
         settled
     }
 
-    /// Settles what a read shows, and writes what it doesn't show yet.
+    /// Settles the claims that a read shows as bound, and writes the others.
     fn merge(
         &mut self,
         cx: &mut Context<'_>,
@@ -244,7 +247,8 @@
                 }
                 Some(_) | None => {}
             }
-            // A second request with the same claim waits for the read after the first one's write.
+            // A second request with the same claim waits for the read that follows the first one's
+            // write.
             if added.insert(it.claim) {
                 bound.bind(it.claim, it.key);
             }
@@ -259,7 +263,7 @@
             let boxes = cx.members.live().count().max(1) as u32;
             self.next_turn = turn + Duration::from_secs(1) * boxes / MAX_WRITES_PER_S;
             if turn > cx.now {
-                // What comes until then goes into the same write.
+                // Claims that arrive before then are combined into the same write.
                 shard.has_turn = true;
                 shard.pending = Some(Pending::Idle(turn));
                 return settled;
@@ -276,7 +280,7 @@
         settled
     }
 
-    /// Begins a read, if anybody waits for it.
+    /// Begins a read, if any request waits for the object.
     fn get(&mut self, cx: &mut Context<'_>, name: u64) {
         let Some(shard) = self.shards.get_mut(&name) else { return };
         if shard.waiting.is_empty() {
@@ -287,7 +291,7 @@
         shard.pending = Some(Pending::Get(cx.store(operation)));
     }
 
-    /// Waits a little before the next try.
+    /// Delays the next operation for an object.
     fn pause(&mut self, now: Time, name: u64) {
         if let Some(shard) = self.shards.get_mut(&name) {
             shard.pending = Some(Pending::Idle(now + RETRY_DELAY));
--- a/crates/hollyspoke/src/front.rs
+++ b/crates/hollyspoke/src/front.rs
@@ -1,4 +1,4 @@
-//! The front: takes callers' requests, holds them, and delivers each answer once.
+//! The front: accepts callers' requests, tracks them, and delivers each answer once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,56 +22,56 @@
 use crate::site::{Kind, ServiceId, Site, TenantId};
 use crate::time::Time;
 
-/// The span of its rate that a tenant may use at once.
+/// The interval whose worth of requests a tenant may send at once.
 const BURST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a caller should stay away from a box that takes nothing new.
+/// The retry delay given to a caller by a box that accepts no new requests.
 const CLOSED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a caller should stay away while the store does not answer.
+/// The retry delay given to a caller while the store does not answer.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What is said to a tenant that is over its limit.
+/// The problem detail for a tenant that is over its limit.
 const OVER_LIMIT_DETAIL: &str = "the tenant is over its limit of requests a second";
 
-/// A request that has just come, with its caller's connection.
+/// A request that has just arrived, with its caller's connection.
 #[derive(Debug)]
 struct Incoming {
-    /// The connection.
+    /// The caller's connection.
     call: CallId,
     /// The request.
     arrival: Arrival,
-    /// A digest of what is asked for.
+    /// A digest of the request's content.
     digest: u64,
 }
 
-/// The front's state.
+/// The state of the front.
 #[derive(Debug, Clone)]
 pub struct Front {
     /// The keys of which this box is the home.
     pub home: Home,
     /// The requests in progress.
     pub(crate) requests: SlotMap<Id, Request>,
-    /// The request of each attempt under way.
+    /// The request of each current attempt.
     pub(crate) tickets: BTreeMap<Ticket, Id>,
     /// The request of each caller's connection.
     calls: BTreeMap<CallId, Id>,
     /// The number of the last attempt.
     pub(crate) last_ticket: u64,
-    /// Claims in waiting.
+    /// The claims that are being bound in the store.
     claims: Claims,
-    /// Tenants' limits.
+    /// The rate limits of the tenants.
     quota: Quota<TenantId>,
-    /// The retries that may be made.
+    /// The retry budget.
     pub(crate) budget: Budget,
-    /// Plain upstreams.
+    /// The plain upstreams.
     pub(crate) plain: Plain,
-    /// The owners last told of this front, and when.
+    /// The owner to which each shard's last renewal was sent, and when.
     pub(crate) renewals: BTreeMap<ShardId, (crate::key::Incarnation, Time)>,
 }
 
 impl Front {
-    /// Makes a front without requests.
+    /// Creates a front without requests.
     pub fn new(home: Home) -> Front {
         Front {
             home,
@@ -87,12 +87,13 @@
         }
     }
 
-    /// Gives the number of requests in progress.
+    /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes a request. `closed` is why nothing new is run here, where that is so.
+    /// Handles a caller's request. `closed` is the reason why the box accepts no new requests, if
+    /// it does not.
     pub fn handle_arrival(
         &mut self,
         cx: &mut Context<'_>,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Has a request wait until its caller's own key is bound.
+    /// Holds a request until its caller's own key is bound to a key of the router.
     fn claim(
         &mut self,
         cx: &mut Context<'_>,
@@ -135,7 +136,7 @@
         self.claims.submit(cx, id, claim, key, may_replace);
     }
 
-    /// Does what a verdict says.
+    /// Carries out the verdict on a request.
     fn apply_verdict(
         &mut self,
         cx: &mut Context<'_>,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Runs a request of which this box is the home.
+    /// Runs a request whose home is this box.
     fn run(&mut self, cx: &mut Context<'_>, incoming: Incoming, key: Key, closed: Option<&str>) {
         let (call, digest) = (incoming.call, incoming.digest);
         if let Some(reason) = closed {
@@ -186,7 +187,7 @@
         self.begin(cx, id);
     }
 
-    /// Takes the tenants' limits of a new site.
+    /// Applies the tenants' limits of a new site.
     pub fn set_limits(&mut self, now: Time, site: &Site) {
         let limited = site.tenants.iter().filter_map(|it| {
             let rate = it.requests_per_second?;
@@ -196,17 +197,17 @@
         self.quota.set_limits(now, limited.collect());
     }
 
-    /// Takes one request of a tenant from its part of the limit, or gives the time to come back.
+    /// Charges one request to this box's part of a tenant's limit, or returns the retry delay.
     ///
-    /// Each box has an equal part: callers spread over the boxes by hash, so that the parts come
-    /// near to the whole.
+    /// Each box has an equal part of the limit. Callers are spread over the boxes by hash, so the
+    /// parts together come close to the full limit.
     fn take_quota(&mut self, cx: &Context<'_>, tenant: &str) -> Result<(), Duration> {
         let boxes = cx.members.live().count();
         self.quota.set_visibility(cx.now, Visibility::isolated(boxes));
         self.quota.take(cx.now, TenantId::of(tenant), 1)
     }
 
-    /// Goes on with requests whose claims are settled.
+    /// Continues requests whose claims are settled.
     pub fn settle_claims(&mut self, cx: &mut Context<'_>, settled: Vec<(Id, Settled)>) {
         for (id, settled) in settled {
             let Some(request) = self.requests.get(id) else { continue };
@@ -222,13 +223,13 @@
         }
     }
 
-    /// Runs a request whose claim is this box's own.
+    /// Runs a request whose claim is bound to this box's key.
     fn begin_claimed(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get(id) else { return };
         let (key, digest) = (request.key, request.digest);
         if self.home.verdict(key, digest, true, cx.members) != Verdict::Run {
-            // Another box has read the claim and passed its caller's retry on before this box
-            // had read it: the key runs already.
+            // Another box read the claim and relayed its caller's retry before this box had read
+            // it: the key is already running.
             self.follow_claim(cx, id, key);
             return;
         }
@@ -242,7 +243,7 @@
         self.begin(cx, id);
     }
 
-    /// Treats a request like one that named the key to which its claim is bound.
+    /// Handles a request as if it had named the key to which its claim is bound.
     fn follow_claim(&mut self, cx: &mut Context<'_>, id: Id, key: Key) {
         let Some(request) = self.requests.remove(id) else { return };
         let Some(call) = request.caller else { return };
@@ -253,7 +254,7 @@
         self.apply_verdict(cx, incoming, key, verdict, None);
     }
 
-    /// Takes a caller's going away.
+    /// Handles a caller's disconnect.
     pub fn handle_disconnect(&mut self, cx: &mut Context<'_>, call: CallId) {
         let Some(id) = self.calls.remove(&call) else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -261,7 +262,7 @@
         let must_finish =
             matches!(request.phase, Phase::Call { .. }) && !request.arrival.repeatable;
         if must_finish {
-            // The upstream may be at work on it; its answer is kept for the caller's retry.
+            // The upstream may be processing it; its answer is kept for the caller's retry.
             return;
         }
         let not_run = request.trace.not_run().is_some() || request.arrival.repeatable;
@@ -278,7 +279,7 @@
         self.home.end(key, id, Ended::Problem(problem));
     }
 
-    /// Takes an engine's or upstream's answer; late ones of older attempts are dropped.
+    /// Handles a reply of an engine or upstream; late replies to older attempts are dropped.
     pub fn handle_reply(&mut self, cx: &mut Context<'_>, ticket: Ticket, reply: Reply) {
         let Some(&id) = self.tickets.get(&ticket) else { return };
         match reply {
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Takes the store's answer to a claim's operation.
+    /// Handles the store's answer to an operation for claims.
     pub fn handle_store_answer(
         &mut self,
         cx: &mut Context<'_>,
@@ -303,7 +304,7 @@
         self.settle_claims(cx, settled);
     }
 
-    /// Does what is due.
+    /// Runs the periodic work: epochs, claims, renewals and the requests' timeouts.
     pub fn tick(&mut self, cx: &mut Context<'_>) {
         self.home.tick(cx.now);
         let settled = self.claims.tick(cx);
@@ -315,7 +316,7 @@
         }
     }
 
-    /// Ends a request with an answer.
+    /// Completes a request with an answer.
     pub(crate) fn complete(&mut self, cx: &mut Context<'_>, id: Id, ended: Ended) {
         self.record(cx, id, "done");
         let Some(request) = self.requests.remove(id) else { return };
@@ -325,7 +326,7 @@
         self.home.end(request.key, id, ended);
     }
 
-    /// Ends a request without an answer after something of it was sent.
+    /// Fails a request of which something may have been sent.
     pub(crate) fn fail(&mut self, cx: &mut Context<'_>, id: Id, kind: ProblemKind, detail: &str) {
         let problem = Problem { kind, detail: detail.to_owned(), retry_after: None };
         self.record(cx, id, problem.slug());
@@ -337,7 +338,7 @@
         self.home.end(request.key, id, Ended::Problem(problem));
     }
 
-    /// Refuses a request that is in the arena: as not run if that is provable, else as failed.
+    /// Refuses a request in the arena: as not run if that is provable, else as failed.
     pub(crate) fn give_up(
         &mut self,
         cx: &mut Context<'_>,
@@ -363,7 +364,7 @@
         }
     }
 
-    /// Gives an attempt a new ticket.
+    /// Assigns a new ticket to an attempt.
     pub(crate) fn new_ticket(&mut self, cx: &Context<'_>, id: Id) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket { front: cx.me, number: self.last_ticket };
@@ -384,8 +385,8 @@
         }
     }
 
-    /// Joins a later connection to a request in progress; the earlier one is closed, so that the
-    /// answer is given once.
+    /// Attaches a later connection to a request in progress. The earlier one is closed, so that the
+    /// answer is delivered once.
     fn join(&mut self, cx: &mut Context<'_>, call: CallId, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if let Some(earlier) = request.caller.replace(call) {
@@ -399,7 +400,7 @@
         }
     }
 
-    /// Puts a request into the arena.
+    /// Adds a request to the arena.
     fn insert(&mut self, now: Time, incoming: Incoming, key: Key, service: ServiceId) -> Id {
         let Incoming { call, arrival, digest } = incoming;
         let id = self.requests.insert(Request {
@@ -422,7 +423,7 @@
         id
     }
 
-    /// Finds the service a request names, or refuses it.
+    /// Returns the service that a request names, or refuses the request.
     fn service(&self, cx: &mut Context<'_>, incoming: &Incoming) -> Option<ServiceId> {
         let call = incoming.call;
         let (found, named) = match &incoming.arrival.work {
@@ -442,7 +443,7 @@
         None
     }
 
-    /// Writes a request's record.
+    /// Emits a request's record.
     fn record(&mut self, cx: &mut Context<'_>, id: Id, outcome: &str) {
         let Some(request) = self.requests.get(id) else { return };
         let total = cx.now.since(request.arrived);
@@ -485,7 +486,7 @@
     }
 }
 
-/// Gives an ended request's answer again.
+/// Sends the answer of a completed request again.
 fn replay(cx: &mut Context<'_>, call: CallId, ended: Ended) {
     match ended {
         Ended::Generated { tokens, reason, prompt_tokens } => {
@@ -515,7 +516,7 @@
     problem(cx, call, ProblemKind::NotRun(proof, refusal), detail, retry_after);
 }
 
-/// Answers a caller with a problem.
+/// Sends a problem to a caller.
 fn problem(
     cx: &mut Context<'_>,
     call: CallId,
@@ -527,7 +528,7 @@
     cx.reply(call, CallerReply::Problem(problem));
 }
 
-/// Tells whether work of this sort may run more than once if its caller doesn't say otherwise.
+/// Returns whether work of this kind may run more than once, unless its caller forbids it.
 fn may_repeat(cx: &Context<'_>, work: &Work) -> bool {
     let Work::Call(call) = work else { return true };
     let safe = matches!(call.method.as_str(), "GET" | "HEAD" | "OPTIONS");
@@ -535,7 +536,7 @@
     safe || matches!(service, Some(Kind::Plain { repeatable: true, .. }))
 }
 
-/// Digests what a request asks for, so that one key can't stand for two requests.
+/// Returns a digest of a request's content, so that one key can't be used for two requests.
 fn digest(arrival: &Arrival) -> u64 {
     let mut hasher = Xxh3::new();
     let mut part = |bytes: &[u8]| {
--- a/crates/hollyspoke/src/generate.rs
+++ b/crates/hollyspoke/src/generate.rs
@@ -1,5 +1,5 @@
-//! The front's part in one generated answer: ask, prefill, transfer, decode, and what is done
-//! when one of them fails.
+//! The front's handling of a generation request: ask, prefill, transfer, decode, and recovery when
+//! one of them fails.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,25 +20,25 @@
 use crate::site::{Kind, ServiceId, TenantId, UpstreamId};
 use crate::time::Time;
 
-/// How long an owner's silence lasts before the question is sent again.
+/// How long to wait for an owner's response before the ask is sent again.
 pub const ASK_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a prefill may take before its engine is taken to have failed.
+/// How long a prefill may take before its engine is considered failed.
 pub const PREFILL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a transfer may take before the decode engine is taken to have failed.
+/// How long a transfer may take before the decode engine is considered failed.
 pub const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a stream may be silent before the decode engine is taken to have failed.
+/// How long a stream may pause between tokens before the decode engine is considered failed.
 pub const TOKEN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long an answer that has begun may wait for other engines when its own have failed.
+/// How long a partly delivered answer may wait for new engines after its own have failed.
 pub const RESUME_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long to wait before a decode engine that had no room is asked again.
+/// How long to wait before an import is retried on a decode engine that was full.
 pub const FULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How often a front renews the grants that it holds.
+/// How often a front renews its grants at each owner.
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Front {
@@ -53,7 +53,7 @@
         cx.send(owner, Message::Ask(ask));
     }
 
-    /// Takes a grant.
+    /// Handles a grant and starts the prefill.
     pub fn granted(&mut self, cx: &mut Context<'_>, from: Incarnation, grant: Grant) {
         let ticket = grant.ticket;
         let waiting = self.tickets.get(&ticket).and_then(|&id| Some((id, self.requests.get(id)?)));
@@ -63,13 +63,13 @@
             return;
         };
         if !matches!(request.phase, Phase::Ask { .. }) {
-            // A repeated grant: the first one was taken.
+            // A repeated grant: the first one is in use.
             return;
         }
         let address = cx.engine_address(grant.prefill);
         let Some(request) = self.requests.get_mut(id) else { return };
         let (Some(address), Work::Generate(work)) = (address, &request.arrival.work) else {
-            // The owner holds another version of the site: the engine is not known here.
+            // The owner has another version of the site: this box does not know the engine.
             let end = End::Cancelled;
             cx.send(from, Message::Release { shard: grant.shard, ticket, end });
             self.tickets.remove(&ticket);
@@ -88,7 +88,7 @@
         cx.effect(effect);
     }
 
-    /// Takes an owner's refusal.
+    /// Handles an owner's refusal.
     pub fn refused(
         &mut self,
         cx: &mut Context<'_>,
@@ -103,7 +103,7 @@
         }
         self.tickets.remove(&ticket);
         if refusal == Refusal::Leaving {
-            // The shard has passed to another owner, which is asked at once.
+            // The shard has another owner now, which is asked at once.
             self.ask(cx, id);
             return;
         }
@@ -120,7 +120,7 @@
         self.give_up(cx, id, refusal, detail, after);
     }
 
-    /// Goes on to the transfer.
+    /// Starts the transfer after the prefill has ended.
     pub(crate) fn prefilled(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Prefill(grant) = &request.phase else { return };
@@ -131,7 +131,7 @@
         self.import(cx, id);
     }
 
-    /// Has the decode engine fetch the prefill result.
+    /// Requests the decode engine to fetch the prefill result.
     fn import(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Transfer { grant, retry_at } = &mut request.phase else { return };
@@ -145,7 +145,7 @@
         cx.effect(Effect::Import { ticket, address, from, tokens });
     }
 
-    /// Waits a little for room on the decode engine.
+    /// Schedules another import after the decode engine reported that it is full.
     pub(crate) fn retry_import(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Transfer { retry_at, .. } = &mut request.phase else {
@@ -155,7 +155,7 @@
         *retry_at = Some(cx.now + FULL_RETRY_DELAY);
     }
 
-    /// Goes on to decode.
+    /// Starts the decode after the transfer has ended.
     pub(crate) fn imported(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Phase::Transfer { grant, .. } = &request.phase else { return };
@@ -174,7 +174,7 @@
         cx.effect(Effect::Decode { ticket, address, work, from_seq });
     }
 
-    /// Delivers a token if it is the next one.
+    /// Delivers a token to the caller if it is the next one in sequence.
     pub(crate) fn token(&mut self, cx: &mut Context<'_>, id: Id, seq: u32, text: Arc<str>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let next = request.tokens.len() as u32;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Ends a whole answer.
+    /// Completes a request whose answer has been generated.
     pub(crate) fn finished(&mut self, cx: &mut Context<'_>, id: Id, reason: Arc<str>) {
         let Some(request) = self.requests.get(id) else { return };
         let Work::Generate(work) = &request.arrival.work else { return };
@@ -213,7 +213,7 @@
         self.complete(cx, id, Ended::Generated { tokens, reason, prompt_tokens });
     }
 
-    /// Takes the failure of an attempt: tries again where that is allowed, else ends.
+    /// Handles the failure of an attempt: retries if allowed, else fails the request.
     pub(crate) fn failed(&mut self, cx: &mut Context<'_>, id: Id, detail: &str, trace: Trace) {
         let Some(request) = self.requests.get(id) else { return };
         let failed_engine = match &request.phase {
@@ -228,7 +228,7 @@
         self.fail_attempt(cx, id, End::Failed(failed_engine), Some(failed_engine), detail);
     }
 
-    /// Ends an attempt that failed, and tries again where that is allowed.
+    /// Ends a failed attempt and retries if allowed.
     fn fail_attempt(
         &mut self,
         cx: &mut Context<'_>,
@@ -241,7 +241,8 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.avoid = avoid;
         let may_repeat = request.arrival.repeatable && request.attempts < retry::MAX_ATTEMPTS;
-        // An answer that has begun is finished whatever the budget: its caller has a part of it.
+        // A partly delivered answer is completed regardless of the retry budget, since its caller
+        // already has a part of it.
         let has_begun = !request.tokens.is_empty();
         if may_repeat && (has_begun || self.budget.spend()) {
             self.ask(cx, id);
@@ -250,7 +251,7 @@
         self.fail(cx, id, ProblemKind::Failed, detail);
     }
 
-    /// Takes the owner's word that a grant is no longer held.
+    /// Handles the owner's notice that a grant was revoked.
     pub fn fenced(&mut self, cx: &mut Context<'_>, ticket: Ticket) {
         let Some(&id) = self.tickets.get(&ticket) else { return };
         if self.requests.get(id).is_some_and(|it| it.grant().is_some()) {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Stops every granted attempt, after a pause in which the owner may have ended them.
+    /// Stops every granted attempt after a pause in which the owner may have revoked the grants.
     pub fn fence_all(&mut self, cx: &mut Context<'_>) {
         let granted: Vec<Id> = self
             .requests
@@ -269,8 +270,8 @@
         for id in granted {
             self.fail_attempt(cx, id, End::Cancelled, None, "the box was paused for too long");
         }
-        // A question that was answered meanwhile has a grant on its way which may have been
-        // ended: a new ticket makes that one worthless.
+        // An ask that was answered during the pause has a grant in transit that may have been
+        // revoked. A new ticket invalidates that grant.
         let asking: Vec<Id> = self
             .requests
             .iter()
@@ -283,13 +284,13 @@
         }
     }
 
-    /// Stops the attempt under way: frees what engines hold, and tells the owner.
+    /// Stops the current attempt: cancels its streams and releases its grant.
     pub(crate) fn stop_attempt(&mut self, cx: &mut Context<'_>, id: Id, end: End) {
         self.cancel_streams(cx, id);
         self.release(cx, id, end);
     }
 
-    /// Has the engines or the upstream of an attempt free what they hold.
+    /// Cancels the current attempt's streams on its engines, or its call of an upstream.
     fn cancel_streams(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(ticket) = request.ticket else { return };
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Gives the attempt under way back to the shard's owner.
+    /// Releases the current attempt at the shard's owner.
     fn release(&mut self, cx: &mut Context<'_>, id: Id, end: End) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(ticket) = request.ticket.take() else { return };
@@ -330,7 +331,7 @@
         cx.send(owner, Message::Release { shard, ticket, end });
     }
 
-    /// Does what is due for one request.
+    /// Runs the timeouts and retries of one request.
     pub(crate) fn check_due(&mut self, cx: &mut Context<'_>, id: Id) {
         let Some(request) = self.requests.get(id) else { return };
         let now = cx.now;
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Sends a question again, to the owner of this moment, or gives it up when it is too late.
+    /// Sends an ask again to the current owner, or refuses the request if its target has passed.
     fn check_ask(
         &mut self,
         cx: &mut Context<'_>,
@@ -392,7 +393,7 @@
         cx.send(owner, Message::Ask(ask));
     }
 
-    /// Tells the owners of all shards that this front lives, where they need to know.
+    /// Sends a renewal to the owner of each shard when it is due or the owner has changed.
     pub(crate) fn renew(&mut self, cx: &mut Context<'_>) {
         let mut held: BTreeMap<ShardId, u32> = BTreeMap::new();
         for grant in self.requests.values().filter_map(Request::grant) {
@@ -414,7 +415,7 @@
         }
     }
 
-    /// Names the grants held in a shard to its owner.
+    /// Sends the list of the grants held in a shard to its owner.
     pub fn declare(&mut self, cx: &mut Context<'_>, to: Incarnation, shard: ShardId) {
         let held = self.requests.values().filter_map(Request::grant);
         let held: Vec<Grant> = held.filter(|it| it.shard == shard).cloned().collect();
@@ -422,7 +423,7 @@
     }
 }
 
-/// Tells the owner how far an attempt has come.
+/// Reports the stage of an attempt to the owner.
 fn report_progress(cx: &mut Context<'_>, grant: &Grant) {
     let Some(owner) = cx.owner(grant.shard) else { return };
     let message =
@@ -430,7 +431,7 @@
     cx.send(owner, message);
 }
 
-/// Makes the question for a request.
+/// Creates the ask for a request.
 fn build_ask(cx: &Context<'_>, request: &Request, shard: ShardId, ticket: Ticket) -> Ask {
     let (prompt_tokens, max_tokens, prefix) = match &request.arrival.work {
         Work::Generate(work) => (work.prompt_tokens, work.max_tokens, sample_digests(&work.prefix)),
@@ -438,7 +439,7 @@
     };
     let target = first_token_target(cx, request.service);
     let spent = cx.now.since(request.arrived);
-    // An answer that has begun goes before all others, and is not refused for coming late.
+    // A partly delivered answer is served before all others and is not refused as late.
     let has_begun = !request.tokens.is_empty();
     let due_in = if has_begun { RESUME_TIMEOUT } else { target.saturating_sub(spent) };
     let class = if has_begun { 0 } else { request.arrival.class.saturating_add(1) };
@@ -455,21 +456,21 @@
     }
 }
 
-/// Gives the account on which a tenant's requests wait for engines. Tenants that the site's file
-/// does not name have one together, so that a caller gains nothing by making names up.
+/// Returns the tenant under which a request is queued. Tenants that are not in the site file share
+/// one, so that a caller gains nothing by inventing names.
 fn fair_share_tenant(cx: &Context<'_>, tenant: &str) -> TenantId {
     let is_named = cx.site.tenants.iter().any(|it| it.name == tenant);
     TenantId::of(if is_named { tenant } else { "" })
 }
 
-/// Gives the digests of the first 1, 2, 4, 8, … blocks: a few bytes tell the owner about how much
-/// of a prompt an engine may know.
+/// Returns the digests of the first 1, 2, 4, 8, … blocks: a few bytes from which the owner can
+/// estimate how much of a prompt an engine has cached.
 fn sample_digests(prefix: &[u64]) -> Vec<u32> {
     let sampled = prefix.iter().enumerate().filter(|(place, _)| (place + 1).is_power_of_two());
     sampled.map(|(_, digest)| *digest as u32).collect()
 }
 
-/// Gives a service's target for the first token.
+/// Returns a service's target for the first token, or the timeout of a plain service.
 fn first_token_target(cx: &Context<'_>, service: ServiceId) -> Duration {
     match cx.site.service(service).map(|it| &it.kind) {
         Some(Kind::Engines { first_token, .. }) => *first_token,
@@ -478,7 +479,7 @@
     }
 }
 
-/// Chooses a shard for an attempt: each attempt may fall on another one.
+/// Chooses a shard for an attempt by hash, so that a retry may use another shard.
 fn choose_shard(cx: &Context<'_>, service: ServiceId, ticket: Ticket) -> ShardId {
     let parts = u64::from(cx.parts(service));
     let part = rank::weight(ticket.front.0, ticket.number) % parts;
--- a/crates/hollyspoke/src/home.rs
+++ b/crates/hollyspoke/src/home.rs
@@ -1,8 +1,8 @@
-//! The keys of which this box is the home: each is run here at most once.
+//! The table of keys whose home is this box; each key is run at most once.
 //!
 //! Only the home incarnation runs a key. While a key's epoch is kept, the home joins a repeated
-//! request to the one in progress or gives its answer again. When the epoch is dropped, every key
-//! of it is answered as unknown, so that the table stays bounded and nothing is run again.
+//! request to the one in progress or replays its answer. Once the epoch is dropped, every key of it
+//! is answered as unknown, so that the table stays bounded and nothing runs twice.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,79 +13,80 @@
 use crate::request;
 use crate::time::Time;
 
-/// How long an epoch lasts.
+/// The duration of an epoch.
 pub const EPOCH_DURATION: Duration = Duration::from_secs(30);
 
-/// How many epochs are kept besides the one that runs.
+/// How many epochs are kept besides the current one.
 pub const KEPT_EPOCHS: u32 = 10;
 
-/// The most that kept answers may hold, in bytes; beyond it the oldest contents are dropped.
+/// The maximum size of all kept answers, in bytes; above it the contents of the oldest are dropped.
 pub const MAX_KEPT_BYTES: usize = 16 * 1024 * 1024;
 
-/// The largest answer that is handed to a successor, in bytes.
+/// The maximum size of an answer that is handed over to a successor, in bytes.
 pub const MAX_HANDOVER_ANSWER_BYTES: usize = 4 * 1024;
 
-/// The most that all handed answers may hold, in bytes.
+/// The maximum size of all answers that are handed over, in bytes.
 pub const MAX_HANDOVER_BYTES: usize = 1024 * 1024;
 
-/// What is kept of one key.
+/// The state of one key.
 #[derive(Debug, Clone)]
 enum KeyState {
-    /// It runs.
+    /// The request is in progress.
     Running(request::Id),
-    /// It has ended.
+    /// The request has ended.
     Ended(Ended),
 }
 
-/// A key's row.
+/// An entry of the table.
 #[derive(Debug, Clone)]
 struct Row {
-    /// A digest of the request, so that a key can't stand for two.
+    /// A digest of the request, so that a key can't be used for two requests.
     digest: u64,
-    /// What is kept.
+    /// The state of the key.
     state: KeyState,
 }
 
-/// What is to be done with a request that names a key.
+/// The decision on a request that names a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Run it: its home is this box, and it was never run.
+    /// Run it: this box is its home, and it was never run.
     Run,
-    /// It runs already.
+    /// Join it to the request in progress.
     Join(request::Id),
-    /// It has ended: give the answer again.
+    /// It has ended: replay the answer.
     Replay(Ended),
-    /// Pass it on to its home, or to the box which took the home's keys.
+    /// Relay it to its home, or to the box that took over the home's keys.
     Relay(Incarnation),
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether it ran.
     Unknown,
-    /// The key stands for another request, or was never minted.
+    /// The key was used for another request, or was never minted.
     Invalid(&'static str),
 }
 
 /// The table of keys.
 #[derive(Debug, Clone)]
 pub struct Home {
-    /// This box.
+    /// The incarnation of this box.
     me: Incarnation,
-    /// The epoch that runs.
+    /// The current epoch.
     epoch: u32,
-    /// When it began.
+    /// When the current epoch began.
     epoch_since: Time,
-    /// The oldest epoch kept.
+    /// The oldest epoch that is kept.
     oldest_epoch: u32,
-    /// The keys, of this home and of those taken over.
+    /// The keys of this home and of those taken over.
     rows: BTreeMap<Key, Row>,
     /// The homes whose keys were taken over, and when.
     inherited: BTreeMap<Incarnation, Time>,
     /// The next nonce for a key minted here.
     next_nonce: u64,
-    /// The bytes of kept answers.
+    /// The size of all kept answers, in bytes.
     bytes: usize,
 }
 
 impl Home {
-    /// Makes an empty table. Nonces minted here have the top bit set, callers' own do not need to.
+    /// Creates an empty table. Nonces minted here have the top bit set; callers' own nonces need
+    /// not.
     pub fn new(now: Time, me: Incarnation) -> Home {
         Home {
             me,
@@ -99,28 +100,28 @@
         }
     }
 
-    /// Gives the epoch that runs.
+    /// Returns the current epoch.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// Gives the number of keys kept.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Tells whether no key is kept.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Mints a key of this home.
+    /// Creates a new key of this home.
     pub fn mint(&mut self) -> Key {
         self.next_nonce += 1;
         Key { home: self.me, epoch: self.epoch, nonce: self.next_nonce }
     }
 
-    /// Decides what is to be done with a request that names a key.
+    /// Decides on a request that names a key.
     pub fn verdict(&self, key: Key, digest: u64, relayed: bool, members: &Table) -> Verdict {
         if let Some(row) = self.rows.get(&key) {
             if row.digest != digest {
@@ -155,12 +156,12 @@
         Verdict::Run
     }
 
-    /// Notes that a key runs now.
+    /// Records that a request runs under a key.
     pub fn run(&mut self, key: Key, digest: u64, id: request::Id) {
         self.rows.insert(key, Row { digest, state: KeyState::Running(id) });
     }
 
-    /// Notes how a key ended, if it is this request that ran it.
+    /// Records the result of a key, if this request ran it.
     pub fn end(&mut self, key: Key, id: request::Id, ended: Ended) {
         let Some(row) = self.rows.get_mut(&key) else { return };
         if !matches!(row.state, KeyState::Running(runs) if runs == id) {
@@ -171,10 +172,10 @@
         self.evict_answers();
     }
 
-    /// Forgets a key that was not run, so that it may be run when the caller comes back.
+    /// Removes a key that was not run, so that the caller's retry may run it.
     ///
-    /// A request that only waits for its claim has a key that another one, passed on by a box
-    /// which read the claim first, may be running: that one's row stays.
+    /// The key of a request that is still waiting for its claim may already be run by another
+    /// request, relayed by a box that read the claim first. That request's entry stays.
     pub fn forget(&mut self, key: Key, id: request::Id) {
         let is_running = matches!(self.rows.get(&key), Some(Row { state: KeyState::Running(runs), .. }) if *runs == id);
         if is_running {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Advances the epoch and drops those that are too old.
+    /// Advances the epoch when it is due and drops the keys of epochs that are too old.
     pub fn tick(&mut self, now: Time) {
         if now.since(self.epoch_since) < EPOCH_DURATION {
             return;
@@ -204,7 +205,7 @@
         self.drop_inherited(now);
     }
 
-    /// Gives the keys to hand to a successor.
+    /// Returns the keys to hand over to a successor.
     pub fn handover(&self) -> Handover {
         let mut homes: Vec<Incarnation> = self.inherited.keys().copied().collect();
         homes.push(self.me);
@@ -226,7 +227,7 @@
         Handover { rows, homes }
     }
 
-    /// Takes the keys of a box that is leaving.
+    /// Adds the keys of a box that is shutting down.
     pub fn accept_handover(&mut self, now: Time, handover: Handover) {
         for home in handover.homes.into_iter().filter(|it| *it != self.me) {
             self.inherited.insert(home, now);
@@ -238,7 +239,7 @@
         self.evict_answers();
     }
 
-    /// Drops the keys that were taken over long enough ago.
+    /// Drops the keys that were taken over longer ago than epochs are kept.
     fn drop_inherited(&mut self, now: Time) {
         let kept_for = EPOCH_DURATION * KEPT_EPOCHS;
         let old: Vec<Incarnation> = self
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Drops the contents of the oldest answers while they hold too much.
+    /// Drops the contents of the oldest answers when the total exceeds [`MAX_KEPT_BYTES`], until it
+    /// is half of that.
     fn evict_answers(&mut self) {
         if self.bytes <= MAX_KEPT_BYTES {
             return;
@@ -278,10 +280,10 @@
     }
 }
 
-/// The most successors that are followed from one home.
+/// The maximum number of successors that are followed from one home.
 const MAX_SUCCESSOR_HOPS: usize = 8;
 
-/// Finds the box that holds a home's keys now, if it is alive in this box's view.
+/// Returns the box that now holds a home's keys, if it is alive in this box's view.
 fn home_of(home: Incarnation, members: &Table) -> Option<Incarnation> {
     let mut holder = home;
     for _ in 0..MAX_SUCCESSOR_HOPS {
--- a/crates/hollyspoke/src/key.rs
+++ b/crates/hollyspoke/src/key.rs
@@ -1,11 +1,12 @@
-//! The names of requests: incarnations, keys and tickets.
+//! Identifiers of requests: incarnations, keys and tickets.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// One life of one box: a nonce drawn at start, which never comes back after the process ends.
+/// One run of a box's process: a nonce drawn at random at start, which is not used again after the
+/// process ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -23,14 +24,14 @@
     }
 }
 
-/// A request's name, `<home incarnation>.<epoch>.<nonce>`, all in hexadecimal.
+/// A request's identifier, `<home incarnation>.<epoch>.<nonce>`, all in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The only incarnation that may run the request.
     pub home: Incarnation,
     /// The home's epoch in which the key was minted.
     pub epoch: u32,
-    /// The caller's own number.
+    /// A number chosen by the creator of the key, unique within the epoch.
     pub nonce: u64,
 }
 
@@ -55,12 +56,12 @@
     }
 }
 
-/// One attempt of one request: names the ask, the grant and the engine's stream alike.
+/// One attempt of one request: identifies the ask, the grant and the engine's stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The front that holds the caller.
     pub front: Incarnation,
-    /// The front's own running number.
+    /// The front's sequence number.
     pub number: u64,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// Why a text is not a key, an incarnation or a ticket.
+/// Why a text could not be parsed as a key, an incarnation or a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
     /// The number of parts is wrong.
@@ -99,7 +100,7 @@
 
 impl std::error::Error for KeyError {}
 
-/// Reads a hexadecimal number without sign.
+/// Parses an unsigned hexadecimal number.
 fn hex(text: &str) -> Result<u64, KeyError> {
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(KeyError::Number);
--- a/crates/hollyspoke/src/lease.rs
+++ b/crates/hollyspoke/src/lease.rs
@@ -1,45 +1,45 @@
 //! A lease in the platform's store, with the object's version as its fencing token.
 //!
-//! The holder stops by its own clock before the lease can lapse for anybody else: its time counts
-//! from the moment it sent the write, and ends a margin early. Another box takes the lease over
-//! only after it has seen the same version stand for the lease's whole time by its own clock. No
-//! box's wall clock matters.
+//! The holder stops, by its own clock, before the lease can expire for any other box: its time
+//! counts from the moment it sent the write and ends a margin early. Another box takes the lease
+//! over only after it has seen the same version unchanged for the lease's full time and margin by
+//! its own clock. No wall clock is involved.
 //!
-//! A store that comes back from an older copy has lost the lease of its holder, which may not know so
-//! yet. Whoever learns of the new era holds nothing any more, and whoever takes the lease then has
-//! taken it over when the time of every lost one is over. What was written in an earlier era counts as
-//! another box's.
+//! A store that was restored from an older copy may have lost the lease, while its holder does not
+//! know so yet. A box that is notified of the new era no longer holds the lease, and a box that
+//! then acquires it counts as having taken it over only when the time of every lost lease has
+//! passed. Values written in an earlier era count as another box's.
 //!
-//! Operations on the store go out through a closure that begins them and gives their numbers.
+//! Operations on the store are started through a closure that returns their numbers.
 
 use std::time::Duration;
 
 use crate::store::{Answer, Operation, Revision};
 use crate::time::Time;
 
-/// How long a lease holds after its last write, where nothing else is said.
+/// The default time that a lease is valid after its last write.
 const TTL: Duration = Duration::from_secs(9);
 
-/// How much earlier its holder stops, where nothing else is said.
+/// The default time by which a holder stops early.
 const MARGIN: Duration = Duration::from_secs(1);
 
-/// How often a holder renews, where nothing else is said.
+/// The default interval at which a holder renews.
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How long to wait after no answer or a conflict.
+/// How long to wait after a missing answer, a conflict, or a lease held by another box.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The kind of the objects.
+/// The kind of the objects in the store.
 const KIND: &str = "leases";
 
-/// The spans of a lease, the same on all boxes that want it.
+/// The durations of a lease, which must be equal on all boxes that want it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Terms {
-    /// How long it holds after its last write.
+    /// How long the lease is valid after its last write.
     pub ttl: Duration,
-    /// How much earlier its holder stops.
+    /// How much earlier the holder stops.
     pub margin: Duration,
-    /// How often its holder renews.
+    /// How often the holder renews.
     pub renew: Duration,
 }
 
@@ -54,25 +54,25 @@
 pub struct Held {
     /// The fencing token: the era and the version of the last write.
     pub token: u64,
-    /// Until when it holds, by this box's own clock.
+    /// Until when the lease is held, by this box's own clock.
     pub until: Time,
-    /// When this box took it over from another one, or will have: when the time of a lost one is over;
-    /// none if nobody had it before.
+    /// When this box took the lease over from another one. After a new era of the store, it lies in
+    /// the future: when the time of a lost lease has passed. `None` if no box held it before.
     pub taken_over: Option<Time>,
 }
 
-/// What is under way with the store.
+/// The operation in progress on the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pending {
-    /// Nothing until a time.
+    /// Nothing before this time.
     Idle(Time),
-    /// A read.
+    /// A read, with the operation's number.
     Get(u64),
-    /// A write, when it was sent, and the version that it replaces.
+    /// A write, with the operation's number.
     Put(u64, Unanswered),
 }
 
-/// A write whose answer never came: it may have taken effect, or may yet do so.
+/// A write without an answer so far: it may have taken effect, or may yet do so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Unanswered {
     /// When it was sent.
@@ -81,33 +81,33 @@
     expected: u64,
 }
 
-/// What was last seen in the store.
+/// The state last read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Seen {
-    /// The version.
+    /// The version of the object.
     version: u64,
-    /// Since when it has stood, by this box's own clock.
+    /// Since when the version is unchanged, by this box's own clock.
     since: Time,
 }
 
-/// One lease, as one box sees it.
+/// One box's view of a lease.
 #[derive(Debug, Clone)]
 pub struct Lease {
     /// The object's name.
     name: String,
-    /// The holder's name that this box writes; no other box, and no other life of it, has the same.
+    /// The holder's name that this box writes, unique to this box and incarnation.
     me: String,
-    /// Its spans.
+    /// The durations of the lease.
     terms: Terms,
     /// The lease, while this box holds it.
     held: Option<Held>,
-    /// What was last seen.
+    /// The state last read from the store.
     seen: Option<Seen>,
-    /// What is under way.
+    /// The operation in progress.
     pending: Pending,
-    /// The last write whose answer never came.
+    /// The last write whose answer was lost.
     unanswered: Option<Unanswered>,
-    /// Whether the last write was to take the lease from another box.
+    /// Whether the last write takes the lease over from another box.
     takes_over: bool,
     /// When this box took the lease over from another one.
     taken_over: Option<Time>,
@@ -116,7 +116,7 @@
 }
 
 impl Lease {
-    /// Makes a lease that this box does not hold.
+    /// Creates a lease that this box does not hold.
     pub fn new(now: Time, name: String, me: String, terms: Terms) -> Lease {
         let pending = Pending::Idle(now);
         Lease {
@@ -133,10 +133,10 @@
         }
     }
 
-    /// Notes the store's era. What was under way counts no more.
+    /// Enters a new era of the store. Operations in progress no longer count.
     pub fn enter_era(&mut self, now: Time, era: u64) {
         self.era = era;
-        // By then the time of every lease is over that was lost.
+        // By then the time of every lost lease has passed.
         self.taken_over = Some(now + self.terms.ttl + self.terms.margin);
         self.held = None;
         self.seen = None;
@@ -145,12 +145,12 @@
         self.pending = Pending::Idle(now);
     }
 
-    /// Gives the lease if this box holds it now, by its own clock.
+    /// Returns the lease if this box holds it now, by its own clock.
     pub fn held(&self, now: Time) -> Option<Held> {
         self.held.filter(|it| now < it.until)
     }
 
-    /// Tries to take or to renew the lease, where this box should hold it.
+    /// Tries to acquire or renew the lease, if this box should hold it.
     pub fn tick(&mut self, now: Time, wanted: bool, begin: impl FnOnce(Operation) -> u64) {
         if self.held.is_some_and(|it| now >= it.until) {
             self.held = None;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Takes an answer of the store, if it is to this lease.
+    /// Handles an answer of the store, if it belongs to this lease.
     pub fn answer(
         &mut self,
         now: Time,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Takes the answer to a read: writes if the lease is this box's or free.
+    /// Handles the answer to a read: writes if the lease is free or this box's own.
     fn read(&mut self, now: Time, answer: &Answer, begin: impl FnOnce(Operation) -> u64) {
         let (version, holder) = match answer {
             Answer::Found { version, value } => (*version, value.as_str()),
@@ -189,7 +189,7 @@
             }
         };
         let mine = holder == self.holder_name();
-        // As long as the version stands, the write whose answer was lost has not taken effect.
+        // While the version is unchanged, the write whose answer was lost has not taken effect.
         let done = self.unanswered.take_if(|it| mine && it.expected != version);
         if let Some(write) = done {
             self.hold(now, version, write.sent);
@@ -217,7 +217,7 @@
         self.pending = Pending::Put(begin(operation), write);
     }
 
-    /// Takes the answer to a write.
+    /// Handles the answer to a write.
     fn written(&mut self, now: Time, write: Unanswered, answer: &Answer) {
         match answer {
             Answer::Written { version } => {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Holds the lease for its time from the moment the write was sent.
+    /// Records that the lease is held, counted from the moment the write was sent.
     fn hold(&mut self, now: Time, version: u64, sent: Time) {
         let until = sent + (self.terms.ttl - self.terms.margin);
         if std::mem::take(&mut self.takes_over) {
@@ -247,13 +247,13 @@
         self.held = Some(Held { token, until, taken_over: self.taken_over });
     }
 
-    /// Gives the holder's name that this box writes in the store's era. A write that was under way
-    /// when the store came back is known by it.
+    /// Returns the holder's name that this box writes in the store's current era. The era in it
+    /// distinguishes a write that was in progress when the store was restored.
     fn holder_name(&self) -> String {
         if self.era == 0 { self.me.clone() } else { format!("{}@{}", self.me, self.era) }
     }
 
-    /// Makes a read.
+    /// Returns the read operation for the lease.
     fn get(&self) -> Operation {
         Operation::Get { kind: KIND.to_owned(), name: self.name.clone() }
     }
--- a/crates/hollyspoke/src/member.rs
+++ b/crates/hollyspoke/src/member.rs
@@ -1,8 +1,8 @@
-//! Who the other boxes are, and which of them live.
+//! Membership: which boxes there are, and which of them are alive.
 //!
-//! Each box advances a counter of its own; the counters spread by gossip. A box whose counter
-//! has stood still for [`DEAD_AFTER`] is taken for dead and no longer owns or answers anything in
-//! this box's view. A box that was only paused comes back by a counter above the one it had.
+//! Each box increments its own counter; the counters spread by gossip. A box whose counter has not
+//! advanced for [`DEAD_AFTER`] is considered dead and owns no shards or keys in this box's view. A
+//! box that was only paused becomes alive again with its next higher counter.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,36 +13,36 @@
 use crate::site::DataCentreId;
 use crate::time::Time;
 
-/// How often a box gossips in a small site.
+/// How often a box sends gossip in a small site.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often a box gossips in a large site.
+/// How often a box sends gossip in a large site.
 pub const LARGE_SITE_GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a counter may stand still before its box is taken for dead.
+/// How long a counter may stay unchanged before its box is considered dead.
 pub const DEAD_AFTER: Duration = Duration::from_secs(3);
 
-/// How long the counter of a dead box is kept, so that old gossip does not bring it back.
+/// How long the entry of a dead box is kept, so that old gossip does not revive it.
 pub const DEAD_ENTRY_TTL: Duration = Duration::from_secs(600);
 
-/// What a box says of itself.
+/// A box's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its incarnation.
+    /// The box's incarnation.
     pub incarnation: Incarnation,
-    /// Its name in the settings.
+    /// The box's name in its settings.
     pub name: String,
     /// The address for callers.
     pub caller_address: String,
     /// The address for other boxes.
     pub peer_address: String,
-    /// Its data centre.
+    /// The box's data centre.
     pub data_centre: DataCentreId,
-    /// Its epoch and state at this moment.
+    /// The box's latest heartbeat.
     pub beat: Heartbeat,
 }
 
-/// A box's heartbeat as it spreads.
+/// A box's heartbeat as it is spread by gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The box.
@@ -55,49 +55,49 @@
     pub state: State,
 }
 
-/// What a box says of its own plans.
+/// A box's lifecycle state, as it announces it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It serves.
+    /// The box accepts requests.
     Live,
-    /// It is stopping; its keys go to the successor, where it has one.
+    /// The box is shutting down; its keys are handed over to the successor, if it has one.
     Leaving {
-        /// The box that takes its keys.
+        /// The box that takes over its keys.
         successor: Option<Incarnation>,
     },
-    /// It has stopped, and the successor has its keys.
+    /// The box has shut down, and the successor has its keys.
     Left {
-        /// The box that took its keys.
+        /// The box that took over its keys.
         successor: Option<Incarnation>,
     },
 }
 
-/// A member as this box sees it.
+/// This box's view of a member.
 #[derive(Debug, Clone)]
 struct Member {
-    /// What it says of itself.
+    /// The member's own description.
     entry: Entry,
-    /// When its counter last advanced here.
+    /// When its counter last advanced in this view.
     last_advance: Time,
-    /// Whether its counter has stood still for too long.
+    /// Whether it is considered dead, or has shut down.
     dead: bool,
 }
 
 /// This box's view of all members.
 #[derive(Debug, Clone)]
 pub struct Table {
-    /// This box.
+    /// The incarnation of this box.
     me: Incarnation,
-    /// All members known, this box among them.
+    /// All known members, this box included.
     members: BTreeMap<Incarnation, Member>,
     /// Whether another box was ever alive in this view.
     had_peers: bool,
-    /// Advances whenever the set of boxes that serve may have changed.
+    /// Incremented whenever the set of serving boxes may have changed.
     revision: u64,
 }
 
 impl Table {
-    /// Makes a table that knows this box alone.
+    /// Creates a table that contains only this box.
     pub fn new(now: Time, me: Entry) -> Table {
         let incarnation = me.incarnation;
         let member = Member { entry: me, last_advance: now, dead: false };
@@ -109,31 +109,31 @@
         }
     }
 
-    /// Gives this box's own entry.
+    /// Returns this box's own entry.
     ///
     /// # Panics
     ///
-    /// Never: a table always holds its own box.
+    /// Never: a table always contains its own box.
     pub fn my_entry(&self) -> &Entry {
         &self.members[&self.me].entry
     }
 
-    /// Gives this box's data centre.
+    /// Returns this box's data centre.
     pub fn my_data_centre(&self) -> DataCentreId {
         self.my_entry().data_centre
     }
 
-    /// Tells whether another box was ever alive in this view.
+    /// Returns whether another box was ever alive in this view.
     pub fn had_peers(&self) -> bool {
         self.had_peers
     }
 
-    /// Gives a number that advances whenever the set of boxes that serve may have changed.
+    /// Returns a number that increases whenever the set of serving boxes may have changed.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Advances this box's own counter and sets its epoch and state.
+    /// Increments this box's counter and sets its epoch and state.
     pub fn advance_heartbeat(&mut self, now: Time, epoch: u32, state: State) {
         let Some(member) = self.members.get_mut(&self.me) else { return };
         self.revision += u64::from(member.entry.beat.state != state);
@@ -143,7 +143,8 @@
         member.entry.beat.state = state;
     }
 
-    /// Takes a heartbeat; tells whether the box's entry is needed first.
+    /// Applies a received heartbeat; returns whether the box is unknown, so that its entry is
+    /// needed.
     pub fn apply_heartbeat(&mut self, now: Time, beat: Heartbeat) -> bool {
         if beat.incarnation == self.me {
             return false;
@@ -160,7 +161,7 @@
         false
     }
 
-    /// Takes an entry; tells whether the box is new here.
+    /// Applies a received entry; returns whether the box is new.
     pub fn add_entry(&mut self, now: Time, entry: Entry) -> bool {
         if !self.apply_heartbeat(now, entry.beat) {
             return false;
@@ -171,7 +172,7 @@
         true
     }
 
-    /// Marks the boxes whose counters have stood still; gives those that have just died.
+    /// Marks boxes whose counters have not advanced as dead; returns those newly marked.
     pub fn expire(&mut self, now: Time) -> Vec<Incarnation> {
         let me = self.me;
         let mut died = Vec::new();
@@ -188,8 +189,8 @@
         died
     }
 
-    /// Takes a box for dead which this one can't reach; it comes back with its next heartbeat, by
-    /// whichever way. Tells whether it was taken for alive.
+    /// Marks a box that can't be reached as dead, until its next heartbeat is received from any
+    /// box. Returns whether it was considered alive before.
     pub fn mark_unreachable(&mut self, incarnation: Incarnation) -> bool {
         let me = self.me;
         let Some(member) = self.members.get_mut(&incarnation) else { return false };
@@ -201,44 +202,44 @@
         true
     }
 
-    /// Restarts every counter's clock, after this box itself was paused.
+    /// Restarts the timeout of every live member, after this box itself was paused.
     pub fn restart_timeouts(&mut self, now: Time) {
         for member in self.members.values_mut().filter(|it| !it.dead) {
             member.last_advance = now;
         }
     }
 
-    /// Gives a member's entry, dead or alive.
+    /// Returns a member's entry, dead or alive.
     pub fn entry(&self, incarnation: Incarnation) -> Option<&Entry> {
         self.members.get(&incarnation).map(|it| &it.entry)
     }
 
-    /// Tells whether a box is alive in this view, leaving or not.
+    /// Returns whether a box is alive in this view, shutting down or not.
     pub fn is_alive(&self, incarnation: Incarnation) -> bool {
         self.members.get(&incarnation).is_some_and(|it| !it.dead)
     }
 
-    /// Tells whether a member's counter has stood still for too long, or it is unknown.
+    /// Returns whether a box is considered dead or is unknown.
     pub fn is_dead(&self, incarnation: Incarnation) -> bool {
         !self.is_alive(incarnation)
     }
 
-    /// Gives all boxes alive, leaving ones among them.
+    /// Returns all boxes that are alive, including those that are shutting down.
     pub fn alive(&self) -> impl Iterator<Item = &Entry> {
         self.members.values().filter(|it| !it.dead).map(|it| &it.entry)
     }
 
-    /// Gives all boxes that serve and are not leaving.
+    /// Returns all boxes that are alive and not shutting down.
     pub fn live(&self) -> impl Iterator<Item = &Entry> {
         self.alive().filter(|it| it.beat.state == State::Live)
     }
 
-    /// Gives the boxes of a data centre that serve and are not leaving.
+    /// Returns the boxes of a data centre that are alive and not shutting down.
     pub fn live_in(&self, data_centre: DataCentreId) -> Vec<Incarnation> {
         self.live().filter(|it| it.data_centre == data_centre).map(|it| it.incarnation).collect()
     }
 
-    /// Gives the heartbeats of all boxes alive or lately gone by a planned stop.
+    /// Returns the heartbeats of all boxes that are alive or have shut down as planned.
     pub fn heartbeats(&self) -> Vec<Heartbeat> {
         let news = |it: &&Member| !it.dead || matches!(it.entry.beat.state, State::Left { .. });
         self.members.values().filter(news).map(|it| it.entry.beat).collect()
--- a/crates/hollyspoke/src/message.rs
+++ b/crates/hollyspoke/src/message.rs
@@ -1,4 +1,4 @@
-//! What boxes say to each other.
+//! Messages between boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,100 +13,100 @@
 use crate::outcome::Refusal;
 use crate::site::{TenantId, UpstreamId};
 
-/// One message from box to box. Messages may be lost, repeated and reordered.
+/// A message from one box to another. Messages may be lost, duplicated and reordered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender's view of who is alive, and the configuration version it holds.
+    /// The sender's view of which boxes are alive, and its configuration version.
     Gossip {
-        /// A heartbeat for some members.
+        /// Heartbeats of some members.
         beats: Vec<Heartbeat>,
         /// The version of the configuration in force at the sender.
         site_version: u64,
     },
-    /// Asks for the entries of members that the sender doesn't know.
+    /// Requests the entries of members that the sender does not know.
     EntriesWanted(Vec<Incarnation>),
     /// Entries of members.
     Entries(Vec<Entry>),
-    /// A configuration, sent to a box that holds an older one.
+    /// A configuration, sent to a box that has an older one.
     Site(Arc<Versioned>),
-    /// Asks for the configuration in force at the receiver.
+    /// Requests the configuration in force at the receiver.
     SiteWanted,
     /// A front asks a shard's owner for engines.
     Ask(Ask),
     /// The owner grants engines.
     Granted(Grant),
-    /// The owner refuses.
+    /// The owner refuses to grant engines.
     Refused {
-        /// The attempt refused.
+        /// The refused attempt.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back.
+        /// The time after which the caller may retry.
         retry_after: Duration,
     },
-    /// A front says that it is alive and how many grants it holds in a shard.
+    /// A front reports that it is alive and how many grants it holds in a shard.
     Renew {
         /// The shard.
         shard: ShardId,
         /// How many grants the front holds there.
         held: u32,
     },
-    /// The owner asks a front for all the grants it holds in a shard.
+    /// The owner requests the list of all grants that a front holds in a shard.
     DeclareWanted(ShardId),
-    /// A front names all the grants it holds in a shard.
+    /// A front lists all grants that it holds in a shard.
     Declare {
         /// The shard.
         shard: ShardId,
         /// The grants.
         held: Vec<Grant>,
     },
-    /// A front tells how far an attempt has come.
+    /// A front reports the stage that an attempt has reached.
     Progress {
         /// The shard.
         shard: ShardId,
         /// The attempt.
         ticket: Ticket,
-        /// How far it has come.
+        /// The stage reached.
         stage: Stage,
     },
-    /// A front gives an attempt back, granted or not.
+    /// A front releases an attempt, granted or not.
     Release {
         /// The shard.
         shard: ShardId,
         /// The attempt.
         ticket: Ticket,
-        /// How it ended.
+        /// The outcome.
         end: End,
     },
-    /// The owner no longer holds an attempt's grant; the front must stop it.
+    /// The owner has revoked an attempt's grant; the front must stop the attempt.
     Fenced(Ticket),
-    /// A leaving box hands its keys to its successor.
+    /// A box that is shutting down hands its keys over to its successor.
     Handover(Box<Handover>),
-    /// The successor has taken the keys.
+    /// The successor confirms that it has the keys.
     HandoverTaken,
 }
 
-/// A front's question to a shard's owner.
+/// A front's request for engines to a shard's owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The shard asked.
+    /// The shard.
     pub shard: ShardId,
     /// The attempt.
     pub ticket: Ticket,
     /// The prompt's length, in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Digests of the prompt's first 1, 2, 4, 8, … blocks.
     pub prefix: Vec<u32>,
-    /// The order of service, the lowest number first: 0 for an answer that has begun, else one
-    /// more than the request's class.
+    /// The priority, lowest number first: 0 for a partly delivered answer, else the request's class
+    /// plus one.
     pub class: u8,
     /// The tenant.
     pub tenant: TenantId,
     /// The time left until the first token is due.
     pub due_in: Duration,
-    /// An engine that has just failed this request.
+    /// The engine on which this request has just failed.
     pub avoid: Option<UpstreamId>,
 }
 
@@ -117,41 +117,41 @@
     pub shard: ShardId,
     /// The attempt.
     pub ticket: Ticket,
-    /// The engine that computes the prompt.
+    /// The engine that runs the prefill.
     pub prefill: UpstreamId,
-    /// The engine that generates.
+    /// The engine that runs the decode.
     pub decode: UpstreamId,
     /// The decode memory reserved, in tokens.
     pub tokens: u32,
-    /// The tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// How far the attempt has come.
+    /// The stage that the attempt has reached.
     pub stage: Stage,
 }
 
-/// How far a granted attempt has come.
+/// The stage of a granted attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// The prompt is being computed.
+    /// The prefill is running.
     Prefill,
-    /// The prefill result is crossing to the decode engine.
+    /// The prefill result is being transferred to the decode engine.
     Transfer,
     /// Tokens are being generated.
     Decode,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// The tokens generated.
+        /// The number of tokens generated.
         tokens: u32,
     },
-    /// The caller is gone, or the front has no more use for it.
+    /// The caller disconnected, or the front no longer needs the attempt.
     Cancelled,
     /// An engine failed.
     Failed(UpstreamId),
-    /// An engine had no room although the ledger said so.
+    /// An engine was full although the ledger showed free memory.
     Full(UpstreamId),
 }
--- a/crates/hollyspoke/src/orders.rs
+++ b/crates/hollyspoke/src/orders.rs
@@ -1,9 +1,10 @@
-//! Orders to engines: models, adapters and roles, given by one box of each data centre.
+//! Orders to engines to load models and adapters and to take roles, sent by one box of each data
+//! centre.
 //!
-//! The box that holds its data centre's lease compares what engines report with what the site's
-//! file says, and orders the difference. Every order carries the lease's token. An engine that
-//! compares tokens refuses an older one. For one that does not, a new holder first waits until
-//! every order of the old one must have ended, and no order is begun that could outlast the lease.
+//! The box that holds its data centre's lease compares the reports of engines with the site file
+//! and orders the difference. Every order carries the lease's fencing token. An engine that checks
+//! tokens refuses an older one. For an engine that does not, a new holder first waits until every
+//! order of the old holder must have ended, and no order is sent that could outlast the lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,36 +18,36 @@
 use crate::store::Answer;
 use crate::time::Time;
 
-/// The longest that an order may take on its way and at the engine.
+/// The maximum time that an order may take, transit and execution together.
 pub const MAX_ORDER_TIME: Duration = Duration::from_secs(3);
 
-/// How often the holder asks the engines of its data centre for their reports.
+/// How often the holder polls the engines of its data centre.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How many orders are under way at once, since the weights come at a limited rate.
+/// How many orders may be in progress at once, since the bandwidth for loading weights is limited.
 pub const MAX_CONCURRENT_ORDERS: usize = 2;
 
-/// The orders of one box.
+/// The state of one box's orders.
 #[derive(Debug, Clone)]
 pub struct Orders {
     /// The data centre's lease.
     lease: Lease,
-    /// When engines were last asked for their reports.
+    /// When engines were last polled.
     last_poll: Option<Time>,
-    /// When each order under way was given.
+    /// When each order in progress was sent.
     sent: BTreeMap<UpstreamId, Time>,
 }
 
 impl Orders {
-    /// Makes the orders of a box in a data centre.
+    /// Creates the state of a box in a data centre, without a lease.
     pub fn new(now: Time, data_centre: DataCentreId, me: Incarnation) -> Orders {
         let name = format!("orders-{:016x}", data_centre.0);
         let lease = Lease::new(now, name, me.to_string(), Terms::default());
         Orders { lease, last_poll: None, sent: BTreeMap::new() }
     }
 
-    /// Does what is due: the lease, and a look at the engines. `first` says whether this box is the
-    /// one of its data centre that should hold the lease.
+    /// Runs the periodic work: the lease, and polls of the engines. `first` is whether this box is
+    /// the one of its data centre that should hold the lease.
     pub fn tick(&mut self, cx: &mut Context<'_>, first: bool) {
         let now = cx.now;
         let local = cx.members.my_data_centre();
@@ -65,12 +66,12 @@
         }
     }
 
-    /// Takes an answer of the store.
+    /// Handles an answer of the store.
     pub fn answer(&mut self, cx: &mut Context<'_>, number: u64, answer: &Answer) {
         self.lease.answer(cx.now, number, answer, |it| cx.store(it));
     }
 
-    /// Takes an engine's report, and orders what differs from the site's file.
+    /// Handles an engine's report and orders what differs from the site file.
     pub fn report(&mut self, cx: &mut Context<'_>, id: UpstreamId, report: &Report) {
         let now = cx.now;
         let Some(held) = self.lease.held(now) else { return };
@@ -81,7 +82,8 @@
         }
         let Some(order) = difference(cx.site, engine, report) else { return };
         let under_way = self.sent.contains_key(&id) || self.sent.len() >= MAX_CONCURRENT_ORDERS;
-        // The order must end while the lease still holds, whether or not the engine checks.
+        // The order must end while the lease is still held, whether or not the engine checks
+        // tokens.
         let too_late = now + MAX_ORDER_TIME > held.until;
         let is_fresh = |it: Time| now.since(it) < MAX_ORDER_TIME;
         let must_wait = !engine.checks_orders && held.taken_over.is_some_and(is_fresh);
@@ -95,7 +97,7 @@
     }
 }
 
-/// Gives what an engine must be told to be as the site's file says.
+/// Returns the order that brings an engine to the state in the site file, or `None` if it is there.
 fn difference(site: &Site, engine: &Engine, report: &Report) -> Option<Order> {
     let state = report.state.as_ref()?;
     let service = site.services.iter().find(|it| it.name == engine.service)?;
--- a/crates/hollyspoke/src/plain.rs
+++ b/crates/hollyspoke/src/plain.rs
@@ -1,8 +1,8 @@
-//! Plain services: which upstream takes a call, and how many calls it is given at once.
+//! Plain services: load balancing and adaptive concurrency limits for their upstreams.
 //!
-//! Each box chooses by itself, the upstream with the fewest of its own calls outstanding for the
-//! limit it has there. The limit grows while answers are as quick as the quickest seen lately and
-//! shrinks when they take longer or fail.
+//! Each box chooses on its own the upstream with the lowest ratio of its outstanding calls to its
+//! limit there. The limit grows while answers are about as fast as the fastest recent one, and
+//! shrinks when they are slower or fail.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::site::{DataCentreId, ServiceId, Site, UpstreamId};
 use crate::time::Time;
 
-/// The limit of calls at once with which an upstream starts.
+/// The initial limit of concurrent calls of an upstream.
 const INITIAL_LIMIT: f64 = 32.0;
 
-/// The lowest limit.
+/// The minimum limit of concurrent calls.
 const MIN_LIMIT: f64 = 2.0;
 
-/// The highest limit.
+/// The maximum limit of concurrent calls.
 const MAX_LIMIT: f64 = 512.0;
 
-/// How much slower than the quickest an answer may be before the limit shrinks.
+/// The ratio to the fastest answer time above which the limit shrinks.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// The least time taken for the quickest, so that noise at very short times doesn't count.
+/// The minimum for the fastest answer time, so that noise in very short times has no effect.
 const MIN_FASTEST: Duration = Duration::from_millis(5);
 
-/// What this box knows of one upstream.
+/// This box's state of one upstream.
 #[derive(Debug, Clone)]
 struct Upstream {
-    /// This box's calls outstanding, with their starts.
+    /// This box's outstanding calls, with their start times.
     calls: BTreeMap<Ticket, Time>,
-    /// How many calls this box may have outstanding.
+    /// How many calls this box may have outstanding at once.
     limit: f64,
-    /// The quickest answer seen lately.
+    /// The duration of the fastest recent answer.
     fastest: Duration,
-    /// Its health.
+    /// Failures and ejections.
     health: Health,
 }
 
@@ -51,26 +51,26 @@
     }
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The upstream answered, with whatever status.
+    /// The upstream answered, with any status.
     Answered,
-    /// It failed or took too long.
+    /// The call failed or timed out.
     Failed,
-    /// This box dropped it.
+    /// This box dropped the call.
     Dropped,
 }
 
-/// What this box knows of all plain upstreams.
+/// This box's state of all plain upstreams.
 #[derive(Debug, Clone, Default)]
 pub struct Plain {
-    /// The upstreams that were ever used.
+    /// The upstreams that were considered for a call so far.
     upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
 impl Plain {
-    /// Chooses an upstream for a call and notes the call, if one has room.
+    /// Chooses an upstream with free capacity for a call and records the call there.
     pub fn begin(
         &mut self,
         now: Time,
@@ -96,7 +96,7 @@
             }
             let load = (outstanding / capacity * 1000.0) as u64;
             let is_remote = DataCentreId::of(&candidate.data_centre) != local;
-            // A near upstream is taken unless it is over half full.
+            // A local upstream is preferred unless it is at half its limit or above.
             let rank = (is_remote || load >= 500, load, crate::rank::weight(ticket.number, id.0));
             if best.is_none_or(|(other, _)| rank < other) {
                 best = Some((rank, id));
@@ -107,7 +107,7 @@
         Some(id)
     }
 
-    /// Notes how a call ended.
+    /// Records the outcome of a call and adapts the upstream's limit.
     pub fn end(&mut self, now: Time, site: &Site, id: UpstreamId, ticket: Ticket, end: CallEnd) {
         let (out, all) = self.ejected(now, site, id);
         let Some(state) = self.upstreams.get_mut(&id) else { return };
@@ -121,8 +121,8 @@
             CallEnd::Answered => {
                 state.health.succeed(now);
                 let took = now.since(began).max(MIN_FASTEST);
-                // The quickest drifts upwards, so that a service which has become slower for good
-                // is not throttled for ever.
+                // The fastest time drifts upwards, so that a service that has become permanently
+                // slower is not throttled forever.
                 state.fastest = state.fastest.mul_f64(1.0 + 1.0 / 256.0).min(took);
                 if took.as_secs_f64() > state.fastest.as_secs_f64() * SLOW_FACTOR {
                     state.limit = (state.limit * 0.95).max(MIN_LIMIT);
@@ -133,17 +133,17 @@
         }
     }
 
-    /// Gives this box's calls outstanding at an upstream.
+    /// Returns the number of this box's outstanding calls at an upstream.
     pub fn outstanding(&self, id: UpstreamId) -> usize {
         self.upstreams.get(&id).map_or(0, |it| it.calls.len())
     }
 
-    /// Tells whether an upstream is out of service.
+    /// Returns whether an upstream is ejected.
     pub fn is_out(&self, now: Time, id: UpstreamId) -> bool {
         self.upstreams.get(&id).is_some_and(|it| it.health.is_out(now))
     }
 
-    /// Counts the upstreams of the same service that are out, and all of them.
+    /// Returns how many upstreams of the same service are ejected, and how many there are.
     fn ejected(&self, now: Time, site: &Site, id: UpstreamId) -> (usize, usize) {
         let Some(service) = site.upstream(id).map(|it| &it.service) else { return (0, 1) };
         let group = site.upstreams.iter().filter(|it| it.service == *service);
