--- a/crates/hollyspoke/src/address.rs
+++ b/crates/hollyspoke/src/address.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller should use.
+//! The addresses of boxes that a caller should use.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::rank;
 use crate::site::DataCentreId;
 
-/// How long a caller may keep an answer.
+/// How long a caller may cache an answer.
 pub const ANSWER_TTL: Duration = Duration::from_secs(10);
 
-/// How many boxes an answer names at most.
+/// The maximum number of boxes in an answer.
 pub const MAX_CHOICES: usize = 4;
 
 /// The answer to a caller that asks for addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// How long the caller may keep the answer, in milliseconds.
+    /// How long the caller may cache the answer, in milliseconds.
     pub keep_ms: u64,
     /// The boxes, the first choice first.
     pub boxes: Vec<Choice>,
@@ -34,10 +34,10 @@
     pub epoch: String,
 }
 
-/// Ranks the boxes for a caller: its own data centre first, then the others as fall-backs.
+/// Ranks the boxes for a caller: those of its own data centre first, then the others as fallbacks.
 ///
-/// A box of another data centre always stands among the choices when there is one, so that the
-/// loss of a data centre leaves the caller an address.
+/// The choices always include a box of another data centre if there is one, so that the caller
+/// still has an address after the loss of a data centre.
 pub fn answer(members: &Table, caller: &str, data_centre: Option<DataCentreId>) -> Answer {
     let local = data_centre.unwrap_or_else(|| members.my_data_centre());
     let subject = DataCentreId::of(caller).0;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Gives a box as an answer names it.
+/// Returns the entry of a box in an answer.
 fn choice(entry: &Entry) -> Choice {
     Choice {
         address: entry.caller_address.clone(),
--- a/crates/hollyspoke/src/context.rs
+++ b/crates/hollyspoke/src/context.rs
@@ -1,4 +1,4 @@
-//! What a step of one part of a box can see of the rest, and where it puts its effects.
+//! The context of a step: shared read-only state of the box, and the output for effects.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,36 +12,36 @@
 use crate::store;
 use crate::time::Time;
 
-/// What a step of one part can see of the rest, and where it puts its effects.
+/// The context of a step: shared read-only state of the box, and the output for effects.
 pub struct Context<'a> {
     /// The time of the event.
     pub now: Time,
-    /// This box.
+    /// The incarnation of this box.
     pub me: Incarnation,
     /// The site in force.
     pub site: &'a Site,
-    /// What follows from the site.
+    /// The layout of the site.
     pub(crate) layout: &'a Layout,
-    /// The members known.
+    /// The membership table.
     pub members: &'a Table,
-    /// The owner of each shard.
+    /// The owner of each shard in this box's view.
     pub(crate) owners: &'a BTreeMap<ShardId, Incarnation>,
-    /// The effects and messages put out.
+    /// The output of the step.
     pub(crate) out: &'a mut Out,
 }
 
 impl Context<'_> {
-    /// Asks the driver for something.
+    /// Emits an effect for the driver.
     pub fn effect(&mut self, effect: Effect) {
         self.out.effects.push(effect);
     }
 
-    /// Notes something for the operator.
+    /// Emits a note for the operator.
     pub fn note(&mut self, note: String) {
         self.effect(Effect::Note(note));
     }
 
-    /// Answers a caller.
+    /// Emits a reply to a caller.
     pub fn reply(&mut self, call: CallId, reply: CallerReply) {
         self.effect(Effect::Reply { call, reply });
     }
@@ -57,7 +57,7 @@
         self.effect(Effect::Send { to, address, message: Box::new(message) });
     }
 
-    /// Begins an operation on the store; gives its number.
+    /// Starts an operation on the store; returns its number.
     pub fn store(&mut self, operation: store::Operation) -> u64 {
         self.out.last_operation += 1;
         let number = self.out.last_operation;
@@ -65,33 +65,33 @@
         number
     }
 
-    /// Gives a shard's owner in this box's view.
+    /// Returns a shard's owner in this box's view.
     pub fn owner(&self, shard: ShardId) -> Option<Incarnation> {
         self.owners.get(&shard).copied()
     }
 
-    /// Gives all shards of the site.
+    /// Returns all shards of the site.
     pub fn shards(&self) -> Vec<ShardId> {
         self.layout.shards.clone()
     }
 
-    /// Gives the number of a service's shards.
+    /// Returns the number of a service's shards.
     pub fn parts(&self, service: crate::site::ServiceId) -> u16 {
         self.layout.parts.get(&service).copied().unwrap_or(1).max(1)
     }
 
-    /// Gives an engine's address, if the site has the engine.
+    /// Returns an engine's address, if the site or its previous version has the engine.
     pub fn engine_address(&self, engine: UpstreamId) -> Option<String> {
         self.layout.addresses.get(&engine).cloned()
     }
 }
 
-/// Effects and messages put out during one step.
+/// The effects and local messages produced during one step.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Out {
     /// Effects for the driver.
     pub(crate) effects: Vec<Effect>,
-    /// Messages of this box to itself.
+    /// Messages from this box to itself.
     pub(crate) local: VecDeque<Message>,
     /// The number of the last operation on the store.
     last_operation: u64,
--- a/crates/hollyspoke/src/health.rs
+++ b/crates/hollyspoke/src/health.rs
@@ -1,37 +1,37 @@
-//! When an upstream is out of service.
+//! Ejection of failing upstreams.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Failures in a row that put an upstream out of service.
+/// The number of consecutive failures after which an upstream is ejected.
 pub const EJECTION_FAILURES: u32 = 3;
 
-/// How long an upstream stays out the first time; it doubles each time after.
+/// The duration of an upstream's first ejection; it doubles with each further one.
 pub const INITIAL_EJECTION: Duration = Duration::from_secs(2);
 
-/// The longest time an upstream stays out before it is tried again.
+/// The maximum duration of an ejection.
 pub const MAX_EJECTION: Duration = Duration::from_secs(60);
 
-/// How long an upstream that comes back is given less than its share.
+/// How long an upstream gets a reduced share of requests after an ejection.
 pub const SLOW_START: Duration = Duration::from_secs(5);
 
-/// The share of a group that may be out by ejection at once.
+/// The maximum share of a group that may be ejected at once.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// What is known of one upstream's health.
+/// The failures and ejections of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Ejections without a long good time between.
+    /// Consecutive ejections, without a success after the slow start in between.
     ejections: u32,
-    /// Until when it is out of service.
+    /// The end of the last ejection.
     out_until: Option<Time>,
 }
 
 impl Health {
-    /// Notes a success.
+    /// Records a success, which ends a series of failures.
     pub fn succeed(&mut self, now: Time) {
         self.failures = 0;
         if self.is_settled(now) {
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Notes a failure; tells whether it has put the upstream out of service.
+    /// Records a failure; returns whether it causes an ejection.
     ///
-    /// `may_eject` is false while too large a share of the group is out already.
+    /// `may_eject` is false while too large a share of the group is ejected already.
     pub fn fail(&mut self, now: Time, may_eject: bool) -> bool {
         self.failures += 1;
         if self.failures < EJECTION_FAILURES || !may_eject || self.is_out(now) {
@@ -54,12 +54,12 @@
         true
     }
 
-    /// Tells whether the upstream is out of service.
+    /// Returns whether the upstream is ejected.
     pub fn is_out(&self, now: Time) -> bool {
         self.out_until.is_some_and(|until| now < until)
     }
 
-    /// Gives the share of its capacity that the upstream may be given, from 0 to 1.
+    /// Returns the share of its capacity that the upstream may use, from 0 to 1.
     pub fn weight(&self, now: Time) -> f64 {
         let Some(until) = self.out_until else { return 1.0 };
         if now < until {
@@ -69,13 +69,13 @@
         back.clamp(0.1, 1.0)
     }
 
-    /// Tells whether the upstream has been back for longer than the slow start.
+    /// Returns whether the slow start after the last ejection is over.
     fn is_settled(&self, now: Time) -> bool {
         self.out_until.is_none_or(|until| now.since(until) > SLOW_START)
     }
 }
 
-/// Tells whether one more member of a group may be ejected.
+/// Returns whether one more member of a group may be ejected.
 pub fn may_eject(out: usize, group: usize) -> bool {
     (out + 1) as f64 <= group as f64 * MAX_EJECTED_SHARE
 }
--- a/crates/hollyspoke/src/layout.rs
+++ b/crates/hollyspoke/src/layout.rs
@@ -1,4 +1,4 @@
-//! What follows from a site's file and is looked up often.
+//! Lookup tables derived from a site file: shards and addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,20 +7,20 @@
 use crate::rank;
 use crate::site::{Engine, Kind, ServiceId, Site, UpstreamId};
 
-/// The most engines in one shard.
+/// The maximum number of engines in one shard.
 pub const MAX_SHARD_ENGINES: usize = 32;
 
-/// A part of a service's engines that one box owns.
+/// Identifies a shard: a part of a service's engines that one box owns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
     /// The service.
     pub service: ServiceId,
-    /// The part, from zero.
+    /// The index of the part, from zero.
     pub part: u16,
 }
 
 impl ShardId {
-    /// Gives the number by which owners are ranked.
+    /// Returns the hash by which owners are ranked.
     pub fn number(self) -> u64 {
         rank::weight(self.service.0, u64::from(self.part))
     }
@@ -29,20 +29,20 @@
 /// A site's shards and addresses.
 #[derive(Debug, Clone, Default)]
 pub struct Layout {
-    /// All shards.
+    /// All shards of the site.
     pub shards: Vec<ShardId>,
-    /// The places in the site's list of the engines of each shard.
+    /// The engines of each shard, as indices into the site's list.
     engines: BTreeMap<ShardId, Vec<usize>>,
     /// The number of shards of each service that has engines.
     pub parts: BTreeMap<ServiceId, u16>,
-    /// The address of each engine, and of those that the version before had.
+    /// The address of each engine, including those of the previous version.
     pub addresses: BTreeMap<UpstreamId, String>,
-    /// The engines of this version.
+    /// The engines in this version of the site.
     present: BTreeSet<UpstreamId>,
 }
 
 impl Layout {
-    /// Works out a site's layout. It is the same at every box that has the same site.
+    /// Computes the layout of a site. Boxes with the same site compute the same layout.
     pub fn new(site: &Site) -> Layout {
         let mut layout = Layout::default();
         let mut of_service: BTreeMap<ServiceId, Vec<usize>> = BTreeMap::new();
@@ -59,8 +59,8 @@
         layout
     }
 
-    /// Keeps the addresses of engines that the version before had: streams that run there must
-    /// still be cancelled.
+    /// Keeps the addresses of engines that were removed since the previous version, so that streams
+    /// running there can still be cancelled.
     pub fn keep_addresses(&mut self, before: &Layout) {
         let gone = before.present.iter().filter(|it| !self.present.contains(it));
         for id in gone {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives the engines of a shard.
+    /// Returns the engines of a shard.
     pub fn engines_of<'a>(
         &'a self,
         site: &'a Site,
@@ -80,7 +80,7 @@
         indices.iter().filter_map(|&index| site.engines.get(index))
     }
 
-    /// Deals a service's engines out to as few shards as may be.
+    /// Assigns a service's engines to as few shards as possible.
     fn assign_shards(&mut self, site: &Site, service: ServiceId, mut engines: Vec<usize>) {
         engines.sort_by(|&a, &b| {
             let order =
@@ -92,7 +92,7 @@
         for part in 0..parts {
             let shard = ShardId { service, part };
             self.shards.push(shard);
-            // Dealing in turn gives every shard some engines of each data centre and role.
+            // Round-robin assignment gives every shard engines of each data centre and role.
             let mine = engines.iter().skip(usize::from(part)).step_by(usize::from(parts));
             self.engines.insert(shard, mine.copied().collect());
         }
--- a/crates/hollyspoke/src/quota.rs
+++ b/crates/hollyspoke/src/quota.rs
@@ -1,17 +1,18 @@
-//! Customers' limits over several boxes, without a shared counter.
+//! Rate limits of customers over several boxes, without a shared counter.
 //!
 //! Each box keeps a token bucket for each customer that it has seen: what all boxes together may
-//! still let through. It takes away what it lets through itself and what the others tell, and fills
-//! it at the customer's rate. What the others tell is a running total, so that a lost message is
-//! mended by the next.
+//! still admit. It subtracts what it admits itself and what other boxes announce, and refills the
+//! bucket at the customer's rate. Announcements carry running totals, so that the next message
+//! makes up for a lost one.
 //!
-//! A box that does not hear some of the others can't know what those let through, nor can they know
-//! about it. Each then leaves the others an equal part of the rate; a box that hears nobody has its
-//! own part alone. A site whose boxes tell each other nothing is the same case
-//! ([`Visibility::isolated`]).
+//! A box that receives nothing from some of the others does not know what those admit, and they do
+//! not know what it admits. Each side then reserves an equal part of the rate for every unreachable
+//! box; a box that receives nothing from any other uses only its own part. A site whose boxes
+//! exchange no announcements is the same case ([`Visibility::isolated`]).
 //!
-//! What others have yet to tell counts as much as they told of late. A box that has just started has
-//! no history: until others tell it the level, it lets through what it has earned since.
+//! Usage that others have yet to announce is estimated from their recent announcements. A box that
+//! has just started has no history: until others announce the level to it, it admits only what it
+//! has earned since its start.
 
 mod bucket;
 mod peer;
@@ -26,84 +27,87 @@
 use bucket::{Bucket, View};
 use peer::{MeanAge, PeerTotals};
 
-/// The share of the tolerance that may cover what unheard boxes let through, before the others
-/// leave a part of the rate to them. The rest is for starts, and for the moments until boxes that are
-/// cut off are missed (`docs/design/shifted.md`).
+/// The share of the tolerance that may cover what unreachable boxes admit, before the others
+/// reserve a part of the rate for them. The rest covers starts, and the time until boxes that are
+/// cut off are detected as missing (`docs/design/shifted.md`).
 const UNREACHABLE_SHARE: f64 = 0.2;
 
-/// How long the totals of a silent box are kept. Members are forgotten after the same time.
+/// How long the totals of a box are kept after its last announcement. Members are removed after the
+/// same time.
 const SILENT_PEER_TTL: Duration = Duration::from_secs(60);
 
-/// The boxes that one takes to be there which has heard nobody and was not told how many there are:
-/// the largest deployment that is designed for (`docs/CAPACITY.md`). Too many only make its part of
-/// a limit small until it hears somebody; too few let boxes that start while they are cut off use
-/// what is not theirs.
+/// The number of boxes that a box assumes if it has received nothing from others and has no other
+/// information on their number: the largest supported deployment (`docs/CAPACITY.md`). Too high a
+/// number only makes its part of a limit small until it receives an announcement. With too low a
+/// number, boxes that start while they are cut off exceed their part.
 pub const MAX_BOXES: usize = 1500;
 
-/// What a customer may ask for, in units of its own: requests, or tokens.
+/// A customer's rate limit, in the customer's own unit: requests or tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units at once beyond the rate.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
 }
 
-/// How exactly limits are to be kept.
+/// How exactly limits are enforced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tolerance {
-    /// The span over which a customer's sum is bounded.
+    /// The interval over which a customer's usage is bounded.
     pub window: Duration,
-    /// The share of the limit by which the sum may exceed it.
+    /// The share of the limit by which the usage may exceed it.
     pub overrun: f64,
-    /// The units by which the sum may exceed it beside that share.
+    /// The units by which the usage may exceed the limit in addition to that share.
     pub slack: f64,
 }
 
 impl Tolerance {
-    /// Allows nothing beyond the limit.
+    /// Allows no usage beyond the limit.
     pub const NONE: Tolerance = Tolerance { window: Duration::ZERO, overrun: 0.0, slack: 0.0 };
 
-    /// Gives the units by which a customer's sum over the window may exceed its limit.
+    /// Returns the units by which a customer's usage over the window may exceed its limit.
     fn units(&self, limit: Limit) -> f64 {
         (limit.rate * self.window.as_secs_f64() + limit.burst) * self.overrun + self.slack
     }
 
-    /// Gives the share of the rate that unheard boxes may use while the sum stays within bounds.
+    /// Returns the share of the rate that unreachable boxes may use while the total usage stays
+    /// within bounds.
     fn unreachable_share(&self, limit: Limit) -> f64 {
         let whole = limit.rate * self.window.as_secs_f64();
         if whole > 0.0 { self.units(limit) * UNREACHABLE_SHARE / whole } else { 0.0 }
     }
 }
 
-/// How many boxes there are, and how many of them this one does not hear.
+/// How many boxes there are, and from how many of them this box receives no announcements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Visibility {
-    /// All boxes that may let requests through, this one included.
+    /// The number of boxes that may admit requests, this one included.
     pub boxes: usize,
-    /// Those of them that are not heard.
+    /// The number of those from which nothing is received.
     pub unreachable: usize,
 }
 
 impl Visibility {
-    /// Gives the picture of a box that hears others.
+    /// Returns the visibility of a box that receives announcements from `others` boxes.
     pub fn connected(boxes: usize, others: usize) -> Visibility {
         Visibility { boxes, unreachable: boxes.saturating_sub(1 + others) }
     }
 
-    /// Gives the picture of one of several boxes that tell each other nothing.
+    /// Returns the visibility of one of several boxes that exchange no announcements.
     pub fn isolated(boxes: usize) -> Visibility {
         let boxes = boxes.max(1);
         Visibility { boxes, unreachable: boxes - 1 }
     }
 
-    /// Gives the part of the boxes that is heard, this one included.
+    /// Returns the fraction of the boxes that are reachable, this one included.
     fn reachable_part(self) -> f64 {
         1.0 - self.unreachable as f64 / self.boxes.max(1) as f64
     }
 
-    /// Gives the share of a limit that the heard boxes have together. Only a side with most of the
-    /// boxes may count on the tolerance: there is one such side at most.
+    /// Returns the share of a limit that the reachable boxes have together. Only a side of a
+    /// partition with more than half of the boxes may use the tolerance, since there is at most one
+    /// such side.
     fn reachable_share(self, tolerance: &Tolerance, limit: Limit) -> f64 {
         let boxes = self.boxes.max(1) as f64;
         let unreachable = self.unreachable as f64 / boxes;
@@ -112,37 +116,38 @@
     }
 }
 
-/// What a box tells of one customer.
+/// What a box announces about one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account<K> {
     /// The customer.
     pub customer: K,
-    /// All units that the box has let through in this life, without those given back; it wraps.
+    /// All units that the box has admitted since its start, less those given back; the counter
+    /// wraps.
     pub total: u32,
-    /// What the box believes that all may still let through; negative for a debt. None if it has
-    /// just started and knows no more than others that have.
+    /// The box's estimate of what all boxes may still admit; negative for a debt. `None` if the box
+    /// has just started and has no better estimate than others that have just started.
     pub level: Option<i32>,
 }
 
-/// All customers' buckets at one box.
+/// The buckets of all customers at one box.
 #[derive(Debug, Clone)]
 pub struct Quota<K> {
-    /// How exactly limits are kept.
+    /// How exactly limits are enforced.
     tolerance: Tolerance,
-    /// The boxes.
+    /// The boxes and their reachability.
     visibility: Visibility,
     /// The limits in force.
     limits: BTreeMap<K, Limit>,
-    /// The buckets of customers that were seen.
+    /// The buckets of customers seen so far.
     buckets: BTreeMap<K, Bucket>,
-    /// What the others have told.
+    /// The totals that other boxes have announced.
     peers: BTreeMap<SocketAddr, PeerTotals<K>>,
-    /// How old the others' last words are in the mean.
+    /// The mean age of the others' last announcements.
     mean_age: MeanAge,
 }
 
 impl<K: Copy + Ord> Quota<K> {
-    /// Makes the buckets of a box that has just started.
+    /// Creates the buckets of a box that has just started.
     pub fn new(tolerance: Tolerance) -> Quota<K> {
         Quota {
             tolerance,
@@ -154,8 +159,8 @@
         }
     }
 
-    /// Takes the limits of a new configuration. Buckets keep their levels, as far as the new limits
-    /// allow them.
+    /// Applies the limits of a new configuration. Buckets keep their levels, as far as the new
+    /// limits allow.
     pub fn set_limits(&mut self, now: Time, limits: BTreeMap<K, Limit>) {
         let view = self.view(now);
         for (customer, bucket) in &mut self.buckets {
@@ -167,12 +172,13 @@
         self.limits = limits;
     }
 
-    /// Tells whether any customer has a limit.
+    /// Returns whether any customer has a limit.
     pub fn has_limits(&self) -> bool {
         !self.limits.is_empty()
     }
 
-    /// Takes how many boxes there are and are heard now, and forgets those silent for long.
+    /// Updates how many boxes there are and are reachable, and removes those that have been silent
+    /// for [`SILENT_PEER_TTL`].
     pub fn set_visibility(&mut self, now: Time, visibility: Visibility) {
         self.peers.retain(|_, it| now.since(it.at) < SILENT_PEER_TTL);
         if visibility == self.visibility {
@@ -186,26 +192,26 @@
         self.visibility = visibility;
     }
 
-    /// Lets a customer's request through if its limit allows that; a customer without a limit is
-    /// always let through.
+    /// Admits a customer's request if its limit allows that; a customer without a limit is always
+    /// admitted.
     ///
     /// # Errors
     ///
-    /// The time after which the bucket has something again.
+    /// The time after which the bucket can admit the request.
     pub fn take(&mut self, now: Time, customer: K, units: u64) -> Result<(), Duration> {
         let view = self.view(now);
         self.bucket(now, customer).map_or(Ok(()), |it| it.take(units, &view))
     }
 
-    /// Gives back what was taken for a request that has not run.
+    /// Returns the units of a request that has not run to the bucket.
     pub fn give_back(&mut self, customer: K, units: u64) {
         if let Some(bucket) = self.buckets.get_mut(&customer) {
             bucket.give_back(units);
         }
     }
 
-    /// Takes in what another box has let through. A complete list names all customers that the box
-    /// has let through anything for.
+    /// Applies the usage announced by another box. A complete list contains all customers for which
+    /// that box has admitted anything.
     pub fn apply_announcement(
         &mut self,
         now: Time,
@@ -217,7 +223,7 @@
         self.mean_age.record_contact(now, self.visibility);
         let peer = self.peers.entry(sender).or_insert_with(|| PeerTotals::new(incarnation, now));
         if peer.incarnation != incarnation {
-            // A new life of a known box began at zero.
+            // The totals of a new incarnation of a known box start at zero.
             *peer = PeerTotals { is_complete: true, ..PeerTotals::new(incarnation, now) };
         }
         let silence = now.since(peer.at);
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Gives the totals that others have yet to hear.
+    /// Returns the totals that are still to be announced to other boxes.
     pub fn take_unannounced(&mut self, now: Time) -> Vec<Account<K>> {
         let mut unannounced = Vec::new();
         for (&customer, bucket) in &mut self.buckets {
@@ -246,24 +252,25 @@
         unannounced
     }
 
-    /// Gives all totals.
+    /// Returns all totals.
     pub fn accounts(&self, now: Time) -> Vec<Account<K>> {
         let used = self.buckets.iter().filter(|(_, it)| it.is_used());
         used.map(|(&customer, it)| it.account(customer, now)).collect()
     }
 
-    /// Tells whether a customer has a change that others must hear soon, since less than half of
-    /// its burst is left.
+    /// Returns whether any customer has a change that must be announced soon, since less than half
+    /// of its burst is left.
     pub fn is_urgent(&self) -> bool {
         self.buckets.values().any(Bucket::is_urgent)
     }
 
-    /// Gives what a customer may still use, as this box believes; none without a limit.
+    /// Returns this box's estimate of the units that a customer may still use, or `None` without a
+    /// limit.
     pub fn level(&mut self, now: Time, customer: K) -> Option<f64> {
         self.bucket(now, customer).map(|it| it.level())
     }
 
-    /// Learns what another box let through for a customer.
+    /// Applies what another box has admitted for a customer.
     fn learn(&mut self, now: Time, account: Account<K>, units: f64, silence: Duration) {
         let view = self.view(now);
         let is_known = self.buckets.contains_key(&account.customer);
@@ -273,7 +280,7 @@
         }
     }
 
-    /// Gives a customer's bucket as it is now; none without a limit.
+    /// Returns a customer's bucket, filled up to now, or `None` without a limit.
     fn bucket(&mut self, now: Time, customer: K) -> Option<&mut Bucket> {
         let limit = *self.limits.get(&customer)?;
         let view = self.view(now);
@@ -282,7 +289,7 @@
         Some(bucket)
     }
 
-    /// Gives what all buckets go by at a time.
+    /// Returns the inputs that all buckets share at a time.
     fn view(&self, now: Time) -> View {
         let (visibility, tolerance) = (self.visibility, self.tolerance);
         View { now, visibility, tolerance, age: self.mean_age.age_at(now) }
--- a/crates/hollyspoke/src/quota/bucket.rs
+++ b/crates/hollyspoke/src/quota/bucket.rs
@@ -5,80 +5,82 @@
 use super::{Account, Limit, Tolerance, Visibility};
 use crate::time::{Time, seconds};
 
-/// The level from which on a request passes at boxes that all hear each other, in units. One that
-/// is larger than what is left passes too and leaves a debt, so that small requests can't starve
+/// The level from which a request is admitted while all boxes are reachable, in units. A request
+/// larger than the level is admitted too and leaves a debt, so that small requests can't starve
 /// large ones.
 const MIN_LEVEL: f64 = 1.0;
 
-/// The share of the tolerance that a bucket starts with at the start of its box, up to the burst.
-/// All boxes may start at once, and twice within a window; each time the customer gets this part
-/// anew.
+/// The share of the tolerance that is in a bucket at the start of its box, up to the burst. All
+/// boxes may start at once, and twice within a window; the customer gets this share each time.
 const START_SHARE: f64 = 0.33;
 
-/// How long a box that has just started takes its levels from the others: they have the history
-/// that it lacks.
+/// How long a box that has just started adopts the levels of others, which have the history that it
+/// lacks.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
-/// How often a total that has changed is told, so that it arrives although messages are lost. Where
-/// 3 in 100 are lost, two in a row are one in 1,100; all totals together mend that some seconds later.
+/// How many times a changed total is announced, to make up for lost messages. At a loss of 3 %,
+/// both of two are lost once in 1,100 times; the complete list of totals corrects that some seconds
+/// later.
 const ANNOUNCEMENT_COUNT: u8 = 2;
 
-/// The silence after which a box's next total holds what it let through unheard.
+/// The silence after which a box's next total is assumed to include units that it admitted while
+/// unreachable.
 const SILENCE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// The span over which it is measured how fast the others let through for a customer: long against
-/// the time between two heartbeats, short against the window of a bound.
+/// The time constant over which the others' rate of admission for a customer is averaged: long
+/// compared to the heartbeat interval, short compared to [`Tolerance::window`].
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The share of a burst that is kept at most for what the others may have let through and not told
-/// yet, so that late news can't stop a customer that is far below its limit.
+/// The maximum share of a burst that is reserved for usage that others have not announced yet, so
+/// that late announcements can't block a customer that is far below its limit.
 const MAX_UNANNOUNCED_SHARE: f64 = 0.5;
 
-/// What all buckets of a box go by at a time.
+/// The inputs that all buckets of a box share at a time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct View {
     /// The time.
     pub(super) now: Time,
-    /// The boxes.
+    /// The boxes and their reachability.
     pub(super) visibility: Visibility,
-    /// How exactly limits are kept.
+    /// How exactly limits are enforced.
     pub(super) tolerance: Tolerance,
-    /// How old the others' last words are in the mean.
+    /// The mean age of the others' last announcements.
     pub(super) age: Duration,
 }
 
-/// One customer's bucket.
+/// The bucket of one customer.
 #[derive(Debug, Clone)]
 pub(super) struct Bucket {
     /// The limit.
     limit: Limit,
-    /// What all boxes may still let through.
+    /// The units that all boxes together may still admit.
     level: f64,
-    /// When the level was last brought up to the time.
+    /// When the level was last refilled.
     filled: Time,
-    /// Whether the level was guessed by a young box, and the others may know better.
+    /// Whether the level is the guess of a box that has just started and may be replaced by
+    /// another's.
     is_guessed: bool,
-    /// What the box has earned for the customer since it started, less what it let through; none
-    /// once others have told the level. A box that starts does not know of debts that it made
-    /// before: it must not make another at once.
+    /// What the box has earned for the customer since its start, less what it has admitted; `None`
+    /// once another box has announced the level. A starting box does not know of debts from before
+    /// its restart, so it must not make another at once.
     earned: Option<f64>,
-    /// What the others told of late, which fades over [`RATE_WINDOW`].
+    /// The units that others have announced recently, which decay over [`RATE_WINDOW`].
     recent_units: f64,
-    /// All units that this box has let through; it wraps.
+    /// All units that this box has admitted; the counter wraps.
     total: u32,
-    /// How often the total is still to be told.
+    /// How many more times the total is to be announced.
     announcements_left: u8,
 }
 
 impl View {
-    /// Gives the share of a limit that the heard boxes have together.
+    /// Returns the share of a limit that the reachable boxes have together.
     pub(super) fn share(&self, limit: Limit) -> f64 {
         self.visibility.reachable_share(&self.tolerance, limit)
     }
 }
 
 impl Bucket {
-    /// Makes the bucket of a customer that a box has not seen since its start.
+    /// Creates the bucket of a customer that the box has not seen since its start.
     pub(super) fn new(limit: Limit, view: &View) -> Bucket {
         let share = view.share(limit);
         let age = view.now.since(Time::ZERO);
@@ -98,7 +100,7 @@
         bucket
     }
 
-    /// Brings the level up to a time.
+    /// Refills the bucket up to a time.
     pub(super) fn fill(&mut self, view: &View) {
         let share = view.share(self.limit);
         let elapsed_s = view.now.since(self.filled).as_secs_f64();
@@ -109,13 +111,13 @@
         self.filled = view.now;
     }
 
-    /// Takes the limit of a new configuration.
+    /// Applies the limit of a new configuration.
     pub(super) fn set_limit(&mut self, limit: Limit, view: &View) {
         self.limit = limit;
         self.fill(view);
     }
 
-    /// Takes that more boxes or fewer are heard.
+    /// Applies a change in the number of boxes or of reachable ones.
     pub(super) fn set_visibility(&mut self, old: &View, new: &View) {
         self.fill(old);
         self.share_start(old, new);
@@ -123,11 +125,11 @@
         self.recent_units *= part.min(1.0);
     }
 
-    /// Lets a request through.
+    /// Admits a request if the level allows it.
     ///
     /// # Errors
     ///
-    /// The time after which there is enough.
+    /// The time after which the bucket can admit the request.
     pub(super) fn take(&mut self, units: u64, view: &View) -> Result<(), Duration> {
         let missing = self.missing(units, view);
         if missing > 0.0 {
@@ -139,15 +141,15 @@
         Ok(())
     }
 
-    /// Gives back what was taken for a request that has not run.
+    /// Returns the units of a request that has not run.
     pub(super) fn give_back(&mut self, units: u64) {
         self.change(-(units as f64));
         self.total = self.total.wrapping_sub(units as u32);
         self.announcements_left = ANNOUNCEMENT_COUNT;
     }
 
-    /// Takes in what another box has let through since it told before, and after which silence. A
-    /// bucket that is new was full until now, so that this is all that is missing.
+    /// Applies the units that another box has admitted since its previous announcement, `silence`
+    /// ago. A new bucket starts at its full level, so only these units have to be subtracted.
     pub(super) fn apply_announcement(
         &mut self,
         units: f64,
@@ -167,35 +169,36 @@
         self.level -= units - unreachable_allowance(self.limit, view.visibility, units, silence);
     }
 
-    /// Gives what a customer may still use.
+    /// Returns the units that a customer may still use.
     pub(super) fn level(&self) -> f64 {
         self.level
     }
 
-    /// Tells whether the box has let anything through that others may have to hear.
+    /// Returns whether the box has admitted anything that others may need to know.
     pub(super) fn is_used(&self) -> bool {
         self.total != 0 || self.announcements_left > 0
     }
 
-    /// Tells whether there is a change that others must hear soon, since less than half of the
+    /// Returns whether there is a change that must be announced soon, since less than half of the
     /// burst is left.
     pub(super) fn is_urgent(&self) -> bool {
         self.announcements_left == ANNOUNCEMENT_COUNT && self.level < self.limit.burst * 0.5
     }
 
-    /// Tells whether a change is to be told now, and counts that it is.
+    /// Returns whether a change is to be announced now, and counts the announcement.
     pub(super) fn take_announcement(&mut self) -> bool {
         let is_unannounced = self.announcements_left > 0;
         self.announcements_left = self.announcements_left.saturating_sub(1);
         is_unannounced
     }
 
-    /// Gives the units that are missing for a request to pass.
+    /// Returns the units that are missing for a request to be admitted.
     fn missing(&self, units: u64, view: &View) -> f64 {
         let share = view.share(self.limit);
         let owed = units as f64 * (1.0 - share);
         let needed = needed(units, share, self.limit) + self.unannounced(share, view.age);
-        // A full bucket is enough where others go on telling; alone, what they told soon fades.
+        // A full bucket is enough while others keep announcing. Without others, their past
+        // announcements soon decay, so the level need not be capped.
         let is_alone = view.visibility.unreachable + 1 >= view.visibility.boxes;
         let max = if is_alone { f64::INFINITY } else { max_level(share, self.limit) };
         let of_level = needed.min(max) - self.level;
@@ -203,14 +206,14 @@
         of_level.max(of_earned).max(0.0)
     }
 
-    /// Gives what the others have let through and not told yet if they go on as before.
+    /// Estimates the units that others have admitted and not announced yet, from their recent rate.
     fn unannounced(&self, share: f64, age: Duration) -> f64 {
         let rate = self.recent_units / RATE_WINDOW.as_secs_f64();
         let max = self.limit.burst * share * MAX_UNANNOUNCED_SHARE;
         (rate * age.as_secs_f64()).clamp(0.0, max)
     }
 
-    /// Adds what a bucket of a box that has just started has from the boxes that it hears since.
+    /// Adds the start level for boxes that have become reachable, if the level is still a guess.
     fn share_start(&mut self, old: &View, new: &View) {
         let more = new.share(self.limit) - old.share(self.limit);
         if self.is_guessed_at(new.now) && more > 0.0 {
@@ -220,41 +223,42 @@
         }
     }
 
-    /// Tells whether the level is no more than a guess of a box that has just started.
+    /// Returns whether the level is still the guess of a box that has just started.
     fn is_guessed_at(&self, now: Time) -> bool {
         self.is_guessed && now.since(Time::ZERO) < STARTUP_PERIOD
     }
 
-    /// Takes units away.
+    /// Subtracts units from the level and from the earned units.
     fn change(&mut self, units: f64) {
         self.level -= units;
         self.earned = self.earned.map(|it| it - units);
     }
 
-    /// Gives what is told of the bucket.
+    /// Returns the announcement of the bucket.
     pub(super) fn account<K>(&self, customer: K, now: Time) -> Account<K> {
         let level = (!self.is_guessed_at(now)).then_some(self.level as i32);
         Account { customer, total: self.total, level }
     }
 }
 
-/// Gives what all boxes together begin with if all start at once.
+/// Returns the level with which all boxes together begin if all start at once.
 fn start_level(tolerance: &Tolerance, limit: Limit) -> f64 {
     (tolerance.units(limit) * START_SHARE).min(limit.burst)
 }
 
-/// Gives the level up to which a bucket fills.
+/// Returns the level up to which a bucket is refilled.
 fn max_level(share: f64, limit: Limit) -> f64 {
     (limit.burst * share).max(MIN_LEVEL)
 }
 
-/// Gives the level that lets a request through. Boxes that don't hear each other would all make a
-/// debt at once: each may do so only by its share of the request.
+/// Returns the level at which a request is admitted. Boxes that can't reach each other could all
+/// make a debt at once, so each may do so only by its share of the request.
 fn needed(units: u64, share: f64, limit: Limit) -> f64 {
     (units as f64 * (1.0 - share)).clamp(MIN_LEVEL, max_level(share, limit))
 }
 
-/// Gives what of a total was left to a box while it was not heard, and is not to be counted again.
+/// Returns the part of announced units that was already reserved for a box while it was
+/// unreachable, and must not be counted again.
 fn unreachable_allowance(
     limit: Limit,
     visibility: Visibility,
--- a/crates/hollyspoke/src/retry.rs
+++ b/crates/hollyspoke/src/retry.rs
@@ -1,19 +1,19 @@
-//! How many retries a box may make: a share of its first tries, so that retries can't feed an
-//! overload.
+//! The retry budget: retries are limited to a share of first attempts, so that they can't amplify
+//! an overload.
 
-/// The share of a retry that each first try earns.
+/// The fraction of a retry that each first attempt earns.
 pub const EARNED_PER_REQUEST: f64 = 0.1;
 
-/// The most retries that may be saved up.
+/// The maximum number of retries that may be saved up.
 pub const MAX_SAVED: f64 = 10.0;
 
-/// The most attempts of one request.
+/// The maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// The retries that may be made now.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    /// Retries saved up.
+    /// The number of retries saved up.
     saved: f64,
 }
 
@@ -24,12 +24,12 @@
 }
 
 impl Budget {
-    /// Earns for one first try.
+    /// Adds the earnings of one first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Spends one retry, if there is one.
+    /// Spends one retry; returns whether one was available.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
