--- a/crates/hollyspoke/examples/json_lines.rs
+++ b/crates/hollyspoke/examples/json_lines.rs
@@ -1,7 +1,7 @@
-//! Another driver of the reducer: events come as lines of JSON, effects go out as lines of JSON.
+//! A driver of the reducer that reads events and writes effects as lines of JSON.
 //!
 //! Each line on standard input is `{"now": <microseconds>, "event": <event>}`; each effect is
-//! printed on a line of its own. Nothing here decides, and nothing of the daemon is needed.
+//! printed on a line of its own. The driver makes no decisions and needs no part of the daemon.
 
 #![expect(clippy::print_stdout, reason = "effects go to standard output")]
 
@@ -22,7 +22,7 @@
     event: Event,
 }
 
-/// Feeds each line to the reducer and prints what it asks for.
+/// Passes each event to the reducer and prints the returned effects.
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let settings = Settings {
         incarnation: Incarnation(1),
--- a/crates/hollyspoke/src/config.rs
+++ b/crates/hollyspoke/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: versions only go up.
+//! The configuration in force, whose version never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,17 @@
 use crate::site::Site;
 use crate::time::Time;
 
-/// How many boxes of a data centre hold the watch on the store.
+/// How many boxes of a data centre watch the store.
 pub const WATCHERS: usize = 2;
 
-/// How long a box that hears of no version waits before it reads the store itself.
+/// How long a box that receives no version from others waits before it reads the store itself.
 pub const VERSION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a box cut off from the store and from every peer it knew goes on taking new work.
+/// How long a box that is cut off from the store and from all peers continues to accept new
+/// requests.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A site with the version under which the store accepted it.
+/// A site with its version in the store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
     /// The object's version.
@@ -29,23 +30,23 @@
     pub site: Site,
 }
 
-/// What a box holds of the configuration.
+/// A box's configuration and its connections to the sources of new versions.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The newest version seen, with its site.
+    /// The newest site received, with its version.
     current: Arc<Versioned>,
-    /// When the box last heard of any version, from the store or a peer.
+    /// When the box last received a configuration, or the current version from a peer.
     last_version_at: Time,
-    /// Whether this box holds the watch.
+    /// Whether this box watches the store.
     watching: bool,
-    /// Whether the store answered the last time it was asked.
+    /// Whether the store answered the last operation.
     store_reachable: bool,
-    /// When the box last heard from the store or from any peer.
+    /// When the box last received an answer of the store or a message from a peer.
     last_contact: Time,
 }
 
 impl Config {
-    /// Makes an empty configuration of version zero.
+    /// Creates an empty configuration of version zero.
     pub fn new(now: Time) -> Config {
         Config {
             current: Arc::default(),
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Gives the configuration in force.
+    /// Returns the configuration in force.
     pub fn current(&self) -> &Arc<Versioned> {
         &self.current
     }
 
-    /// Takes a version if it is newer than the one in force, and tells whether it was.
+    /// Applies a version if it is newer than the one in force; returns whether it was.
     pub fn accept_newer(&mut self, now: Time, offered: &Arc<Versioned>) -> bool {
         self.last_version_at = now;
         if offered.version <= self.current.version {
@@ -71,19 +72,20 @@
         true
     }
 
-    /// Notes that a peer has said something.
+    /// Records a message from a peer.
     pub fn record_peer_contact(&mut self, now: Time) {
         self.last_contact = now;
     }
 
-    /// Notes that a peer which holds this version or an older one is alive.
+    /// Records the configuration version that a peer has announced; only the version in force
+    /// confirms that this box is up to date.
     pub fn record_peer_version(&mut self, now: Time, version: u64) {
         if version == self.current.version && version > 0 {
             self.last_version_at = now;
         }
     }
 
-    /// Notes whether the store answers.
+    /// Records whether the store answered.
     pub fn record_store_state(&mut self, now: Time, reachable: bool) {
         self.store_reachable = reachable;
         if reachable {
@@ -91,24 +93,27 @@
         }
     }
 
-    /// Tells whether the store answered the last time it was asked.
+    /// Returns whether the store answered the last operation.
     pub fn store_reachable(&self) -> bool {
         self.store_reachable
     }
 
-    /// Tells whether the box has been cut off from store and peers alike for too long.
+    /// Returns whether the box has been cut off from both store and peers for longer than
+    /// [`ISOLATION_TIMEOUT`].
     ///
-    /// A box that never had a peer is not cut off: nobody else could have told it anything.
+    /// A box that never had a peer is not considered cut off, since it has no other source of
+    /// information to lose.
     pub fn isolated(&self, now: Time, had_peers: bool) -> bool {
         had_peers && !self.store_reachable && now.since(self.last_contact) > ISOLATION_TIMEOUT
     }
 
-    /// Tells whether this box is the first of its data centre, the one that orders its engines.
+    /// Returns whether this box ranks first in its data centre; that box sends orders to the
+    /// engines.
     pub fn is_first(&self, me: Incarnation, members: &Table) -> bool {
         ranked_boxes(members).first() == Some(&me)
     }
 
-    /// Decides whether the box should hold the watch; gives the answer when it changes.
+    /// Decides whether the box should watch the store; returns the decision if it has changed.
     pub fn watch_change(&mut self, me: Incarnation, members: &Table) -> Option<bool> {
         let should = ranked_boxes(members).iter().take(WATCHERS).any(|&it| it == me);
         if should == self.watching {
@@ -118,7 +123,7 @@
         Some(should)
     }
 
-    /// Decides whether the box should read the store itself; asked on each beat.
+    /// Decides whether the box should read the store itself; called at each gossip interval.
     pub fn fetch_due(&mut self, now: Time) -> bool {
         if self.watching || now.since(self.last_version_at) < VERSION_TIMEOUT {
             return false;
@@ -128,7 +133,7 @@
     }
 }
 
-/// Ranks the boxes of this box's data centre for the duties that only some of them have.
+/// Ranks the boxes of this box's data centre for duties that only some of them have.
 fn ranked_boxes(members: &Table) -> Vec<Incarnation> {
     let local = members.my_data_centre();
     let mut boxes = members.live_in(local);
--- a/crates/hollyspoke/src/effect.rs
+++ b/crates/hollyspoke/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducer asks a driver to do.
+//! Effects: what the reducer requests a driver to do.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,22 @@
 use crate::site::{Role, UpstreamId};
 use crate::store;
 
-/// One thing to do. Effects are carried out in the order given.
+/// One action for the driver. Effects are executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Send a message to a box; it may be lost.
+    /// Sends a message to a box; it may be lost.
     Send {
-        /// The receiver; a box that is not this incarnation must drop the message.
+        /// The receiver; a box with another incarnation must drop the message.
         to: Incarnation,
-        /// Its address.
+        /// The address.
         address: String,
         /// The message.
         message: Box<Message>,
     },
-    /// Greet the box at an address and give its entry back as an event.
+    /// Contacts the box at an address and returns its entry as
+    /// [`Event::Seen`](crate::event::Event::Seen).
     Greet(String),
-    /// Have an engine compute a prompt.
+    /// Starts a prefill on an engine.
     Prefill {
         /// The attempt.
         ticket: Ticket,
@@ -35,10 +36,10 @@
         address: String,
         /// The request.
         work: Box<Generate>,
-        /// The class, the lowest number first.
+        /// The request's class; lower numbers are served first.
         class: u8,
     },
-    /// Have a decode engine fetch the prefill result.
+    /// Requests a decode engine to fetch the prefill result.
     Import {
         /// The attempt.
         ticket: Ticket,
@@ -49,7 +50,7 @@
         /// The memory to reserve, in tokens.
         tokens: u32,
     },
-    /// Have the decode engine generate.
+    /// Starts the decode on an engine.
     Decode {
         /// The attempt.
         ticket: Ticket,
@@ -57,26 +58,26 @@
         address: String,
         /// The request.
         work: Box<Generate>,
-        /// The place of the first token wanted.
+        /// The index of the first token wanted.
         from_seq: u32,
     },
-    /// Drop an attempt's call and have an engine free what it holds for it.
+    /// Drops an attempt's call and requests an engine to free what it holds for it.
     Cancel {
         /// The attempt.
         ticket: Ticket,
         /// The engine's address.
         address: String,
     },
-    /// Drop an attempt's call of a plain service; the upstream is told nothing.
+    /// Drops an attempt's call of a plain service, without notice to the upstream.
     Drop(Ticket),
-    /// Ask an engine for its report.
+    /// Polls an engine for its report.
     Poll {
         /// The engine.
         engine: UpstreamId,
-        /// Its address.
+        /// The address.
         address: String,
     },
-    /// Give an engine an order.
+    /// Sends an order to an engine.
     Order {
         /// The engine's address.
         address: String,
@@ -85,11 +86,11 @@
         /// The order.
         order: Order,
     },
-    /// Call a plain service's upstream.
+    /// Calls an upstream of a plain service.
     Call {
         /// The attempt.
         ticket: Ticket,
-        /// The request's key, passed on to the upstream.
+        /// The request's key, forwarded to the upstream.
         key: Key,
         /// The upstream's address.
         address: String,
@@ -97,50 +98,51 @@
         call: Box<Call>,
         /// How long the call may take.
         timeout: Duration,
-        /// Whether it may run more than once; if not, it needs a connection of its own.
+        /// Whether the call may run more than once; if not, it needs a connection of its own.
         repeatable: bool,
     },
-    /// Answer a caller.
+    /// Sends a reply to a caller.
     Reply {
         /// The caller's connection.
         call: CallId,
-        /// What to say.
+        /// The reply.
         reply: CallerReply,
     },
-    /// Operate on the store and give the answer back as an event.
+    /// Runs an operation on the store and returns its answer as
+    /// [`Event::Store`](crate::event::Event::Store).
     Store {
         /// The operation's number.
         number: u64,
         /// The operation.
         operation: store::Operation,
     },
-    /// Hold the watch on the configuration, or stop holding it.
+    /// Starts or stops watching the configuration in the store.
     Watch(bool),
-    /// Read the configuration from the store once.
+    /// Reads the configuration from the store once.
     Fetch,
-    /// Write a request's record to the log and the metrics.
+    /// Writes a request's record to the log and the metrics.
     Record(Box<Record>),
-    /// Note something for the operator.
+    /// Logs a message for the operator.
     Note(String),
-    /// The planned stop is complete; the process may exit.
+    /// The planned shutdown is complete; the process may exit.
     Exit,
 }
 
-/// What an engine should be.
+/// The state that an engine should take.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its role.
+    /// The engine's role.
     pub role: Role,
-    /// The model and the adapters that it should have loaded.
+    /// The model and the adapters that the engine should have loaded.
     pub load: Vec<String>,
 }
 
-/// What is said to a caller. `Token`s are followed by `Finished` or `Problem`.
+/// A reply to a caller. `Token`s are followed by `Finished` or `Problem`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CallerReply {
     /// One token.
     Token(Arc<str>),
-    /// The answer is whole.
+    /// The answer is complete.
     Finished {
         /// Why the engine stopped.
         reason: Arc<str>,
@@ -149,52 +151,52 @@
         /// The answer's length, in tokens.
         tokens: u32,
     },
-    /// A plain service's answer.
+    /// The answer of a plain service.
     Answer(Answer),
-    /// No answer, and what may be claimed about it.
+    /// There is no answer; the problem states what is known about the request.
     Problem(Problem),
-    /// The home is another box: pass the request on to it.
+    /// The key's home is another box: the request is to be relayed there.
     Relay {
         /// The home's address for callers.
         address: String,
-        /// The key under which the home has the request.
+        /// The key of the request at its home.
         key: Key,
         /// Whether the request may run more than once.
         repeatable: bool,
     },
 }
 
-/// How one request went.
+/// The record of one request, for the log and the metrics.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The request's key.
     pub key: Key,
-    /// The service, empty when none was found.
+    /// The service's name, empty if none was found.
     pub service: String,
     /// The tenant.
     pub tenant: String,
-    /// The class.
+    /// The request's class.
     pub class: u8,
     /// `done`, `cancelled`, or the problem's slug.
     pub outcome: String,
-    /// Attempts made.
+    /// The number of attempts.
     pub attempts: u32,
-    /// From arrival to grant.
+    /// The time from arrival to the first grant.
     pub queued: Duration,
-    /// From grant to prefill result.
+    /// The time from grant to prefill result.
     pub prefill: Option<Duration>,
-    /// From prefill result to import.
+    /// The time from prefill result to import.
     pub transfer: Option<Duration>,
-    /// From arrival to first token.
+    /// The time from arrival to the first token.
     pub first_token: Option<Duration>,
     /// The mean time between tokens.
     pub between_tokens: Option<Duration>,
-    /// From arrival to end.
+    /// The time from arrival to the end of the request.
     pub total: Duration,
-    /// Tokens generated.
+    /// The number of tokens generated.
     pub tokens: u32,
-    /// Prompt tokens computed whose result was thrown away.
+    /// Prompt tokens whose prefill was discarded.
     pub wasted_tokens: u32,
-    /// Whether both targets were met.
+    /// Whether the request completed within its targets.
     pub good: bool,
 }
--- a/crates/hollyspoke/src/event.rs
+++ b/crates/hollyspoke/src/event.rs
@@ -1,4 +1,4 @@
-//! What a driver tells the reducer.
+//! Events: what a driver reports to the reducer.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::site::{Role, UpstreamId};
 use crate::store;
 
-/// One thing that happened.
+/// One event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// Time has passed; due every few tens of milliseconds.
+    /// Time has passed; to be sent every few tens of milliseconds.
     Tick,
-    /// A caller's request has come in whole.
+    /// A caller's request has been received completely.
     Arrive {
         /// The driver's number for the caller's connection.
         call: CallId,
@@ -33,11 +33,11 @@
         /// The answer.
         reply: Reply,
     },
-    /// An engine has answered a poll, or failed to.
+    /// A poll of an engine has completed or failed.
     Polled {
         /// The engine.
         engine: UpstreamId,
-        /// The report, absent when the poll failed.
+        /// The report, absent if the poll failed.
         report: Option<Report>,
     },
     /// Another box has sent a message.
@@ -50,11 +50,11 @@
     /// A box could not be reached: the connection was refused or broke, or another incarnation
     /// answered at its address.
     Unreachable(Incarnation),
-    /// A box has answered a greeting.
+    /// A box has answered a greeting, [`Effect::Greet`](crate::effect::Effect::Greet).
     Seen(Entry),
-    /// The platform's list of boxes has come.
+    /// The platform's list of boxes was received.
     Listed(Vec<Listed>),
-    /// The store has given a configuration.
+    /// A configuration was read from the store.
     Site(Arc<Versioned>),
     /// The store has answered an operation.
     Store {
@@ -63,9 +63,9 @@
         /// The answer.
         answer: store::Answer,
     },
-    /// The store could or could not be reached by the driver's own calls.
+    /// Whether the driver's own calls could reach the store.
     StoreReachable(bool),
-    /// The planned stop begins.
+    /// A planned shutdown was requested.
     Leave,
 }
 
@@ -76,23 +76,23 @@
 /// A caller's request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// The key the caller minted, if it did.
+    /// The key that the caller created or was given, if it sent one.
     pub key: Option<Key>,
-    /// The caller's own idempotency key, if it brought one.
+    /// The caller's own idempotency key, if it sent one.
     pub claim: Option<String>,
-    /// Whether another box passed the request on.
+    /// Whether another box relayed the request.
     pub relayed: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The tenant's name, empty when the caller named none.
+    /// The tenant's name, empty if the caller named none.
     pub tenant: String,
-    /// The class: 0 for a person waiting, higher for work that can wait.
+    /// The class: 0 for interactive requests, higher for work that can wait.
     pub class: u8,
-    /// What is asked for.
+    /// The content of the request.
     pub work: Work,
 }
 
-/// What a request asks for.
+/// The content of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Work {
     /// Tokens from a model.
@@ -104,7 +104,7 @@
 /// A request for tokens from a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Generate {
-    /// The model, adapter or service named.
+    /// The model, adapter or service that the caller named.
     pub model: String,
     /// The prompt.
     pub prompt: Arc<str>,
@@ -112,82 +112,82 @@
     pub prompt_tokens: u32,
     /// Digests of the prompt's leading blocks, the shortest prefix first.
     pub prefix: Vec<u64>,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// A call of a plain service, passed on as it came.
+/// A call of a plain service, forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// The method.
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Arc<[u8]>,
 }
 
-/// What an engine or upstream answered.
+/// A reply of an engine or upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The prompt is computed.
+    /// The prefill has ended.
     Prefilled,
     /// The decode engine has the prefill result.
     Imported,
     /// One token of the answer.
     Token {
-        /// Its place in the answer, from zero.
+        /// Its index in the answer, from zero.
         seq: u32,
         /// Its text.
         text: Arc<str>,
     },
     /// The engine has ended the stream.
     Finished {
-        /// Why: `stop` or `length`.
+        /// The finish reason: `stop` or `length`.
         reason: Arc<str>,
     },
-    /// A plain service's answer.
+    /// The answer of a plain service.
     Answered(Answer),
-    /// The engine has no room.
+    /// The engine has no free capacity.
     Full,
     /// The call failed.
     Failed {
-        /// The sentence for a person.
+        /// A description for people.
         detail: String,
         /// Whether anything of the call may have reached the upstream.
         trace: Trace,
     },
 }
 
-/// What an engine reports of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The KV cache in use, in tokens.
     pub used_tokens: u64,
-    /// The streams that it holds.
+    /// The streams on the engine.
     pub streams: Vec<Ticket>,
-    /// Whether it is leaving.
+    /// Whether the engine is shutting down.
     pub leaving: bool,
-    /// Its role and what it has loaded, where it takes orders.
+    /// Its role and what it has loaded, if it accepts orders.
     pub state: Option<EngineState>,
 }
 
-/// What an engine that takes orders is.
+/// The state of an engine that accepts orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Its role.
+    /// The engine's role.
     pub role: Role,
-    /// The models and adapters that it has loaded.
+    /// The models and adapters that the engine has loaded.
     pub loaded: Vec<String>,
 }
 
-/// A box in the platform's list, which lags.
+/// A box in the platform's list, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The address at which other boxes reach it.
+    /// The box's address for other boxes.
     pub peer_address: String,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform lists it as shutting down.
     pub leaving: bool,
 }
--- a/crates/hollyspoke/src/handover.rs
+++ b/crates/hollyspoke/src/handover.rs
@@ -1,4 +1,4 @@
-//! What became of keys, and what a box that leaves hands to its successor of them.
+//! Results of keys, and the handover of keys by a box that is shutting down to its successor.
 
 use std::sync::Arc;
 
@@ -7,28 +7,28 @@
 use crate::key::{Incarnation, Key};
 use crate::outcome::{Answer, Problem};
 
-/// What came of a key.
+/// The result of the request that ran under a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Ended {
-    /// The tokens of a whole answer.
+    /// A complete generated answer.
     Generated {
         /// The tokens.
         tokens: Vec<Arc<str>>,
-        /// Why the engine stopped.
+        /// The finish reason.
         reason: Arc<str>,
         /// The prompt's length, in tokens.
         prompt_tokens: u32,
     },
-    /// A plain service's answer.
+    /// The answer of a plain service.
     Answered(Answer),
-    /// No answer.
+    /// The request ended without an answer.
     Problem(Problem),
-    /// It ended, but its answer is no longer kept.
+    /// The request ended, but its answer is no longer kept.
     Dropped,
 }
 
 impl Ended {
-    /// Gives about how much memory the answer holds, in bytes.
+    /// Returns the approximate memory use of the answer, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         match self {
             Ended::Generated { tokens, .. } => tokens.iter().map(|it| it.len() + 32).sum(),
@@ -42,11 +42,11 @@
     }
 }
 
-/// The keys that a leaving box hands to its successor.
+/// The keys that a box hands over to its successor when it shuts down.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The keys of one or more homes that are gone.
+    /// The keys with the digests and results of their requests.
     pub rows: Vec<(Key, u64, Ended)>,
-    /// The homes whose keys these are.
+    /// The homes whose keys are handed over: the box itself, and those that it took over from.
     pub homes: Vec<Incarnation>,
 }
--- a/crates/hollyspoke/src/outcome.rs
+++ b/crates/hollyspoke/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, with types that tell what may be claimed about it.
+//! Outcomes of requests, with types that ensure that "not run" is only claimed with proof.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 
 /// Whether a request may have reached an upstream.
 ///
-/// The value starts as [`Trace::clean`] and can only move to sent. A [`NotRun`] is made from a
-/// clean trace alone, so that "not run" can't be said of a request that was sent.
+/// The value starts as [`Trace::clean`] and can only change to sent. A [`NotRun`] is only created
+/// from a clean trace, so that "not run" can't be claimed for a request that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trace {
-    /// Whether a sending was begun.
+    /// Whether sending has begun.
     sent: bool,
 }
 
 impl Trace {
-    /// Makes the trace of a request of which nothing was sent.
+    /// Creates the trace of a request of which nothing was sent.
     pub fn clean() -> Trace {
         Trace { sent: false }
     }
 
-    /// Marks that a sending is about to begin.
+    /// Records that sending is about to begin.
     pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Tells whether a sending was begun.
+    /// Returns whether sending has begun.
     pub fn is_sent(self) -> bool {
         self.sent
     }
 
-    /// Gives the proof that the request was not run, if nothing was ever sent.
+    /// Returns the proof that the request was not run, if nothing was sent.
     pub fn not_run(self) -> Option<NotRun> {
         if self.sent { None } else { Some(NotRun(())) }
     }
@@ -41,51 +41,51 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotRun(());
 
-/// Why a request got no answer of its own.
+/// The reason why a request got no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// What may be claimed about the request.
+    /// What is known about the request.
     pub kind: ProblemKind,
-    /// The sentence for a person.
+    /// A description for people.
     pub detail: String,
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// What may be claimed about a request without an answer.
+/// What is known about a request without an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProblemKind {
-    /// It was refused before anything was sent.
+    /// It was refused before anything was sent upstream.
     NotRun(NotRun, Refusal),
-    /// It was sent, and an upstream said or showed that it failed.
+    /// It was sent, and it failed.
     Failed,
-    /// It may have run; it won't be run again under this key.
+    /// It may have run; it will not run again under this key.
     Unknown,
-    /// A later call with the same key took the answer over.
+    /// A later connection with the same key receives the answer.
     Superseded,
 }
 
 /// Why a request was refused before anything was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Its first token would come too late.
+    /// Its first token would be late.
     TooLate,
     /// Its tenant is over its limit.
     Limited,
-    /// No upstream can take it now.
+    /// No upstream can accept it now.
     Unavailable,
-    /// The box is leaving or cut off.
+    /// The box is shutting down or cut off.
     Leaving,
-    /// The request can't be served at all as it stands.
+    /// The request can't be served at all in this form.
     Invalid,
-    /// The model or path is not in the site's file.
+    /// The model or path is not in the site file.
     NotFound,
-    /// The platform's store is away and the request needs it.
+    /// The request needs the platform's store, which is unreachable.
     StoreAway,
 }
 
 impl Refusal {
-    /// Gives the last part of the problem's stable type.
+    /// Returns the last part of the problem's type URN, which is stable.
     pub fn slug(self) -> &'static str {
         match self {
             Refusal::TooLate => "too-late",
@@ -100,7 +100,7 @@
 }
 
 impl Problem {
-    /// Gives the last part of the problem's stable type.
+    /// Returns the last part of the problem's type URN, which is stable.
     pub fn slug(&self) -> &'static str {
         match &self.kind {
             ProblemKind::NotRun(_, refusal) => refusal.slug(),
@@ -111,12 +111,12 @@
     }
 }
 
-/// A plain service's whole answer.
+/// The complete answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Arc<[u8]>,
--- a/crates/hollyspoke/src/quota/bucket.rs
+++ b/crates/hollyspoke/src/quota/bucket.rs
@@ -197,8 +197,8 @@
         let share = view.share(self.limit);
         let owed = units as f64 * (1.0 - share);
         let needed = needed(units, share, self.limit) + self.unannounced(share, view.age);
-        // A full bucket is enough while others keep announcing. Without others, their past
-        // announcements soon decay, so the level need not be capped.
+        // A full bucket is enough while others keep announcing. Without others, what they announced
+        // before soon decays, so the needed level is not capped.
         let is_alone = view.visibility.unreachable + 1 >= view.visibility.boxes;
         let max = if is_alone { f64::INFINITY } else { max_level(share, self.limit) };
         let of_level = needed.min(max) - self.level;
--- a/crates/hollyspoke/src/request.rs
+++ b/crates/hollyspoke/src/request.rs
@@ -1,4 +1,4 @@
-//! One request at the box that holds its caller.
+//! A request at the box that serves its caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,31 +21,31 @@
 /// A request in progress.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its key.
+    /// The request's key.
     pub key: Key,
-    /// A digest of what is asked for.
+    /// A digest of the request's content.
     pub digest: u64,
-    /// What came from the caller.
+    /// The request as received from the caller.
     pub arrival: Arrival,
-    /// The service that serves it.
+    /// The service that the request names.
     pub service: ServiceId,
-    /// The caller's connection, while the caller is there.
+    /// The caller's connection, while the caller is connected.
     pub caller: Option<CallId>,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Time,
-    /// How far it has come.
+    /// The phase that the request is in.
     pub phase: Phase,
-    /// When it entered the phase.
+    /// When the request entered the phase.
     pub since: Time,
-    /// The attempt under way.
+    /// The current attempt.
     pub ticket: Option<Ticket>,
-    /// Attempts begun.
+    /// The number of attempts so far.
     pub attempts: u32,
-    /// Whether anything of it may have reached an upstream.
+    /// Whether any part of the request may have reached an upstream.
     pub trace: Trace,
-    /// The tokens of the answer so far.
+    /// The tokens generated so far.
     pub tokens: Vec<Arc<str>>,
-    /// The engine or upstream that failed last.
+    /// The engine or upstream that failed last, to be avoided by the next attempt.
     pub avoid: Option<UpstreamId>,
     /// Times and counts for the record.
     pub timing: Timing,
@@ -58,7 +58,7 @@
         self.since = now;
     }
 
-    /// Gives the grant under which it runs, if it has one.
+    /// Returns the grant under which the request runs, if it has one.
     pub fn grant(&self) -> Option<&Grant> {
         match &self.phase {
             Phase::Prefill(grant) | Phase::Transfer { grant, .. } | Phase::Decode { grant, .. } => {
@@ -69,10 +69,10 @@
     }
 }
 
-/// How far a request has come.
+/// The phase of a request.
 #[derive(Debug, Clone)]
 pub enum Phase {
-    /// Its caller's own key is being bound in the store.
+    /// The caller's own key is being bound in the store.
     Claim,
     /// A shard's owner has been asked for engines.
     Ask {
@@ -80,23 +80,23 @@
         shard: ShardId,
         /// The owner asked.
         owner: Incarnation,
-        /// When the question was last sent.
+        /// When the ask was last sent.
         sent: Time,
     },
-    /// The prompt is being computed.
+    /// The prefill is running.
     Prefill(Grant),
-    /// The prefill result is crossing.
+    /// The prefill result is being transferred.
     Transfer {
         /// The grant.
         grant: Grant,
-        /// When to try again, after the decode engine had no room.
+        /// When to retry, after the decode engine was full.
         retry_at: Option<Time>,
     },
-    /// Tokens are coming.
+    /// Tokens are being generated.
     Decode {
         /// The grant.
         grant: Grant,
-        /// When the last token came, or the phase began.
+        /// When the last token arrived, or the phase began.
         last: Time,
     },
     /// A plain upstream has been called.
@@ -109,14 +109,14 @@
 /// Times and counts of a request for its record.
 #[derive(Debug, Clone, Default)]
 pub struct Timing {
-    /// From arrival to the first grant.
+    /// The time from arrival to the first grant.
     pub queued: Option<Duration>,
-    /// From grant to prefill result, in the last attempt.
+    /// The time from grant to prefill result, in the last attempt.
     pub prefill: Option<Duration>,
-    /// From prefill result to import, in the last attempt.
+    /// The time from prefill result to import, in the last attempt.
     pub transfer: Option<Duration>,
-    /// From arrival to the first token.
+    /// The time from arrival to the first token.
     pub first_token: Option<Duration>,
-    /// Prompt tokens computed whose result was thrown away.
+    /// Prompt tokens whose prefill was discarded.
     pub wasted_tokens: u32,
 }
--- a/crates/hollyspoke/src/site.rs
+++ b/crates/hollyspoke/src/site.rs
@@ -1,11 +1,11 @@
-//! A site as its file describes it: the configuration in force.
+//! A site as described by its file: the configuration that boxes apply.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Declares a small `Copy` key that stands for a name of the site file.
+/// Declares a small `Copy` key for a name in the site file.
 macro_rules! name_key {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -15,7 +15,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Makes the key of a name; equal names give equal keys in every process.
+            /// Returns the key of a name, which is the same in every process.
             pub fn of(name: &str) -> $name {
                 $name(xxh3_64(name.as_bytes()))
             }
@@ -40,14 +40,14 @@
     TenantId
 );
 
-/// One site: everything its boxes route to.
+/// A site: everything that its boxes route to.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Site {
-    /// The site's name.
+    /// The name of the site.
     pub name: String,
-    /// The names of its data centres.
+    /// The names of the site's data centres.
     pub data_centres: Vec<String>,
-    /// The models that its engines serve.
+    /// The models that the engines serve.
     pub models: Vec<Model>,
     /// The services that callers name.
     pub services: Vec<Service>,
@@ -62,28 +62,29 @@
 }
 
 impl Site {
-    /// Finds a service by its key.
+    /// Returns the service with a key.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
         self.services.iter().find(|service| service.id() == id)
     }
 
-    /// Finds an engine by its key.
+    /// Returns the engine with a key.
     pub fn engine(&self, id: UpstreamId) -> Option<&Engine> {
         self.engines.iter().find(|engine| engine.id() == id)
     }
 
-    /// Finds a plain service's upstream by its key.
+    /// Returns the plain service's upstream with a key.
     pub fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
         self.upstreams.iter().find(|upstream| upstream.id() == id)
     }
 
-    /// Finds the model of a service that has engines.
+    /// Returns the model of a service that has engines.
     pub fn model(&self, service: &Service) -> Option<&Model> {
         let Kind::Engines { model, .. } = &service.kind else { return None };
         self.models.iter().find(|candidate| candidate.name == *model)
     }
 
-    /// Finds the service that serves a model or an adapter, named by either or by the service.
+    /// Returns the service that serves a model or an adapter; `name` may also be that of the
+    /// service.
     pub fn service_of_model(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| match &service.kind {
             Kind::Engines { model, adapters, .. } => {
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Finds the plain service with the longest prefix of a path.
+    /// Returns the plain service with the longest prefix that matches a path.
     pub fn service_of_path(&self, path: &str) -> Option<&Service> {
         let prefix_length = |service: &Service| match &service.kind {
             Kind::Plain { prefix, .. } if is_under_prefix(path, prefix) => Some(prefix.len()),
@@ -106,18 +107,18 @@
     }
 }
 
-/// Tells whether a path is a prefix itself or lies below it.
+/// Returns whether a path is equal to a prefix or below it.
 fn is_under_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
 }
 
-/// A model, as far as routing needs to know it.
+/// The properties of a model that matter for routing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// The model's name.
     pub name: String,
-    /// The KV cache of one token, in bytes.
+    /// The size of the KV cache of one token, in bytes.
     pub kv_bytes_per_token: u64,
 }
 
@@ -126,61 +127,61 @@
 pub struct Service {
     /// The service's name.
     pub name: String,
-    /// What stands behind it.
+    /// How the service is provided.
     pub kind: Kind,
 }
 
 impl Service {
-    /// Gives the service's key.
+    /// Returns the service's key.
     pub fn id(&self) -> ServiceId {
         ServiceId::of(&self.name)
     }
 }
 
-/// What stands behind a service.
+/// How a service is provided.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Model engines in prefill and decode roles.
+    /// By model engines in prefill and decode roles.
     Engines {
         /// The model served.
         model: String,
         /// The adapters that callers may name instead of the model.
         adapters: Vec<String>,
-        /// The target for the first token.
+        /// The target for the time to the first token.
         first_token: Duration,
         /// The target for the time between tokens.
         between_tokens: Duration,
     },
-    /// Plain upstreams that answer one call at a time.
+    /// By plain upstreams, with one request and one answer per call.
     Plain {
         /// The path prefix under which callers reach the service.
         prefix: String,
-        /// Whether calls may be sent again when the first sending failed.
+        /// Whether calls may be sent again after a failure.
         repeatable: bool,
         /// How long one call may take.
         timeout: Duration,
     },
 }
 
-/// What an engine does.
+/// The role of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It computes prompts.
+    /// The engine runs prefills.
     Prefill,
-    /// It generates tokens.
+    /// The engine runs decodes.
     Decode,
-    /// It does both.
+    /// The engine runs both.
     Both,
 }
 
 impl Role {
-    /// Tells whether an engine of this role computes prompts.
+    /// Returns whether an engine of this role runs prefills.
     pub fn prefills(self) -> bool {
         matches!(self, Role::Prefill | Role::Both)
     }
 
-    /// Tells whether an engine of this role generates tokens.
+    /// Returns whether an engine of this role runs decodes.
     pub fn decodes(self) -> bool {
         matches!(self, Role::Decode | Role::Both)
     }
@@ -191,28 +192,28 @@
 pub struct Engine {
     /// The engine's name.
     pub name: String,
-    /// The service it belongs to.
+    /// The service to which it belongs.
     pub service: String,
-    /// The data centre it stands in.
+    /// The data centre in which it is located.
     pub data_centre: String,
-    /// Its address, `host:port` by IP number.
+    /// Its address, `host:port`, with the host as an IP address.
     pub address: String,
     /// Its role.
     pub role: Role,
-    /// The KV cache it can hold, in tokens.
+    /// The capacity of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// How fast it computes prompts, in tokens a second.
+    /// Its prefill rate, in tokens per second.
     pub prefill_rate: u64,
-    /// How long it takes for one token of every stream it generates.
+    /// The time in which it generates one token of every stream.
     pub token_time: Duration,
-    /// Whether it compares the fencing token of an order.
+    /// Whether it checks the fencing token of an order.
     pub checks_orders: bool,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is shutting down and gets no new work.
     pub leaving: bool,
 }
 
 impl Engine {
-    /// Gives the engine's key.
+    /// Returns the engine's key.
     pub fn id(&self) -> UpstreamId {
         UpstreamId::of(&self.name)
     }
@@ -223,31 +224,31 @@
 pub struct Upstream {
     /// The upstream's name.
     pub name: String,
-    /// The service it belongs to.
+    /// The service to which it belongs.
     pub service: String,
-    /// The data centre it stands in.
+    /// The data centre in which it is located.
     pub data_centre: String,
-    /// Its address, `host:port` by IP number.
+    /// Its address, `host:port`, with the host as an IP address.
     pub address: String,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is shutting down and gets no new work.
     pub leaving: bool,
 }
 
 impl Upstream {
-    /// Gives the upstream's key.
+    /// Returns the upstream's key.
     pub fn id(&self) -> UpstreamId {
         UpstreamId::of(&self.name)
     }
 }
 
-/// A shared link between two data centres, or inside one where both ends are the same.
+/// A shared link between two data centres, or within one if both ends are the same.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Link {
     /// One end.
     pub from: String,
     /// The other end.
     pub to: String,
-    /// Its rate, in bytes a second.
+    /// Its rate, in bytes per second.
     pub bytes_per_second: u64,
 }
 
@@ -256,8 +257,8 @@
 pub struct Tenant {
     /// The tenant's name, as callers send it.
     pub name: String,
-    /// The requests a second it may send over all boxes, where limited.
+    /// The requests per second that it may send to all boxes together, if it is limited.
     pub requests_per_second: Option<f64>,
-    /// Its share of a busy pool against other tenants.
+    /// Its weight against other tenants in a busy pool.
     pub share: f64,
 }
--- a/crates/hollyspoke/src/status.rs
+++ b/crates/hollyspoke/src/status.rs
@@ -1,90 +1,90 @@
-//! What a box says of itself to operators.
+//! The status that a box reports to operators.
 
 use serde::{Deserialize, Serialize};
 
-/// A box's state at one moment.
+/// The status of a box.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The box's name.
     pub name: String,
-    /// Its incarnation, in hexadecimal.
+    /// The box's incarnation, in hexadecimal.
     pub incarnation: String,
-    /// Its epoch.
+    /// The box's current epoch of keys.
     pub epoch: u32,
-    /// Whether it is leaving.
+    /// Whether the box is shutting down.
     pub leaving: bool,
-    /// Why it takes nothing new, where that is so.
+    /// Why the box accepts no new requests, if it does not.
     pub closed: Option<String>,
-    /// The site in force.
+    /// The name of the site in force.
     pub site: String,
     /// The version of the configuration in force, zero for none.
     pub site_version: u64,
-    /// Whether the platform's store answered the last time it was asked.
+    /// Whether the platform's store answered the last operation.
     pub store_reachable: bool,
-    /// The boxes that it knows.
+    /// The boxes that are alive in this box's view.
     pub boxes: Vec<BoxStatus>,
-    /// The shards that it owns.
+    /// The shards that the box owns.
     pub pools: Vec<PoolStatus>,
-    /// The plain upstreams, as seen from here.
+    /// The plain upstreams, in this box's view.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Requests in progress here.
+    /// The number of requests in progress at this box.
     pub requests: usize,
-    /// Keys kept here.
+    /// The number of keys kept at this box.
     pub keys: usize,
 }
 
-/// A box as another sees it.
+/// A box in the view of another one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its address for callers.
+    /// The address for callers.
     pub address: String,
-    /// Its incarnation, in hexadecimal.
+    /// The box's incarnation, in hexadecimal.
     pub incarnation: String,
     /// `live`, `leaving`, or `left`.
     pub state: String,
 }
 
-/// A shard as its owner sees it.
+/// A shard in the view of its owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The part, from zero.
+    /// The index of the part, from zero.
     pub part: u16,
-    /// Grants held.
+    /// The number of grants.
     pub granted: usize,
-    /// Requests waiting.
+    /// The number of queued requests.
     pub waiting: usize,
-    /// The engines.
+    /// The engines of the shard.
     pub engines: Vec<EngineStatus>,
 }
 
-/// An engine as its shard's owner sees it.
+/// An engine in the view of its shard's owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// `live`, `leaving`, `out` or `silent`.
     pub state: String,
-    /// Decode memory granted, in tokens.
+    /// The decode memory that is granted, in tokens.
     pub reserved_tokens: u64,
-    /// Memory in use by its last report, in tokens.
+    /// The memory in use according to its last report, in tokens.
     pub reported_tokens: Option<u64>,
-    /// All its memory, in tokens.
+    /// The total memory, in tokens.
     pub memory_tokens: u64,
-    /// How much slower than described it computes prompts.
+    /// The ratio of the actual to the configured prefill time.
     pub slowness: f64,
 }
 
-/// A plain upstream as a front sees it.
+/// A plain upstream in the view of a box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// `live`, `leaving` or `out`.
     pub state: String,
-    /// This box's calls outstanding there.
+    /// The number of this box's outstanding calls.
     pub outstanding: usize,
 }
--- a/crates/hollyspoke/src/store.rs
+++ b/crates/hollyspoke/src/store.rs
@@ -1,45 +1,46 @@
-//! Operations on the platform's object store, and what their answers prove.
+//! Operations on the platform's object store, and their answers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How many bits of a fencing token hold the number of a revision. With the era above them, tokens
-/// stay whole numbers that JSON readers with 53 bits keep exactly.
+/// The number of bits of a fencing token that hold the number of a revision; the era is above them.
+/// Tokens are integers that JSON parsers with 53 bits of precision read exactly while the era fits
+/// into the remaining 13 bits.
 const NUMBER_BITS: u32 = 40;
 
 /// The highest era that a fencing token can hold.
 const LAST_ERA: u64 = u64::MAX >> NUMBER_BITS;
 
-/// A revision of the store. A store that came back from an older copy gives numbers out again, in a
-/// later era, so that the era goes before the number.
+/// A revision of the store. A store that was restored from an older copy reuses numbers, in a later
+/// era, so revisions are ordered by era before number.
 ///
-/// It is written as its number alone, which is how boxes wrote it that knew no eras; the era stands
-/// beside it where it is told.
+/// It is serialized as its number alone, for compatibility with boxes that do not know eras;
+/// messages that carry the era have a separate field for it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(from = "u64", into = "u64")]
 pub struct Revision {
-    /// How often the store has come back from an older copy; 0 if it does not tell.
+    /// How often the store was restored from an older copy; 0 if it does not report that.
     pub era: u64,
-    /// The number, which rises with every change within an era.
+    /// The number, which increases with every change within an era.
     pub number: u64,
 }
 
 impl Revision {
-    /// Makes a revision.
+    /// Creates a revision.
     pub const fn new(era: u64, number: u64) -> Revision {
         Revision { era, number }
     }
 
-    /// Gives the same number in an era.
+    /// Returns the revision with the same number in another era.
     #[must_use]
     pub const fn in_era(self, era: u64) -> Revision {
         Revision { era, ..self }
     }
 
-    /// Gives a fencing token, which rises with the revision, over eras too.
+    /// Returns a fencing token, which increases with the revision, across eras too.
     pub fn token(self) -> u64 {
         let era = self.era.min(LAST_ERA);
         (era << NUMBER_BITS) | (self.number & !(LAST_ERA << NUMBER_BITS))
@@ -64,48 +65,49 @@
     }
 }
 
-/// One operation.
+/// An operation on an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Read an object.
+    /// Reads an object.
     Get {
         /// The object's kind.
         kind: String,
         /// The object's name.
         name: String,
     },
-    /// Write an object if its version is the one expected; zero expects none.
+    /// Writes an object if its version is the expected one; zero expects that it does not exist.
     Put {
         /// The object's kind.
         kind: String,
         /// The object's name.
         name: String,
-        /// The version expected.
+        /// The expected version.
         expected: u64,
         /// The new value.
         value: String,
     },
 }
 
-/// What the store answered.
+/// An answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The object read.
+    /// The object that was read.
     Found {
         /// Its version.
         version: u64,
         /// Its value.
         value: String,
     },
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The write took effect.
     Written {
         /// The new version.
         version: u64,
     },
-    /// The write did not take effect: the version was another one.
+    /// The write did not take effect, since the object's version was another one.
     Conflict,
-    /// No answer: a read says nothing, and a write may have taken effect or may yet do so.
+    /// There was no answer: nothing is known after a read, and a write may have taken effect or may
+    /// yet do so.
     Away,
 }
--- a/crates/hollyspoke/src/time.rs
+++ b/crates/hollyspoke/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time on the driver's own monotonic clock.
+//! Points in time on the driver's monotonic clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -15,22 +15,22 @@
     /// The origin of the driver's clock.
     pub const ZERO: Time = Time(0);
 
-    /// Makes a point from microseconds since the origin.
+    /// Creates a point from microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Time {
         Time(micros)
     }
 
-    /// Makes a point from milliseconds since the origin.
+    /// Creates a point from milliseconds since the origin.
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis * 1000)
     }
 
-    /// Gives the microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Gives the time passed since an earlier point, zero if that point is later.
+    /// Returns the duration since an earlier point, zero if that point is later.
     pub const fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Turns seconds into a span, treating what is not a positive finite number as zero.
+/// Converts seconds to a duration; values that are not positive and representable become zero.
 pub fn seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or_default()
 }
