--- a/crates/hollyspoke/src/node/gossip.rs
+++ b/crates/hollyspoke/src/node/gossip.rs
@@ -78,8 +78,8 @@
         self.members.alive().map(|it| it.incarnation).filter(|it| *it != self.me).collect()
     }
 
-    /// Creates a gossip message: this box's heartbeat first, then those of up to [`MAX_HEARTBEATS`]
-    /// - 1 others.
+    /// Creates a gossip message: this box's heartbeat first, then those of others, up to
+    /// [`MAX_HEARTBEATS`] in total.
     pub(super) fn my_gossip(&mut self) -> Message {
         let mut beats = self.members.heartbeats();
         let mine = beats.iter().position(|it| it.incarnation == self.me).unwrap_or(0);
--- a/crates/hollyspoke/src/pool.rs
+++ b/crates/hollyspoke/src/pool.rs
@@ -58,7 +58,7 @@
     grant: Grant,
     /// When the attempt entered its stage.
     since: Time,
-    /// The expected duration of the prefill at the engine's configured rate.
+    /// The expected duration of the prefill, the engine's slowness included.
     prefill_expected: Duration,
     /// The link, and the duration of the transfer at its configured rate.
     transfer: Option<(LinkId, Duration)>,
--- a/crates/hollyspoke/src/quota.rs
+++ b/crates/hollyspoke/src/quota.rs
@@ -178,7 +178,7 @@
     }
 
     /// Updates how many boxes there are and are reachable, and removes those that have been silent
-    /// for [`SILENT_PEER_TTL`].
+    /// for `SILENT_PEER_TTL`.
     pub fn set_visibility(&mut self, now: Time, visibility: Visibility) {
         self.peers.retain(|_, it| now.since(it.at) < SILENT_PEER_TTL);
         if visibility == self.visibility {
