--- a/crates/hollyspoke/src/config.rs
+++ b/crates/hollyspoke/src/config.rs
@@ -101,8 +101,8 @@
     /// Returns whether the box has been cut off from both store and peers for longer than
     /// [`ISOLATION_TIMEOUT`].
     ///
-    /// A box that never had a peer is not considered cut off, since it has no other source of
-    /// information to lose.
+    /// A box that never had a peer is not considered cut off, since no other box could have
+    /// informed it.
     pub fn isolated(&self, now: Time, had_peers: bool) -> bool {
         had_peers && !self.store_reachable && now.since(self.last_contact) > ISOLATION_TIMEOUT
     }
--- a/crates/hollyspoke/src/quota.rs
+++ b/crates/hollyspoke/src/quota.rs
@@ -203,7 +203,7 @@
         self.bucket(now, customer).map_or(Ok(()), |it| it.take(units, &view))
     }
 
-    /// Returns the units of a request that has not run to the bucket.
+    /// Refunds the units of a request that has not run.
     pub fn give_back(&mut self, customer: K, units: u64) {
         if let Some(bucket) = self.buckets.get_mut(&customer) {
             bucket.give_back(units);
--- a/crates/hollyspoke/src/quota/bucket.rs
+++ b/crates/hollyspoke/src/quota/bucket.rs
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Returns the units of a request that has not run.
+    /// Refunds the units of a request that has not run.
     pub(super) fn give_back(&mut self, units: u64) {
         self.change(-(units as f64));
         self.total = self.total.wrapping_sub(units as u32);
