--- a/crates/hollyspoke-gateway/src/effect.rs
+++ b/crates/hollyspoke-gateway/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a gateway has its driver do.
+//! The actions that a gateway requests of its driver.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,30 +21,30 @@
 use crate::statement::ToldLoad;
 use crate::terms::Bar;
 
-/// Where a prompt that was read lies.
+/// The location of a prefilled prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Source {
-    /// The engine that read it.
+    /// The engine that prefilled the prompt.
     pub engine: EngineKey,
-    /// Where that engine listens.
+    /// The address of that engine.
     pub address: SocketAddr,
-    /// The engine's name for it.
+    /// The engine's handle for the prompt.
     pub handle: String,
 }
 
-/// What an engine is asked to do.
+/// The operation requested of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Task {
-    /// To run a plain request.
+    /// Run a plain request.
     Plain,
-    /// To read the prompt for another engine.
+    /// Prefill the prompt for another engine.
     Prefill,
-    /// To generate the answer.
+    /// Decode the answer.
     Decode(Prompt),
 }
 
 impl Task {
-    /// Gives the engine that the prompt is taken from, if it is another one.
+    /// Returns the address of the engine that the prompt is imported from, if it is another engine.
     pub fn source(&self) -> Option<SocketAddr> {
         match self {
             Task::Decode(Prompt::Prefilled(source)) => Some(source.address),
@@ -54,40 +54,39 @@
     }
 }
 
-/// How an engine that generates comes by the prompt.
+/// How a decode engine obtains the prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Prompt {
-    /// It reads the prompt itself.
+    /// It prefills the prompt itself.
     NotPrefilled,
-    /// Another engine has read the prompt for it.
+    /// It imports the prompt from the engine that prefilled it.
     Prefilled(Source),
-    /// It keeps the prompt from an earlier run.
+    /// It has the prompt cached from an earlier run.
     Cached,
-    /// Another engine keeps the prompt from an earlier run, and listens there.
+    /// It imports the prompt from another engine that has it cached, at this address.
     CachedAt(SocketAddr),
 }
 
-/// One call to an engine.
+/// A call to an engine, as the driver sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Send {
-    /// The request.
+    /// The request that the call is made for.
     pub request: RequestKey,
-    /// The call.
+    /// The key of the call.
     pub call: CallKey,
     /// The engine.
     pub engine: Arc<Engine>,
-    /// On whose behalf it is sent.
+    /// The identity on whose behalf the call is sent.
     pub caller: Caller,
-    /// What it is asked to do.
+    /// The operation requested of the engine.
     pub task: Task,
-    /// The time that is left.
+    /// The time left until the request's deadline.
     pub deadline: Duration,
-    /// The last event that the client has, if the stream goes on from there.
+    /// The id of the last event that the client has, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
-/// The longest that an order may be on its way; the driver gives it up then. Engines answer within
-/// milliseconds.
+/// The time after which the driver gives an order up. Engines answer orders within milliseconds.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An order to an engine to change its stage.
@@ -95,32 +94,35 @@
 pub struct Order {
     /// The engine.
     pub engine: Arc<Engine>,
-    /// The stage that it is to have.
+    /// The stage to change to.
     pub stage: Stage,
     /// The name of the box that gives the order.
     pub holder: Arc<str>,
-    /// The fencing token of the lease under which it is given.
+    /// The fencing token of the lease under which the order is given.
     pub token: u64,
-    /// How many orders the engine must have taken before; it refuses the order otherwise.
+    /// The number of orders that the engine must have accepted before; otherwise it refuses this
+    /// one.
     pub expected_count: u64,
 }
 
-/// Why a request gets an answer of the gateway's own.
+/// Why a request is answered by the gateway itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It was not run; the client may come back after the time.
+    /// The request was not run; the client may retry after the duration.
     NotRun(NotRun, NotRunReason, Duration),
-    /// Its customer is over its limit. It was not run; the client may come back after the time.
+    /// The customer is over its limit and the request was not run; the client may retry after the
+    /// duration.
     OverLimit(NotRun, Duration),
-    /// It has no key that is known.
+    /// The client's key is missing or unknown.
     UnknownKey,
-    /// Engines crash under it. It was not run, and is not to come again.
+    /// The request is quarantined because engines crash under it. It was not run and must not be
+    /// retried.
     Quarantined(NotRun),
-    /// No route covers it.
+    /// No route matches the request.
     NoRoute,
-    /// Its engine failed, and it may have run.
+    /// The engine failed, and the request may have run.
     Failed,
-    /// Its time passed, and it may have run.
+    /// The deadline passed, and the request may have run.
     TimedOut,
 }
 
@@ -129,34 +131,35 @@
 pub enum NotRunReason {
     /// No configuration is known yet.
     NoConfiguration,
-    /// A newer configuration is known of and not read yet, and may have its key.
+    /// A newer configuration exists that this box hasn't read yet and that may contain the client's
+    /// key.
     StaleConfiguration,
-    /// The process is about to end.
+    /// The process is about to stop.
     Stopping,
-    /// No engine can take it.
+    /// No engine can take the request.
     NoEngine,
-    /// All engines that could take it are in evacuated data centres.
+    /// All engines that could take the request are in evacuated data centres.
     Evacuated,
-    /// No engine lies in the regions where it may be served.
+    /// No engine is in a region where the request may be served.
     NoEngineInRegion,
-    /// All engines that could take it are in need, and take no more for now.
+    /// All engines that could take the request are rate-limited and accept no more for now.
     RateLimited,
-    /// All engines that could take it are about to leave.
+    /// All engines that could take the request are shutting down.
     ShuttingDown,
-    /// All engines that could take it want nothing from this box for a time.
+    /// All engines that could take the request have asked this box to back off.
     BackingOff,
-    /// The engines turned it away.
+    /// The engines rejected the request.
     Rejected,
-    /// It would be served too late.
+    /// The request would be served too late.
     Overloaded,
-    /// Its time passed before it was sent.
+    /// The deadline passed before the request was sent.
     TimedOut,
-    /// It is being found out whether engines crash under it.
+    /// It is still being determined whether engines crash under the request.
     UnderSuspicion,
 }
 
 impl NotRunReason {
-    /// Gives the reason as the log tells it.
+    /// Returns the reason as it is written to the log.
     pub fn name(self) -> &'static str {
         match self {
             NotRunReason::NoConfiguration => "refused: no configuration",
@@ -176,65 +179,65 @@
     }
 }
 
-/// An engine that a request could not be sent to.
+/// An engine that a request couldn't be sent to, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exclusion {
     /// The engine's id.
     pub engine: Arc<str>,
-    /// Why not.
+    /// The term of the engine that forbids it.
     pub reason: Bar,
 }
 
-/// A decision worth a line in the log.
+/// A decision that is written to the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LogEvent {
-    /// A version of the configuration came into force.
+    /// A configuration version came into force.
     Configured {
         /// The version.
         version: u64,
-        /// Its routes.
+        /// The number of routes.
         routes: usize,
     },
-    /// A data centre was evacuated, or that was lifted.
+    /// A data centre was evacuated, or its evacuation was lifted.
     Evacuated {
-        /// The data centre.
+        /// The name of the data centre.
         data_centre: Arc<str>,
-        /// Whether it may be used again.
+        /// Whether the evacuation was lifted.
         is_lifted: bool,
     },
-    /// The list of engines was read whole.
+    /// The complete list of engines was read.
     Listed {
-        /// The engines.
+        /// The number of engines.
         engines: usize,
-        /// The revision.
+        /// The revision of the list.
         revision: Revision,
     },
-    /// A list of engines was not taken, since it is older than what is known.
+    /// A list of engines was ignored because it is older than the known state.
     ListDropped {
-        /// The list's revision.
+        /// The revision of the ignored list.
         revision: Revision,
-        /// The revision up to which nothing is missing.
+        /// The revision up to which the known state is complete.
         known: Revision,
     },
-    /// The store came back from an older copy, and has lost its latest writes.
+    /// The store was restored from an older copy and has lost its latest writes.
     StoreReturned {
-        /// Its era now.
+        /// The new era of the store.
         era: u64,
-        /// The revision of the engines that were known before.
+        /// The engine revision that was known before.
         revision: Revision,
-        /// The box that told; none if the store did itself.
+        /// The box that announced it; absent if the store reported it directly.
         announced_by: Option<SocketAddr>,
     },
     /// An engine was added or changed.
     Engine {
         /// The engine's id.
         id: Arc<str>,
-        /// Its address.
+        /// The address of the engine.
         address: SocketAddr,
-        /// Whether it drains.
+        /// Whether the engine is draining.
         is_draining: bool,
     },
-    /// An engine left.
+    /// An engine was removed.
     EngineRemoved {
         /// The engine's id.
         id: Arc<str>,
@@ -243,43 +246,43 @@
     Avoided {
         /// The engine's id.
         id: Arc<str>,
-        /// For how long.
+        /// How long the engine is avoided.
         span: Duration,
     },
-    /// What an engine takes has changed.
+    /// The rate limit of an engine changed.
     Limited {
         /// The engine's id.
         id: Arc<str>,
-        /// What has become of its limit.
+        /// The change of the limit.
         change: Change,
-        /// The box that told; none if the engine did itself.
+        /// The box that announced it; absent if the engine reported it directly.
         announced_by: Option<SocketAddr>,
-        /// How long ago it was so.
+        /// The time since the change took effect.
         age: Duration,
     },
-    /// An engine is about to leave.
+    /// An engine is shutting down.
     ShuttingDown {
         /// The engine's id.
         id: Arc<str>,
-        /// The box that told; none if the engine did itself.
+        /// The box that announced it; absent if the engine reported it directly.
         announced_by: Option<SocketAddr>,
-        /// How long ago it was known.
+        /// The time since it became known.
         age: Duration,
     },
-    /// An engine that was about to leave has done so.
+    /// An engine has finished shutting down.
     ShutDown {
         /// The engine's id.
         id: Arc<str>,
-        /// How that is known.
+        /// How the end became known.
         end: departure::End,
-        /// How long ago it was known that it leaves.
+        /// The time since the shutdown became known.
         age: Duration,
     },
-    /// What has become of an engine's rest.
+    /// The back-off requested by an engine changed.
     BackOff {
         /// The engine's id.
         id: Arc<str>,
-        /// What has become of it.
+        /// The change of the back-off.
         change: rest::Change,
     },
     /// A call was sent.
@@ -288,188 +291,188 @@
         request: Arc<str>,
         /// The engine's id.
         engine: Arc<str>,
-        /// What it is asked to do.
+        /// The name of the task.
         task: &'static str,
-        /// The engine that the prompt is taken from.
+        /// The engine that the prompt is imported from, if it is another engine.
         source: Option<SocketAddr>,
-        /// How soon the first event is expected.
+        /// The expected time to the first event.
         expected: Duration,
         /// The tokens of the prompt.
         tokens: u64,
-        /// The tokens that it is expected to hold.
+        /// The tokens that the request is expected to hold in the engine's memory.
         held: u64,
-        /// The calls sent before for the request.
+        /// The number of earlier calls for the request.
         before: u32,
     },
-    /// A request that had come to an engine was to be sent to another one.
+    /// A request that had reached an engine was to be sent to another one.
     Retry {
         /// The client's id of the request.
         request: Arc<str>,
         /// The service.
         service: Arc<str>,
-        /// Whether the budget allowed it.
+        /// Whether the budget allowed the retry.
         is_sent: bool,
-        /// The repeats that the budget then had left.
+        /// The retries left in the budget afterwards.
         available: f64,
-        /// The boxes that the fixed allowance was divided by.
+        /// The number of boxes that the fixed allowance was divided by.
         boxes: usize,
     },
     /// A call failed.
     Failed {
         /// The client's id of the request.
         request: Arc<str>,
-        /// What makes the request the same as another one.
+        /// The signature, equal for requests with the same content from the same customer.
         signature: Signature,
-        /// Its path.
+        /// The path of the request.
         path: Arc<str>,
         /// The engine's id.
         engine: Arc<str>,
-        /// How.
+        /// How the call failed.
         outcome: &'static str,
-        /// The status, 0 if none came.
+        /// The HTTP status, 0 if none was received.
         status: u16,
-        /// The load that the engine told last.
+        /// The load that the engine reported last.
         told: Option<ToldLoad>,
-        /// The work of all boxes at the engine, as this box knows it.
+        /// The load of all boxes at the engine, as known to this box.
         known: Load,
     },
     /// A request ended.
     Ended {
         /// The client's id of the request.
         request: Arc<str>,
-        /// The customer, if it is known.
+        /// The customer, if known.
         customer: Option<Arc<str>>,
-        /// The units of the customer's limit that the request took.
+        /// The units charged to the customer's limit.
         units: u64,
-        /// The engines that it could not be sent to by what they have said.
+        /// The engines that the request couldn't be sent to because of their own terms.
         exclusions: Vec<Exclusion>,
-        /// How.
+        /// How the request ended.
         outcome: &'static str,
         /// The time since its arrival.
         after: Duration,
     },
-    /// Boxes were first heard, or fell silent.
+    /// Other boxes became reachable or timed out.
     Peers {
-        /// Where those listen that were heard.
+        /// The addresses of the boxes that were received from for the first time.
         heard: Vec<SocketAddr>,
-        /// Where those listen that fell silent.
+        /// The addresses of the boxes that timed out.
         silent: Vec<SocketAddr>,
-        /// How many live now.
+        /// The number of boxes that are alive now.
         alive: usize,
     },
-    /// A request is held back from now on, since engines crashed under it.
+    /// A request was quarantined because engines crashed under it.
     Quarantined {
-        /// The request.
+        /// The signature of the request.
         signature: Signature,
-        /// What is known of it, if this box has seen it.
+        /// Details of the request, if this box has seen it.
         about: Option<About>,
         /// The engines that crashed.
         engines: String,
-        /// Until when, in seconds of Unix time.
+        /// The end of the quarantine, in seconds of Unix time.
         until: u64,
     },
-    /// A request is no longer under suspicion, or held back.
+    /// A request is no longer suspected or quarantined.
     Released {
-        /// The request.
+        /// The signature of the request.
         signature: Signature,
-        /// Why.
+        /// Why it was released.
         outcome: &'static str,
     },
-    /// The requests that are held back, or nearly so, were read from the store.
+    /// The cases of suspected and quarantined requests were read from the store.
     CasesRead {
-        /// How many there were.
+        /// The number of cases.
         cases: usize,
     },
-    /// The machine was suspended, or stood still for a time that its steady clock does not count.
+    /// The machine was suspended or paused for a time that its steady clock doesn't count.
     Suspended(Duration),
-    /// The number of boxes was read from the store, or written.
+    /// The number of boxes was read from the store or written to it.
     Census {
-        /// The boxes; 0 if the store holds no number.
+        /// The number of boxes; 0 if the store has none.
         boxes: usize,
-        /// Whether it was written.
+        /// Whether the number was written.
         is_written: bool,
     },
     /// Many engines changed at once.
     ManyEngines {
-        /// Those that were added or changed.
+        /// The number of engines added or changed.
         put: usize,
-        /// Those that left.
+        /// The number of engines removed.
         left: usize,
     },
-    /// This box follows the store's changes from now on, or no more.
+    /// This box started (true) or stopped watching the store for changes.
     WatchesStore(bool),
-    /// This box holds the lease for orders from now on, under a fencing token, or no more.
+    /// This box acquired the lease for orders with a fencing token, or lost it.
     Lease(Option<u64>),
     /// An engine is to change its stage.
     Switch {
         /// The engine's id.
         id: Arc<str>,
-        /// The stage that it changes to.
+        /// The stage to change to.
         stage: Stage,
-        /// The engines that read and that generate, those that are to do so included.
+        /// The prefill and decode engines, with pending changes applied.
         engines: Split,
-        /// The work asked of them.
+        /// The demand on the engines.
         demand: Demand,
     },
     /// An engine was ordered to change its stage.
     Ordered {
         /// The engine's id.
         id: Arc<str>,
-        /// The stage.
+        /// The stage to change to.
         stage: Stage,
-        /// The fencing token.
+        /// The fencing token of the lease.
         token: u64,
-        /// The orders sent to it before for the same change.
+        /// The number of orders sent before for the same change.
         before: u32,
     },
-    /// What became of an order.
+    /// An order ended.
     OrderEnded {
         /// The engine's id.
         id: Arc<str>,
-        /// What became of it.
+        /// The outcome of the order.
         outcome: &'static str,
     },
     /// The process was told to stop.
     Stopping,
 }
 
-/// What the driver does.
+/// An action that a gateway requests of its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Sends a call.
     Send(Send),
-    /// Drops a call and its connection.
+    /// Drops a call and closes its connection.
     Cancel(CallKey),
-    /// Gives the client the answer of a call; a stream's events follow as they come.
+    /// Gives the client the answer of a call; the events of a stream follow as they arrive.
     Deliver(RequestKey, CallKey),
-    /// Lets the events of a call follow those passed before, in the same answer.
+    /// Appends the events of a call to the answer that the client is already receiving.
     Resume(RequestKey, CallKey),
-    /// Gives the client an answer of the gateway's own.
+    /// Answers the client with a refusal by the gateway itself.
     Refuse(RequestKey, Refusal),
-    /// Ends a begun answer so that the client sees that it is not whole.
+    /// Aborts an answer that has begun, so that the client sees that it is incomplete.
     Abort(RequestKey),
-    /// Ends a begun answer as whole.
+    /// Ends an answer that has begun as complete.
     Finish(RequestKey),
-    /// Frees a prompt that was read.
+    /// Frees a prefilled prompt.
     Free(Source),
-    /// Asks an engine which parts of prompts it keeps.
+    /// Queries which prompt prefixes an engine has cached.
     QueryCachedPrompts(Arc<Engine>),
-    /// Follows the store's changes from now on, or no more.
+    /// Starts (true) or stops watching the store for changes.
     WatchStore(bool),
-    /// Begins an operation on an object of the product's own in the store, under a number.
+    /// Starts a numbered operation on an object of the product's own in the store.
     Store(u64, Operation),
-    /// Asks an engine how many orders it has taken.
+    /// Queries how many orders an engine has accepted.
     QueryOrderCount(Arc<Engine>),
     /// Orders an engine to change its stage.
     Order(Order),
-    /// Asks an engine whether it lives.
+    /// Probes whether an engine is alive.
     Probe(Arc<Engine>),
-    /// Reads a kind of object from the store, whole and once.
+    /// Reads all objects of a kind from the store, once.
     Read(Kind),
-    /// Asks a box to hand over what it knows.
+    /// Requests a snapshot of the state of another box.
     Fetch(SocketAddr),
     /// Sends a datagram to boxes.
     Announce(Vec<SocketAddr>, Box<Message>),
-    /// Writes a line to the log.
+    /// Writes an entry to the log.
     Log(LogEvent),
 }
--- a/crates/hollyspoke-gateway/src/event.rs
+++ b/crates/hollyspoke-gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway.
+//! The inputs of a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,132 +15,133 @@
 use crate::snapshot::Snapshot;
 use crate::statement::Statement;
 
-/// What an answer proves about the request.
+/// What an answer proves about the execution of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// The engine says that it has not run the request and never will.
+    /// The engine states that it has not run the request and never will.
     Refused,
     /// Another incarnation has the address and has not run the request.
     Replaced,
-    /// The request has run, or may have.
+    /// The request has run or may have run.
     Ran,
 }
 
-/// The head of an engine's answer, and the handle if it read a prompt.
+/// The head of an engine's answer, with the handle of the prompt for a prefill.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// What the answer proves.
+    /// What the answer proves about the execution of the request.
     pub execution: Execution,
-    /// What the engine says of itself.
+    /// What the engine reports about itself.
     pub statement: Statement,
-    /// Where the prompt lies, for an answer to the reading of a prompt.
+    /// The handle of the prefilled prompt, for an answer to a prefill.
     pub handle: Option<String>,
 }
 
-/// What happens to a call to an engine.
+/// An event of a call to an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallEvent {
-    /// The connection never opened: nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     NotConnected,
-    /// The head of a stream has come.
+    /// The head of a stream arrived.
     Began(Answer),
-    /// A whole answer has come; a stream has come to its whole end.
+    /// A complete answer arrived, or a stream ended completely.
     Answered(Answer),
-    /// Whole events of a stream were passed to the client; the id of the last, if it has one.
+    /// Complete events of a stream were forwarded to the client; the id of the last one, if it has
+    /// one.
     Forwarded(Option<u64>),
-    /// The connection ended, or gave what is no answer to the request, after it was sent.
+    /// After the request was sent, the connection closed or delivered an invalid answer.
     Broken,
 }
 
-/// What is kept in the platform's store.
+/// The kinds of objects in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// The configuration.
     Configuration,
     /// The engines.
     Engines,
-    /// The data centres whose engines get nothing.
+    /// The data centres whose engines receive no requests.
     Evacuations,
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The engine carries the order out.
     Accepted,
-    /// It is as ordered already.
+    /// The engine is already in the ordered stage.
     AlreadyApplied,
-    /// It has another order under way, or has taken others before.
+    /// The engine is carrying out another order, or has accepted others before.
     Conflict,
-    /// It does not take the order, or was never reached.
+    /// The engine rejected the order, or was never reached.
     Refused,
-    /// No answer came: it may carry the order out, also later.
+    /// No answer was received: the engine may still carry the order out, even later.
     Unknown,
 }
 
-/// What an engine answered when it was asked whether it lives.
+/// The result of probing whether an engine is alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
-    /// It lives; when that life began, if it tells.
+    /// The engine is alive; the start time of its incarnation, if reported.
     Alive(Option<u64>),
     /// Another incarnation has its address.
     Replaced,
-    /// It takes no connection, or gives no answer.
+    /// The engine accepts no connection or doesn't answer.
     Silent,
 }
 
-/// What happens to a gateway.
+/// An input of a gateway.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A version of the configuration was read.
+    /// A configuration version was read.
     Configured(Arc<Configuration>),
-    /// All engines were listed; the revision of the list.
+    /// All engines were listed, at a revision.
     Listed(Vec<Engine>, Revision),
     /// Engines changed, in this order.
     Changed(Vec<EngineChange>),
     /// The evacuated data centres were listed.
     Evacuated(Evacuation),
-    /// Evacuations have changed, in this order; the revision that the changes led to.
+    /// Evacuations changed, in this order; the revision after the changes.
     EvacuationChanged(Vec<Change>, Revision),
-    /// The box at an address has handed over what it knows.
+    /// The box at an address sent a snapshot of its state.
     SnapshotReceived(SocketAddr, Box<Snapshot>),
-    /// An answer of the store told its era, before anything else that it tells is taken.
+    /// An answer of the store named its era. It is applied before the rest of the answer.
     StoreEra(u64),
-    /// The store answered about a kind of object.
+    /// The store answered a request for a kind of object.
     StoreAnswered(Kind),
-    /// The store did not answer, or refused, about a kind of object.
+    /// The store didn't answer, or refused, a request for a kind of object.
     StoreFailed(Kind),
-    /// A request came whole.
+    /// A complete request arrived.
     Arrived(RequestKey, Request),
     /// The client of a request closed its connection.
     ClientDisconnected(RequestKey),
-    /// Something happened to a call.
+    /// An event of a call.
     Call(CallKey, CallEvent),
-    /// A datagram came from another box.
+    /// A datagram arrived from another box.
     Received(Message),
-    /// The boxes to greet, from the settings.
+    /// The addresses of the boxes to contact first, from the settings.
     Seeds(Vec<SocketAddr>),
-    /// An engine told which parts of prompts it keeps.
+    /// An engine reported which prompt prefixes it has cached.
     CachedPrompts(EngineKey, Vec<PromptKey>),
-    /// The store answered an operation of a number.
+    /// The store answered a numbered operation.
     Stored(u64, Answered),
-    /// An engine told how many orders it has taken since its start; none if it did not tell.
+    /// An engine reported how many orders it has accepted since its start, or didn't answer.
     OrderCount(EngineKey, Option<u64>),
-    /// An engine answered an order, or did not.
+    /// An engine answered an order, or didn't.
     Ordered(EngineKey, OrderAnswer),
-    /// An engine was asked whether it lives.
+    /// An engine was probed.
     Probed(EngineKey, Probe),
-    /// An engine said something of itself in its answer to an order or a question, or in the head of an
-    /// answer whose rest is yet to come, or never came.
+    /// An engine reported its terms in the answer to an order or a query, or in the head of an
+    /// answer whose body is not received yet, or never will be.
     Statement(EngineKey, Statement),
-    /// An operator lets the held requests go whose signature begins so.
+    /// An operator releases the quarantined requests whose signature has this prefix.
     Lift(String),
-    /// The machine was suspended for a time that has been added to the clock since.
+    /// The machine was suspended for a time that has since been added to the clock.
     Suspended(Duration),
     /// The process was told to stop.
     Stop,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The reducer: takes an event, passes it to the part concerned, and collects the effects.
+//! The reducer: dispatches each event to the part that handles it and collects the effects.
 
 mod cached;
 mod call;
@@ -67,145 +67,146 @@
 /// How boxes share customers' limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
-    /// Each has an equal part.
+    /// Each box has an equal part of the limit.
     Parts,
-    /// Each tells the others what it lets through.
+    /// Each box announces to the others how much it admits.
     Totals,
 }
 
-/// What a gateway has to know from the start.
+/// The settings of a gateway, fixed for the life of the process.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This box's data centre.
+    /// The data centre of this box.
     pub data_centre: Arc<str>,
     /// The regions of all data centres.
     pub regions: Regions,
-    /// Where this box listens for other boxes' datagrams.
+    /// The address where this box receives other boxes' datagrams.
     pub peer: SocketAddr,
-    /// Where this box listens for clients.
+    /// The address where this box accepts clients.
     pub front: SocketAddr,
-    /// How often requests may be sent to a second engine.
+    /// The bound on retries at a second engine.
     pub retry_bound: Bound,
     /// How exactly customers' limits are kept.
     pub tolerance: Tolerance,
     /// How boxes share customers' limits.
     pub sharing: Sharing,
-    /// How many boxes share them, if the operator knows.
+    /// The number of boxes that share them, if configured.
     pub boxes: Option<usize>,
-    /// How long a stopped process may take to end.
+    /// The time that a stopping process has until it must end.
     pub grace: Duration,
-    /// The least time between orders of two boxes to one engine.
+    /// The shortest time between orders of two boxes to the same engine.
     pub order_pause: Duration,
-    /// How long an engine that says that it leaves goes on serving; zero if that is not counted on.
+    /// How long an engine that reports its shutdown continues to serve; zero if that is not relied
+    /// on.
     pub drain: Duration,
-    /// A number drawn at the start of the process.
+    /// A random number drawn at the start of the process.
     pub incarnation: u64,
     /// When the process started, in seconds of Unix time.
     pub unix_start: u64,
 }
 
-/// The share of the grace after which a stopping box takes no new requests.
+/// The share of the grace period after which a stopping box accepts no new requests.
 const LAST_REQUEST_SHARE: f64 = 0.6;
 
-/// The share of the grace in which a stopping box takes all requests; later it takes those alone
-/// whose whole time fits into what is left.
+/// The share of the grace period in which a stopping box accepts all requests. Later it accepts
+/// only those whose whole timeout fits into the remaining time.
 const ALL_REQUESTS_SHARE: f64 = 0.35;
 
-/// The part of the grace at its end in which nothing is to be under way.
+/// The end of the grace period in which no request may be in flight.
 const GRACE_MARGIN: Duration = Duration::from_millis(600);
 
-/// All that one box decides.
+/// The state of one box.
 #[derive(Debug, Clone)]
 pub struct Gateway {
     /// The settings.
     settings: Settings,
-    /// The time of the event under way.
+    /// The time of the current event.
     now: Time,
     /// The configuration in force.
     configuration: Option<Arc<Configuration>>,
-    /// Whether the engines were ever listed.
+    /// Whether the engines have ever been listed.
     is_listed: bool,
-    /// The engines.
+    /// The known engines.
     directory: Directory,
-    /// The data centres whose engines get nothing.
+    /// The data centres whose engines receive no requests.
     evacuations: Evacuations,
-    /// When this box last sent to cold engines.
+    /// When this box last sent requests to cold engines.
     turns: Turns,
-    /// What engines have said that binds whoever sends to them.
+    /// The terms that engines have reported and that bind every sender.
     terms: Terms,
-    /// The permits to send to them.
+    /// The permits to send to rate-limited engines.
     permits: Permits,
-    /// The work at the engines.
+    /// The load of the engines.
     ledger: Ledger,
     /// The other boxes.
     members: Members,
-    /// The prompts that engines keep.
+    /// The prompts that engines have cached.
     prompts: Prompts,
-    /// The repeats of each service.
+    /// The retry budget of each service.
     budgets: HashMap<Arc<str>, Budget>,
     /// The customers' limits.
     quota: Quota<CustomerKey>,
-    /// How many boxes live by the store.
+    /// The number of boxes that are alive according to the store.
     census: Census,
-    /// When it is looked again which boxes share them.
+    /// When the set of boxes that share the customers' limits is checked again.
     box_count_due: Time,
-    /// The longest deadline that clients have given on each route.
+    /// The longest deadline that clients have specified on each route.
     deadlines: HashMap<Arc<str>, Duration>,
-    /// The requests under way.
+    /// The in-flight requests.
     in_flight: HashMap<RequestKey, InFlight>,
-    /// The calls under way.
+    /// The active calls.
     calls: HashMap<CallKey, Call>,
-    /// The requests that wait for room at an engine.
+    /// The requests that wait for free capacity at an engine.
     waiting: Vec<RequestKey>,
-    /// Whether the event under way may have brought room for those that wait.
+    /// Whether the current event may have freed capacity for waiting requests.
     may_have_capacity: bool,
-    /// How long runs at engines with stages hold their memory.
+    /// The durations for which runs at prefill and decode engines hold memory.
     runs: Runs,
-    /// What clients ask of each service with stages.
+    /// The demand on each service with prefill and decode engines.
     meters: HashMap<Arc<str>, Meter>,
-    /// The changes of engines' stages that this box orders.
+    /// The stage changes that this box orders.
     stages: Stages,
-    /// When each request is looked at again.
+    /// When each request is checked again.
     due: BTreeSet<(Time, RequestKey)>,
     /// The number of the next call.
     next_call: u64,
     /// The number of the next datagram.
     next_sequence: u64,
-    /// What this box has from the store itself.
+    /// The state of this box's own contact with the store.
     store: StoreState,
     /// The requests under which engines have crashed.
     quarantine: Quarantine,
-    /// The same, as the store has them.
+    /// The same cases as saved in the store.
     cases: Cases,
-    /// The engines that are being asked whether they live.
+    /// The engines that are being probed.
     probing: HashSet<EngineKey>,
-    /// How far this box is with asking engines which prompts they keep.
+    /// The progress of querying engines for their cached prompts.
     survey: Survey,
-    /// What is to be told to the other boxes with this event.
+    /// The announcements to send to other boxes at the end of this event.
     unannounced: Untold,
-    /// The boxes that are to be named in the log with the next heartbeat.
+    /// The changes of boxes to log with the next heartbeat.
     peer_changes: PeerChanges,
-    /// The changes of engines that are to be counted in the log with the next heartbeat.
+    /// The changes of engines to count in the log with the next heartbeat.
     engine_changes: EngineChanges,
-    /// Since when changes gather that are not urgent.
+    /// When the current batch of non-urgent changes was started.
     batch_started_at: Option<Time>,
     /// When the next heartbeat is due.
     next_heartbeat: Time,
-    /// The heartbeats sent so far, from a drawn number on, so that those of all boxes to other data
-    /// centres are spread.
+    /// The number of heartbeats sent, starting at a random number so that the boxes' heartbeats to
+    /// other data centres are spread over time.
     heartbeats: u32,
-    /// Whether the next heartbeat goes to all boxes.
+    /// Whether the next heartbeat is sent to all boxes.
     heartbeat_to_all: bool,
     /// When the process was told to stop.
     stopped_at: Option<Time>,
-    /// The source of chance.
+    /// The random number generator.
     random: Pcg64Mcg,
-    /// What the event under way has led to.
+    /// The effects of the current event.
     effects: Vec<Effect>,
 }
 
 impl Gateway {
-    /// Makes a gateway that knows nothing yet.
+    /// Creates a gateway with no knowledge of engines, boxes or configuration.
     pub fn new(settings: Settings) -> Gateway {
         let random = Pcg64Mcg::seed_from_u64(settings.incarnation);
         let heartbeats = settings.incarnation as u32;
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Takes an event and gives what is to be done.
+    /// Handles an event and returns the resulting effects.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         self.may_have_capacity = !matches!(event, Event::Received(_));
@@ -307,7 +308,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Gives the time at which the gateway needs a tick at the latest.
+    /// Returns the latest time at which the gateway needs a tick.
     pub fn next_due(&self) -> Time {
         let first = self.due.first().map(|&(it, _)| it);
         let gathered = self.gathered_at();
@@ -326,29 +327,29 @@
         times.into_iter().flatten().fold(self.next_heartbeat, Time::min)
     }
 
-    /// Tells whether clients are to use this box.
+    /// Returns whether clients should use this box.
     pub fn is_ready(&self) -> bool {
         self.standing() == Standing::Ready
     }
 
-    /// Tells whether the process was told to stop.
+    /// Returns whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopped_at.is_some()
     }
 
-    /// Tells whether a stopped process has nothing left to do at a time.
+    /// Returns whether a stopped process has no work left at a time.
     pub fn is_done(&self, now: Time) -> bool {
         self.is_closing(now) && self.in_flight.is_empty()
     }
 
-    /// Gives the limits of what clients may send, once a configuration is known.
+    /// Returns the limits on client requests, once a configuration is known.
     pub fn limits(&self) -> Option<crate::route::Limits> {
         self.configuration.as_ref().map(|it| it.limits)
     }
 
-    /// Gives where clients of a region may connect, this box first if it is ready and lies there.
-    /// Requests that may be served in some regions alone must not pass through a box of another, so
-    /// that boxes elsewhere are named only if there is none in the region.
+    /// Returns the addresses where clients of a region may connect. This box is first if it is
+    /// ready and in the region. Requests that are restricted to some regions must not pass through
+    /// a box of another region, so that boxes elsewhere are returned only if the region has none.
     pub fn fronts(&self, region: Option<&str>) -> Vec<SocketAddr> {
         let own_region = self.settings.regions.of(&self.settings.data_centre);
         let region = region.or(own_region.map(|it| &**it));
@@ -366,47 +367,47 @@
         own.into_iter().chain(others.fronts).collect()
     }
 
-    /// Gives the version in force.
+    /// Returns the configuration version in force.
     pub fn version(&self) -> Option<u64> {
         self.configuration.as_ref().map(|it| it.version)
     }
 
-    /// Tells whether a box has been heard from an IP address.
+    /// Returns whether a datagram of a box has been received from an IP address.
     pub fn knows_box(&self, ip: IpAddr) -> bool {
         self.members.knows_ip(ip)
     }
 
-    /// Gives what a box can read of datagrams, as far as it has told.
+    /// Returns the datagram format that a box supports, as far as it has announced it.
     pub fn format(&self, node: SocketAddr) -> Format {
         self.members.format(node)
     }
 
-    /// Gives the number of boxes that live as this one knows, itself included.
+    /// Returns the number of boxes known to be alive, including this one.
     pub fn alive_box_count(&self) -> usize {
         self.members.count(self.now)
     }
 
-    /// Gives the revision up to which no engine is missing.
+    /// Returns the revision up to which the list of engines is complete.
     pub fn engine_revision(&self) -> Revision {
         self.directory.complete()
     }
 
-    /// Gives the number of engines that are known.
+    /// Returns the number of known engines.
     pub fn engine_count(&self) -> usize {
         self.directory.len()
     }
 
-    /// Gives the number of requests under way.
+    /// Returns the number of in-flight requests.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Gives this box's work at engines: what its calls hold, and what is reserved for them.
+    /// Returns this box's load at engines, from its calls and reservations.
     pub fn own_work(&self) -> Vec<(EngineKey, Load)> {
         self.ledger.own()
     }
 
-    /// Tells how this box stands.
+    /// Returns the state of this box.
     fn standing(&self) -> Standing {
         if self.stopped_at.is_some() {
             Standing::Stopping
@@ -417,20 +418,20 @@
         }
     }
 
-    /// Tells whether this box knows all that it needs to serve.
+    /// Returns whether this box knows everything it needs to serve requests.
     fn may_serve(&self) -> bool {
         let has_prefilled = self.configuration.is_some() && self.is_listed;
         has_prefilled && self.knows_cases() && self.knows_evacuation()
     }
 
-    /// Tells whether a stopping box takes no new requests any more.
+    /// Returns whether a stopping box no longer accepts requests.
     fn is_closing(&self, now: Time) -> bool {
         let open = self.settings.grace.mul_f64(LAST_REQUEST_SHARE);
         self.stopped_at.is_some_and(|it| now.since(it) >= open)
     }
 
-    /// Tells whether a request that may take a time could be under way when a stopping process
-    /// has to end.
+    /// Returns whether a request with a timeout could still be in flight when a stopping process
+    /// must end.
     fn exceeds_grace(&self, held: Duration) -> bool {
         let Some(stopped_at) = self.stopped_at else { return false };
         let since = self.now.since(stopped_at);
@@ -438,7 +439,7 @@
         since >= self.settings.grace.mul_f64(ALL_REQUESTS_SHARE) && held > left
     }
 
-    /// Notes that the process was told to stop.
+    /// Records that the process was told to stop.
     fn stop(&mut self) {
         if self.stopped_at.is_none() {
             self.stopped_at = Some(self.now);
@@ -447,7 +448,7 @@
         }
     }
 
-    /// Goes on after the machine was suspended: what was read before may be out of date.
+    /// Resumes after the machine was suspended: state that was read before may be out of date.
     fn resume(&mut self, span: Duration) {
         self.log(LogEvent::Suspended(span));
         self.effects.push(Effect::Read(Kind::Configuration));
@@ -455,12 +456,12 @@
         self.effects.push(Effect::Read(Kind::Evacuations));
     }
 
-    /// Adds a line for the log.
+    /// Writes an event to the log.
     fn log(&mut self, event: LogEvent) {
         self.effects.push(Effect::Log(event));
     }
 
-    /// Draws a number.
+    /// Returns a random number.
     fn draw(&mut self) -> u64 {
         self.random.next_u64()
     }
--- a/crates/hollyspoke-gateway/src/in_flight.rs
+++ b/crates/hollyspoke-gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its end, and the calls made for it.
+//! An in-flight request, from its arrival to its end, and the calls made for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,166 +17,166 @@
 use crate::signature::Signature;
 use crate::terms::Bar;
 
-/// The most times that engines may turn one request away before it is given up.
+/// The number of rejections by engines after which a request is given up.
 const MAX_REJECTIONS: u32 = 3;
 
-/// The share of a safe request's time-out after which silence is taken for a failure.
+/// The share of an idempotent request's timeout after which a silent call counts as failed.
 const SILENCE_TIMEOUT_SHARE: f64 = 0.5;
 
-/// The share of a handle's life for which the prompt is counted on.
+/// The share of a handle's TTL during which the prefilled prompt is expected to exist.
 const HANDLE_TTL_SHARE: f64 = 0.7;
 
-/// The pauses between events, in longest allowed ones, after which a stream is taken for broken.
+/// The silence after which a stream counts as broken, in multiples of the longest allowed gap.
 const SILENCE_GAP_COUNT: u32 = 4;
 
-/// The least silence after which a stream is taken for broken.
+/// The shortest silence after which a stream counts as broken.
 const MIN_SILENCE: Duration = Duration::from_millis(1000);
 
-/// One request.
+/// An in-flight request.
 #[derive(Debug, Clone)]
 pub struct InFlight {
-    /// The request.
+    /// The request as it arrived.
     pub request: Request,
-    /// What makes it the same as another one.
+    /// The signature, equal for requests with the same content from the same customer.
     pub signature: Signature,
-    /// Its route, as it was at the arrival.
+    /// The route that was in force when the request arrived.
     pub route: Arc<Route>,
-    /// Its service.
+    /// The service that the request is routed to.
     pub service: Service,
-    /// The customer that sent it, if it is known.
+    /// The customer that sent the request, if known.
     pub customer: Option<Arc<Customer>>,
-    /// On whose behalf it is sent to engines.
+    /// The identity on whose behalf calls are sent to engines.
     pub caller: Caller,
-    /// The units that were taken from the customer's limit for it.
+    /// The units charged to the customer's limit.
     pub units: u64,
-    /// The version of the configuration under which its key was last looked up.
+    /// The configuration version against which the client's key was last checked.
     pub checked_version: u64,
-    /// When it arrived.
+    /// The arrival time.
     pub arrived: Time,
-    /// When it has to have its final answer.
+    /// The deadline for the final answer.
     pub ends: Time,
-    /// The call under way.
+    /// The active call, if any.
     pub call: Option<CallKey>,
-    /// When silence of the call under way is taken for a failure.
+    /// The time at which a silent active call counts as failed, if it may be retried.
     pub silence_deadline: Option<Time>,
-    /// Whether it may have run.
+    /// Whether the request has run or may have run.
     pub trace: Trace,
-    /// The engines that it was sent to.
+    /// The engines that the request was sent to, in order.
     pub tried: Vec<EngineKey>,
-    /// The engines that have run it, or may have.
+    /// The number of engines that have run the request or may have.
     pub runs: u32,
-    /// Arrivals at engines that count for the budget.
+    /// The number of calls that reached engines and count towards the retry budget.
     pub arrivals: u32,
-    /// Times that an engine turned it away.
+    /// The number of rejections by engines.
     pub rejections: u32,
-    /// Calls made for it.
+    /// The number of calls made for the request.
     pub call_count: u32,
-    /// Whether the reading of its prompt for another engine has failed.
+    /// Whether prefilling at a separate engine has failed.
     pub prefill_failed: bool,
-    /// Where its prompt lies, read and not yet taken.
+    /// The location of the prefilled prompt, until a decode engine has imported it.
     pub source: Option<Source>,
-    /// Whether an engine has turned the prompt at the source away.
+    /// Whether an engine has rejected the handle of the prefilled prompt.
     pub handle_rejected: bool,
-    /// When the prompt was read that lies at the source.
+    /// When the prompt at `source` was prefilled.
     pub prefilled_at: Time,
-    /// The memory reserved in the ledger at the engine that is to generate.
+    /// The memory reserved in the ledger at the engine chosen for decoding.
     pub reserved: Option<(EngineKey, Load)>,
-    /// Set while the request waits for room at an engine: until when it may wait.
+    /// The time until which the request may wait for free capacity; absent if it isn't waiting.
     pub waits_until: Option<Time>,
-    /// Whether it waits for a permit alone, and not for room.
+    /// Whether the request waits only for a permit, and not for free capacity.
     pub waits_for_permit: bool,
-    /// The question for a permit that it waits for.
+    /// The pending permit request, if any.
     pub permit_request: Option<PermitRequest>,
-    /// The questions for permits since the last call.
+    /// The number of permit requests since the last call.
     pub permit_request_count: u32,
-    /// The engines that it could not be sent to by what they have said.
+    /// The engines that the request couldn't be sent to because of their own terms.
     pub exclusions: Vec<Exclusion>,
-    /// Whether the client has come back with it after a refusal.
+    /// Whether the client has retried the request after a refusal.
     pub is_client_retry: bool,
-    /// Whether the head of an answer was given to the client.
+    /// Whether the client has received the head of an answer.
     pub has_begun: bool,
-    /// The last event given to the client.
+    /// The id of the last event forwarded to the client.
     pub last_event: Option<u64>,
 }
 
-/// An engine that a request could not be sent to.
+/// An engine that a request couldn't be sent to, with the reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exclusion {
     /// The engine.
     pub engine: EngineKey,
-    /// Why not.
+    /// The term of the engine that forbids it.
     pub reason: Bar,
 }
 
-/// A question for a permit to go to an engine in need.
+/// A request for a permit to call a rate-limited engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitRequest {
     /// The engine.
     pub engine: EngineKey,
-    /// Until when the answer, or the permit, is waited for.
+    /// The time until which the reply, or the start of the permit, is awaited.
     pub until: Time,
-    /// Whether a permit was issued that can be used later.
+    /// Whether a permit was issued that becomes valid later.
     pub is_issued: bool,
 }
 
-/// One call to an engine.
+/// A call to an engine.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The request.
+    /// The request that the call is made for.
     pub request: RequestKey,
     /// The engine.
     pub engine: Arc<Engine>,
-    /// What the engine was asked to do.
+    /// The operation requested of the engine.
     pub task: Task,
-    /// How far the request's case was when it was sent.
+    /// The state of the request's quarantine case when the call was sent.
     pub stand: Stand,
-    /// Whether a repeat was taken for it from the service's budget.
+    /// Whether the call took a token from the service's retry budget.
     pub is_retry: bool,
     /// When the call was sent.
     pub sent: Time,
-    /// The work that it is at the engine.
+    /// The load that the call adds to the engine.
     pub load: Load,
-    /// The tokens that the engine reads before and with this prompt.
+    /// The prompt tokens that the engine prefills for this call, including those queued before it.
     pub queued_tokens: u64,
-    /// When the last event of a stream came.
+    /// When the last event of the stream arrived.
     pub last_event_at: Time,
-    /// Whether the head of a stream has come.
+    /// Whether the head of a stream has arrived.
     pub has_begun: bool,
 }
 
 impl InFlight {
-    /// Tells whether the request may run at one more engine.
+    /// Returns whether the request may run at another engine.
     pub fn may_run_again(&self) -> bool {
         let has_attempts = self.runs < self.route.max_attempts.max(1);
         let may_repeat = self.runs == 0 || self.route.is_idempotent();
         has_attempts && may_repeat && self.rejections <= MAX_REJECTIONS
     }
 
-    /// Notes an engine that the request could not be sent to.
+    /// Records an engine that the request couldn't be sent to, without duplicates.
     pub fn exclude(&mut self, kept: Exclusion) {
         if !self.exclusions.contains(&kept) {
             self.exclusions.push(kept);
         }
     }
 
-    /// Gives the request's rank, 0 for the highest: its customer's, else its route's.
+    /// Returns the priority, 0 being the highest: the customer's if set, otherwise the route's.
     pub fn priority(&self) -> u8 {
         let customer = self.customer.as_ref();
         customer.and_then(|it| it.priority).unwrap_or(self.route.priority)
     }
 
-    /// Gives where the request may be served: by its route, and by its customer.
+    /// Returns the regions where the request may be served, by its route and by its customer.
     pub fn homes(&self) -> [&Homes; 2] {
         let customer = self.customer.as_ref().map_or(&ANYWHERE, |it| &it.homes);
         [&self.route.homes, customer]
     }
 
-    /// Gives the event after which a stream goes on: the last passed, else the client's own.
+    /// Returns the event id after which a stream resumes: the last forwarded, or the client's own.
     pub fn resume_point(&self) -> Option<u64> {
         self.last_event.or(self.request.last_event)
     }
 
-    /// Gives the silence after which a call is taken for failed, if it may be repeated then.
+    /// Returns the silence after which a call counts as failed, if the request may be retried then.
     pub fn silence_timeout(&self, task: &Task, expected: Duration) -> Option<Duration> {
         match task {
             Task::Prefill => Some((expected * 3).max(self.route.target)),
@@ -186,13 +186,13 @@
         }
     }
 
-    /// Gives until when the prompt at the source can be counted on.
+    /// Returns the time until which the prompt at `source` is expected to exist.
     pub fn handle_end(&self) -> Time {
         let life = self.service.staged.map_or(Duration::ZERO, |it| it.handle_ttl);
         self.prefilled_at + life.mul_f64(HANDLE_TTL_SHARE)
     }
 
-    /// Gives the silence after an event after which a stream is taken for broken.
+    /// Returns the silence between events after which a stream counts as broken.
     pub fn gap_timeout(&self) -> Option<Duration> {
         if !self.route.is_idempotent() || self.route.kind != RouteKind::Stream {
             return None;
@@ -203,8 +203,9 @@
 }
 
 impl Call {
-    /// Tells whether an answer that begins now is late for the engine's own slowness: a plain one
-    /// after the route's target, a stream after the target or the end of a pause too long.
+    /// Returns whether an answer that begins now is late because the engine is slow. A plain answer
+    /// is late after the route's target. A stream is late after the target, or when a gap is longer
+    /// than allowed.
     pub fn is_slow(&self, now: Time, in_flight: &InFlight) -> bool {
         match self.task {
             Task::Prefill => false,
@@ -216,13 +217,13 @@
         }
     }
 
-    /// Tells whether the engine may run the request through this call.
+    /// Returns whether the engine may run the request through this call; a prefill doesn't run it.
     pub fn runs_request(&self) -> bool {
         self.task != Task::Prefill
     }
 }
 
-/// Gives a task's name for the log.
+/// Returns the name of a task as it appears in the log.
 pub fn task_name(task: &Task) -> &'static str {
     match task {
         Task::Plain => "plain",
