--- a/crates/hollyspoke-gateway/src/gateway/cached.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cached.rs
@@ -1,5 +1,5 @@
-//! The choice of an engine for a request that comes again: its prompt may still lie in the memory
-//! of an engine that has read it.
+//! The choice of an engine for a request whose prompt may still be cached by an engine from an
+//! earlier run.
 
 use super::Gateway;
 use super::start::NextCall;
@@ -11,8 +11,8 @@
 use crate::route::Staged;
 
 impl Gateway {
-    /// Chooses the next call of a request whose prompt some engine keeps: that engine if it
-    /// generates and has room, else another one that takes the prompt from there.
+    /// Chooses the next call of a request whose prompt is cached: the engine that has it if that
+    /// one decodes and has free capacity, otherwise another engine that imports the prompt from it.
     pub(super) fn next_cached(
         &self,
         in_flight: &InFlight,
@@ -29,25 +29,25 @@
         let keepers: Vec<_> = keepers.filter(|it| !it.health.is_poor(self.now)).collect();
         let held = in_flight.request.mean_held_tokens();
         let generators = keepers.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
-        // A kept prompt is no reason to wait for an engine in need: others read it in less.
+        // A cached prompt doesn't justify waiting for a rate-limited engine: others prefill it sooner.
         let at_once = generators.filter(|it| !view.must_ask(it.engine.key));
         let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| call_to_holder(it));
         own.chain(keepers.iter().filter_map(|it| call_to_importer(it, view, staged, held))).next()
     }
 }
 
-/// Tells whether an engine has just failed a request that may have begun there.
+/// Returns whether an engine has just failed the request after the request may have started there.
 fn has_failed(in_flight: &InFlight, engine: EngineKey) -> bool {
     in_flight.runs > 0 && in_flight.tried.last() == Some(&engine)
 }
 
-/// Makes the call to an engine that keeps the prompt.
+/// Returns the call to an engine that has the prompt cached.
 fn call_to_holder(keeper: &Known) -> NextCall {
     let choice = View::at(keeper);
     NextCall { task: Task::Decode(Prompt::Cached), choice, decode_engine: None }
 }
 
-/// Makes the call to an engine that takes the prompt from the one that keeps it.
+/// Returns the call to another engine, which imports the prompt from the one that has it cached.
 fn call_to_importer(
     keeper: &Known,
     view: &View<'_>,
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! What becomes of a call to an engine.
+//! The handling of the events of a call to an engine.
 
 use hollyspoke::time::Time;
 
@@ -12,18 +12,18 @@
 use crate::request::{CallKey, RequestKey};
 use crate::rest;
 
-/// The status of an answer as asked for.
+/// The status of a successful answer.
 const OK: u16 = 200;
 
-/// Statuses that promise a client that its request has not run; an engine's answer with one of
-/// them that does not prove it is not passed on.
+/// Statuses that promise a client that its request has not run. An engine's answer with one of them
+/// is not forwarded unless it proves that.
 const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
-/// The lowest status of an engine's own failure.
+/// The lowest status that reports a failure of the engine itself.
 const SERVER_ERROR: u16 = 500;
 
 impl Gateway {
-    /// Takes what happened to a call; one that was dropped before is ignored.
+    /// Handles an event of a call. Events of calls that were dropped before are ignored.
     pub(super) fn handle_call_event(&mut self, key: CallKey, event: CallEvent) {
         match event {
             CallEvent::NotConnected => self.call_not_connected(key),
@@ -34,7 +34,8 @@
         }
     }
 
-    /// The connection never opened: another engine can be asked at no charge.
+    /// The connection could not be opened: another engine can be tried without using the retry
+    /// budget.
     fn call_not_connected(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.record_unreachable(&call);
@@ -49,8 +50,8 @@
         self.proceed(call.request);
     }
 
-    /// The head of a stream has come: the client gets it, or the stream goes on behind what the
-    /// client has.
+    /// The head of a stream arrived: it is delivered to the client, or the stream resumes after the
+    /// events that the client already has.
     fn call_began(&mut self, key: CallKey, answer: &Answer) {
         let Some(call) = self.calls.get(&key).cloned() else { return };
         self.apply_answer(&call, answer);
@@ -80,7 +81,7 @@
         self.effects.push(effect);
     }
 
-    /// Events were given to the client.
+    /// Events were forwarded to the client.
     fn call_forwarded(&mut self, key: CallKey, id: Option<u64>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&key) else { return };
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A whole answer has come.
+    /// A complete answer arrived.
     fn call_answered(&mut self, key: CallKey, answer: Answer) {
         let Some(call) = self.take_call(key) else { return };
         self.apply_answer(&call, &answer);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// An engine has not run the request and said so.
+    /// An engine rejected the request and stated that it has not run it.
     fn engine_rejected(&mut self, call: &Call, answer: &Answer) {
         self.log_failure(call, "turned away", answer.status);
         let now = self.now;
@@ -123,10 +124,11 @@
         match call.task {
             Task::Prefill => {
                 in_flight.arrivals += 1;
-                // Another engine may read for it that does not rest; one try more is worth it.
+                // If the engine backs off, another one may do the prefill; one more attempt is
+                // allowed.
                 in_flight.prefill_failed = !rests || in_flight.rejections > 1;
             }
-            // One that rests says nothing of the prompt.
+            // A rejection by an engine that backs off doesn't show whether the prompt still exists.
             Task::Decode(Prompt::Prefilled(_)) if rests => {}
             Task::Decode(Prompt::Prefilled(_)) => self.prefill_handle_rejected(call.request),
             Task::Decode(_) | Task::Plain => {}
@@ -134,8 +136,8 @@
         self.proceed(call.request);
     }
 
-    /// An engine that was to generate turned a prompt away that was read for it. It was full, or
-    /// the prompt is gone, which a second engine shows.
+    /// A decode engine rejected the handle of a prefilled prompt. Either the engine was full, or
+    /// the prompt is gone, which the rejection by a second engine shows.
     fn prefill_handle_rejected(&mut self, key: RequestKey) {
         let now = self.now;
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
@@ -149,7 +151,7 @@
         self.free(source);
     }
 
-    /// A prompt was read for another engine.
+    /// A prefill for another engine ended.
     fn prefill_ended(&mut self, call: &Call, answer: Answer) {
         let handle = answer.handle.filter(|_| answer.status == OK);
         let Some(handle) = handle else {
@@ -169,7 +171,7 @@
         self.proceed(call.request);
     }
 
-    /// The reading of a prompt failed; the engine that generates reads it itself.
+    /// A prefill failed; the decode engine prefills the prompt itself.
     fn prefill_failed(&mut self, key: RequestKey) {
         if let Some(in_flight) = self.in_flight.get_mut(&key) {
             in_flight.prefill_failed = true;
@@ -178,7 +180,7 @@
         self.proceed(key);
     }
 
-    /// An engine ran the request to an end.
+    /// An engine ran the request to its end.
     fn request_ran(&mut self, key: CallKey, call: &Call, answer: &Answer) {
         let is_failure = answer.status >= SERVER_ERROR;
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
@@ -210,7 +212,7 @@
         self.end(call.request, "answered");
     }
 
-    /// A call ended without a whole answer after it was sent.
+    /// A call that was sent ended without a complete answer.
     fn call_broken(&mut self, key: CallKey) {
         let Some(call) = self.take_call(key) else { return };
         self.log_failure(&call, "broken", 0);
@@ -220,7 +222,7 @@
         self.call_lost(&call);
     }
 
-    /// Goes on after a call whose outcome is unknown.
+    /// Continues after a call whose outcome is unknown: retries the request or gives it up.
     pub(super) fn call_lost(&mut self, call: &Call) {
         if !call.runs_request() {
             return self.prefill_failed(call.request);
@@ -238,13 +240,13 @@
         self.give_up(call.request, NotRunReason::Rejected);
     }
 
-    /// Tells whether a request may be sent to one more engine.
+    /// Returns whether a request may be sent to another engine.
     fn can_retry(&self, key: RequestKey) -> bool {
         let Some(in_flight) = self.in_flight.get(&key) else { return false };
         in_flight.route.is_idempotent() && in_flight.may_run_again() && self.now < in_flight.ends
     }
 
-    /// Takes a call out, with its work.
+    /// Removes a call and the load that it added to its engine.
     pub(super) fn take_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
         if !call.has_begun {
@@ -262,15 +264,16 @@
         Some(call)
     }
 
-    /// Gives how soon others must hear that a call has ended. Where boxes are many, the end of a run
-    /// at an engine with much free memory can wait: nobody waits for what it frees.
+    /// Returns how soon the end of a call must be announced. Where there are many boxes, the end of
+    /// a run at an engine with plenty of free memory can wait, because no request waits for that
+    /// memory.
     fn end_urgency(&self, call: &Call) -> Urgency {
         let is_free = !self.is_scarce(call.engine.key);
         let can_wait = self.members.is_large() && call.load.reading == 0 && is_free;
         if can_wait { Urgency::Later } else { Urgency::Now }
     }
 
-    /// Notes that an engine has read the prompt of a call that goes on.
+    /// Records that an engine has prefilled the prompt of a call that continues.
     fn finish_prefill(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         let read = Load { reading: call.load.reading, calls: 0, held: 0 };
@@ -280,8 +283,8 @@
         }
     }
 
-    /// Learns from an answer: load, health (an answer that comes late counts as failed), and the
-    /// rate of reading. One of another engine at the same address says nothing of this one.
+    /// Updates the engine's reported load, its health and its prefill rate from an answer. A late
+    /// answer counts as a failure. An answer of another engine at the same address is ignored.
     fn apply_answer(&mut self, call: &Call, answer: &Answer) {
         if !self.is_of_this_life(call) || answer.execution == Execution::Replaced {
             return;
@@ -311,12 +314,12 @@
         }
     }
 
-    /// Measures an engine's rate of reading.
+    /// Measures the prefill rate of an engine.
     fn measure(&mut self, call: &Call, now: Time) {
         self.directory.measure(call.engine.key, call.queued_tokens, now.since(call.sent), now);
     }
 
-    /// Notes that an engine failed a call.
+    /// Records that an engine failed a call.
     fn record_failure(&mut self, call: &Call) {
         let now = self.now;
         if self.is_of_this_life(call)
@@ -326,7 +329,7 @@
         }
     }
 
-    /// Notes that an engine could not be reached, or fell silent.
+    /// Records that an engine could not be reached or timed out.
     pub(super) fn record_unreachable(&mut self, call: &Call) {
         if !self.is_of_this_life(call) {
             return;
@@ -338,7 +341,7 @@
         self.log(LogEvent::Avoided { id: call.engine.id.clone(), span });
     }
 
-    /// Adds a failed call to the log.
+    /// Logs a failed call.
     pub(super) fn log_failure(&mut self, call: &Call, outcome: &'static str, status: u16) {
         let Some(in_flight) = self.in_flight.get(&call.request) else { return };
         let request = in_flight.request.id.clone();
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for room in an engine's memory, and memory reserved for those whose prompt
-//! is being read.
+//! Requests that wait for free memory of an engine, and memory reserved for requests whose prompt
+//! is being prefilled.
 
 use hollyspoke::time::Time;
 
@@ -12,17 +12,19 @@
 use crate::message::Load;
 use crate::request::RequestKey;
 
-/// The share of the target for which a request waits before it is refused. Chosen by a sweep, with
-/// accounts that give nothing for a refusal, however early (`docs/design/shifted.md`): those that
-/// wait longer start late and hold memory that others need in time; less leaves room unused.
+/// The share of the target for which a request waits before it is refused. Requests that wait
+/// longer start late and hold memory that others need in time; a shorter wait leaves capacity
+/// unused. A refusal earns nothing in this trade-off, however early it comes
+/// (`docs/design/shifted.md`).
 const WAIT_SHARE: f64 = 0.22;
 
-/// The share of an engine's memory from which on it is scarce: boxes of other data centres may soon
-/// look for room there. The users' engines hold eight prompts of the mean length; three are in.
+/// The used share of an engine's memory from which on the memory is scarce, because boxes of other
+/// data centres may soon need some of it. An engine holds eight prompts of mean length; at this
+/// share three are in use.
 const SCARCE_SHARE: f64 = 0.4;
 
 impl Gateway {
-    /// Tells whether an engine's memory is scarce.
+    /// Returns whether an engine's memory is scarce.
     pub(super) fn is_scarce(&self, engine: EngineKey) -> bool {
         let Some(known) = self.directory.get(engine) else { return false };
         let configuration = self.configuration.as_ref();
@@ -32,7 +34,7 @@
         held >= staged.memory_tokens as f64 * SCARCE_SHARE
     }
 
-    /// Has a request wait for room, or gives it up if no room can come.
+    /// Lets a request wait for free capacity, or gives it up if none can become free.
     pub(super) fn wait_for_capacity(&mut self, key: RequestKey) {
         let Some(in_flight) = self.in_flight.get(&key) else { return };
         if let Some(wait) = self.kept_for(in_flight) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Has a request wait until a time, after which it is looked at again.
+    /// Lets a request wait until a time, after which it is checked again.
     pub(super) fn wait_until(&mut self, key: RequestKey, until: Time) {
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
         if in_flight.waits_until.replace(until).is_none() {
@@ -65,10 +67,10 @@
         self.wake_at(key, Some(until));
     }
 
-    /// Sends the waiting requests for which there is room now: those whose prompt was read first,
-    /// then those that can be in time, by their rank; of one rank first the ones whose client has
-    /// come back and has no further try, each in the order of arrival. A low rank does not starve:
-    /// requests wait for a short time at a box, and mostly alone.
+    /// Sends the waiting requests for which capacity is now free. Requests with a prefilled prompt
+    /// are first, then those that can still meet the target, by priority. Within a priority, those
+    /// whose client is retrying and won't retry again are first, each in the order of arrival. A
+    /// low priority doesn't starve: requests wait only briefly at a box, and mostly alone.
     pub(super) fn admit_waiting(&mut self) {
         if self.waiting.is_empty() {
             return;
@@ -93,7 +95,7 @@
         self.waiting.extend(waiting);
     }
 
-    /// Refuses a request for which no room came in time.
+    /// Refuses a request for which no capacity became free in time.
     pub(super) fn refuse_for_capacity(&mut self, key: RequestKey) {
         if let Some(wait) = self.in_flight.get(&key).and_then(|it| self.kept_for(it)) {
             return self.refuse_kept(key, wait);
@@ -103,7 +105,7 @@
         self.refuse_overloaded(key, wait);
     }
 
-    /// Reserves memory at the engine that is to generate.
+    /// Reserves memory at the engine chosen for decoding.
     pub(super) fn reserve(&mut self, key: RequestKey, engine: Option<EngineKey>) {
         let Some(engine) = engine else { return };
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Tells whether an engine could take the request if it had room.
+    /// Returns whether an engine could take the request if it had free capacity.
     fn may_get_capacity(&self, in_flight: &InFlight) -> bool {
         let mut open = self.directory.open(&in_flight.service.name, self.now);
         let leaving_for = self.leaving_for(in_flight);
@@ -132,7 +134,7 @@
         })
     }
 
-    /// Tells why no engine can take a request.
+    /// Returns why no engine can take a request.
     fn no_engine_reason(&self, in_flight: &InFlight) -> NotRunReason {
         let engines = || self.directory.of_service(&in_flight.service.name);
         let is_open = |it: &Known| it.is_open(self.now) && self.is_allowed_at(in_flight, it);
@@ -150,14 +152,14 @@
         }
     }
 
-    /// Tells whether a request may be served where an engine is.
+    /// Returns whether a request may be served in the data centre of an engine.
     pub(super) fn is_allowed_at(&self, in_flight: &InFlight, known: &Known) -> bool {
         let regions = &self.settings.regions;
         in_flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
     }
 }
 
-/// Gives until when a request may wait for room.
+/// Returns the time until which a request may wait for free capacity.
 fn wait_end(in_flight: &InFlight) -> Time {
     if in_flight.source.is_some() {
         return in_flight.handle_end();
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -1,4 +1,4 @@
-//! The end of a request: by its answer, its time, its client, or because nobody can take it.
+//! The end of a request: by its answer, its deadline, its client, or because no engine can take it.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use crate::effect::{Effect, Exclusion, LogEvent, NotRunReason, Refusal, Source};
 use crate::request::{CallKey, RequestKey};
 
-/// When a client may come back whose request no engine could take.
+/// When a client may retry a request that no engine could take.
 const RETRY_AFTER: Duration = Duration::from_millis(600);
 
 impl Gateway {
-    /// Looks at the requests that are due: their time has passed, or their engine is silent.
+    /// Checks the requests that are due: their deadline has passed, or their engine has been silent
+    /// too long.
     pub(super) fn expire(&mut self) {
         while let Some(&(due, key)) = self.due.first() {
             if due > self.now {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Looks at one request that is due.
+    /// Checks one request that is due.
     fn expire_one(&mut self, key: RequestKey) {
         let Some(in_flight) = self.in_flight.get(&key) else { return };
         if in_flight.ends <= self.now {
@@ -43,20 +44,20 @@
         self.time_out_call(key);
     }
 
-    /// Has a request looked at again at a time.
+    /// Schedules a check of a request at a time.
     pub(super) fn wake_at(&mut self, key: RequestKey, time: Option<Time>) {
         if let Some(time) = time {
             self.due.insert((time, key));
         }
     }
 
-    /// Gives a request its final answer because its time has passed.
+    /// Ends a request because its deadline has passed.
     fn time_out(&mut self, key: RequestKey) {
         self.give_up(key, NotRunReason::TimedOut);
     }
 
-    /// Drops a call whose engine is silent and goes on elsewhere, if the request may be sent
-    /// elsewhere. Else silence is no reason to end it.
+    /// Drops a call whose engine is silent, if the request may be sent to another engine. Otherwise
+    /// the call continues despite the silence.
     fn time_out_call(&mut self, key: RequestKey) {
         let Some(call_key) = self.in_flight.get(&key).and_then(|it| it.call) else { return };
         if !self.can_move(call_key) {
@@ -70,7 +71,7 @@
         self.call_lost(&call);
     }
 
-    /// Tells whether a request may be sent elsewhere while a call is under way.
+    /// Returns whether the request of an active call may be sent to another engine.
     fn can_move(&self, call_key: CallKey) -> bool {
         let Some(call) = self.calls.get(&call_key) else { return false };
         let Some(in_flight) = self.in_flight.get(&call.request) else { return false };
@@ -78,7 +79,7 @@
         !call.runs_request() || runs < in_flight.route.max_attempts
     }
 
-    /// Ends a request whose client has left.
+    /// Ends a request whose client has disconnected.
     pub(super) fn client_left(&mut self, key: RequestKey) {
         self.drop_call(key);
         if self.in_flight.get(&key).is_some_and(|it| !it.trace.is_sent()) {
@@ -92,7 +93,7 @@
         self.give_up_until(key, reason, RETRY_AFTER);
     }
 
-    /// Gives a request up; if it has not run, the client may come back after a time.
+    /// Gives a request up. If it has not run, the client may retry after `retry`.
     pub(super) fn give_up_until(&mut self, key: RequestKey, reason: NotRunReason, retry: Duration) {
         self.drop_call(key);
         let Some(in_flight) = self.in_flight.get(&key) else { return };
@@ -120,15 +121,15 @@
         self.end(key, outcome);
     }
 
-    /// Ends a begun answer visibly unfinished.
+    /// Aborts an answer that has begun, so that the client sees that it is incomplete.
     pub(super) fn abort(&mut self, key: RequestKey) {
         self.drop_call(key);
         self.effects.push(Effect::Abort(key));
         self.end(key, "broken off");
     }
 
-    /// Frees a prompt that was read, if there is one. An engine that takes nothing aside drops the
-    /// prompt by itself.
+    /// Frees a prefilled prompt, if there is one. An engine that accepts no calls from this box for
+    /// now drops the prompt by itself.
     pub(super) fn free(&mut self, source: Option<Source>) {
         if let Some(source) = source
             && self.takes_aside(source.engine)
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Removes a request and frees its prompt if nobody has taken it.
+    /// Removes a request and frees its prefilled prompt if no engine has imported it.
     pub(super) fn end(&mut self, key: RequestKey, outcome: &'static str) {
         self.unreserve(key);
         let Some(in_flight) = self.in_flight.remove(&key) else { return };
@@ -154,7 +155,8 @@
         self.log(LogEvent::Ended { request, customer, units, exclusions, outcome, after });
     }
 
-    /// Drops the call under way. If it could run the request, it may have.
+    /// Drops the active call. If the engine could run the request through it, the request may have
+    /// run.
     fn drop_call(&mut self, key: RequestKey) {
         let Some(call_key) = self.in_flight.get(&key).and_then(|it| it.call) else { return };
         let Some(call) = self.take_call(call_key) else { return };
--- a/crates/hollyspoke-gateway/src/gateway/retries.rs
+++ b/crates/hollyspoke-gateway/src/gateway/retries.rs
@@ -1,8 +1,8 @@
-//! Which calls are repeats, and what they take from their service's budget.
+//! Which calls count as retries, and how they use the retry budget of their service.
 //!
-//! A request's calls count from the second that comes to an engine. The reading of its prompt does
-//! not count if the engine takes it up; whether it does is known only by its answer, so that one
-//! that would be a repeat takes its token when it is sent.
+//! Of a request's calls, every one that reaches an engine after the first counts. A prefill doesn't
+//! count if the engine accepts it. Since only the answer shows that, a prefill that would be a
+//! retry takes its token when it is sent.
 
 use super::Gateway;
 use crate::budget::Part;
@@ -12,13 +12,14 @@
 use crate::route::Service;
 
 impl Gateway {
-    /// Adds what a request brings to its service's budget.
+    /// Credits a request to the retry budget of its service.
     pub(super) fn earn_retries(&mut self, service: &Service) {
         let part = Part { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
         self.budgets.entry(service.name.clone()).or_default().arrive(self.now, part);
     }
 
-    /// Takes a repeat from the budget of a request's service; tells whether there was one.
+    /// Takes a token for a retry from the budget of the request's service. Returns whether one was
+    /// available.
     pub(super) fn take_retry(&mut self, key: RequestKey) -> bool {
         let boxes = self.sharing_boxes();
         let part = Part { bound: &self.settings.retry_bound, boxes };
@@ -32,7 +33,8 @@
         is_sent
     }
 
-    /// Gives a call's repeat back, if it took one: it did not come to an engine, or does not count.
+    /// Returns the token of a call, if it took one, because the call didn't reach an engine or
+    /// doesn't count.
     pub(super) fn refund_retry(&mut self, call: &Call) {
         if !call.is_retry {
             return;
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! A request's arrival, and the choice of the engine for each of its calls.
+//! The arrival of a request, and the choice of an engine for each of its calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,43 +19,44 @@
 use crate::route::{Route, Staged};
 use crate::signature::Signature;
 
-/// When a client may come back that no configuration could be shown.
+/// When a client may retry a request that arrived before any configuration was known.
 const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(500);
 
-/// When a client may come back whose box is about to end.
+/// When a client may retry a request refused by a box that is about to stop.
 const STOPPING_RETRY: Duration = Duration::from_millis(50);
 
-/// The share of the target that reading for another engine may take before an engine that reads
-/// and generates is considered.
+/// The share of the target that a separate prefill may take before an engine that does both prefill
+/// and decode is considered.
 const SINGLE_ENGINE_SHARE: f64 = 0.4;
 
 /// The share of the target within which the first event must be expected.
 const LATEST_START_SHARE: f64 = 0.95;
 
-/// The share of the longest deadline on a route below which a request is taken for a repeated one.
+/// A request whose deadline is below this share of the route's longest deadline counts as a
+/// client's retry.
 const CLIENT_RETRY_SHARE: f64 = 0.97;
 
-/// The bounds of the time after which a client may come back.
+/// The shortest and longest time after which a client is told to retry.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(400), Duration::from_secs(6));
 
-/// The questions for permits of readers after which those of engines that read and generate are asked
-/// for: where all are in need, the readers' are gone first, and the generators' were left unused by 44
-/// in 100.
+/// The number of permit requests for prefill engines after which permits of engines that do both
+/// prefill and decode are requested. Where all engines are rate-limited, the permits of prefill
+/// engines run out first; otherwise 44 % of the decode engines' permits stayed unused.
 const PREFILL_PERMIT_REQUEST_COUNT: u32 = 2;
 
 /// The next call of a request.
 pub(super) struct NextCall {
-    /// What the engine is asked to do.
+    /// The operation requested of the engine.
     pub(super) task: Task,
-    /// The engine.
+    /// The engine, with the expected delay.
     pub(super) choice: Choice,
-    /// The engine that is to generate, if another reads the prompt for it.
+    /// The engine to decode, if a separate engine prefills the prompt for it.
     pub(super) decode_engine: Option<EngineKey>,
 }
 
 impl Gateway {
-    /// Takes a request that came whole.
+    /// Handles a request that has been received completely.
     pub(super) fn arrive(&mut self, key: RequestKey, request: Request) {
         let knows_rest = self.knows_cases() && self.knows_evacuation();
         let configuration = self.configuration.clone().filter(|_| knows_rest);
@@ -134,7 +135,7 @@
         self.proceed(key);
     }
 
-    /// Sends the next call of a request, has it wait for room, or gives it up.
+    /// Sends the next call of a request, lets it wait for free capacity, or gives it up.
     pub(super) fn proceed(&mut self, key: RequestKey) {
         if !self.check_again(key) {
             return;
@@ -159,8 +160,8 @@
         self.send(key, next, is_retry);
     }
 
-    /// Chooses the next call of a request, with a permit if its engine is in need; none if the request
-    /// waits or was refused.
+    /// Chooses the next call of a request and acquires a permit if the engine is rate-limited.
+    /// Returns none if the request waits or was refused.
     fn next_permitted(&mut self, key: RequestKey) -> Option<NextCall> {
         loop {
             let draw = self.draw();
@@ -170,7 +171,8 @@
             };
             let in_flight = &self.in_flight[&key];
             let latest = in_flight.route.target.mul_f64(LATEST_START_SHARE);
-            // A prompt that is late for its own length would be late at any time.
+            // A request that is late only because of its own prompt length would be late at any
+            // time.
             let has_queue = next.choice.ahead > in_flight.request.prompt_tokens_or_estimate();
             let is_late = next.choice.expected > latest && has_queue;
             if is_late && in_flight.call_count == 0 && !in_flight.is_client_retry {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Sends a call, for which a repeat was taken from the budget or not.
+    /// Sends a call; `is_retry` says whether it took a token from the retry budget.
     pub(super) fn send(&mut self, key: RequestKey, next: NextCall, is_retry: bool) {
         let call = CallKey(self.next_call);
         self.next_call += 1;
@@ -292,8 +294,8 @@
         self.effects.push(Effect::Send(send));
     }
 
-    /// Tells whether a client has come back with a request: it goes on behind an event, or less
-    /// time is left than others give.
+    /// Returns whether the client has sent the request before: it resumes a stream after an event,
+    /// or its deadline is shorter than those of other requests.
     fn is_client_retry(&mut self, route: &Arc<Route>, request: &Request) -> bool {
         if request.last_event.is_some() {
             return true;
@@ -310,7 +312,7 @@
         self.give_up_until(key, NotRunReason::Overloaded, wait.clamp(least, most));
     }
 
-    /// Refuses a request that was never taken up.
+    /// Refuses a request before it becomes in-flight.
     pub(super) fn refuse_on_arrival(
         &mut self,
         key: RequestKey,
@@ -323,7 +325,7 @@
         self.effects.push(Effect::Refuse(key, Refusal::NotRun(proof, reason, retry)));
     }
 
-    /// Adds the refusal of a request that was never taken up to the log.
+    /// Logs the refusal of a request that never became in-flight.
     pub(super) fn log_refusal(
         &mut self,
         request: &Request,
@@ -341,8 +343,8 @@
     }
 }
 
-/// Chooses the next call at a service with stages. A prompt is read for another engine only if that
-/// engine has room for it.
+/// Chooses the next call at a service with prefill and decode engines. A prompt is prefilled for
+/// another engine only if that engine has free capacity for it.
 fn next_staged(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
     let tokens = in_flight.request.prompt_tokens_or_estimate();
     let held = in_flight.request.mean_held_tokens();
@@ -360,7 +362,7 @@
         });
     }
     let alone = view.alone(staged, tokens, held);
-    // A request that waits for a permit of a reader asks for those of generators later.
+    // A request that waits for a prefill engine's permit requests those of decode engines later.
     let later = view.unasked();
     let decode = alone.clone().or_else(|| later.alone(staged, tokens, held))?;
     let uses_one_engine = in_flight.prefill_failed
@@ -383,7 +385,8 @@
     })
 }
 
-/// Chooses the next call of a request that may crash its engine: one engine does it all.
+/// Chooses the next call of a request that may crash its engine: a single engine does both prefill
+/// and decode.
 fn next_on_one_engine(in_flight: &InFlight, view: &View<'_>, staged: &Staged) -> Option<NextCall> {
     let (tokens, held) =
         (in_flight.request.prompt_tokens_or_estimate(), in_flight.request.mean_held_tokens());
@@ -391,12 +394,12 @@
     Some(NextCall { task: Task::Decode(Prompt::NotPrefilled), choice, decode_engine: None })
 }
 
-/// Gives the data centre of an engine, if it is still known.
+/// Returns the data centre of an engine, if the engine is still known.
 fn data_centre_of(view: &View<'_>, engine: EngineKey) -> Option<Arc<str>> {
     view.directory.get(engine).map(|it| it.engine.data_centre.clone())
 }
 
-/// Gives the work that a call is at its engine.
+/// Returns the load that a call adds to its engine.
 fn call_load(in_flight: &InFlight, task: &Task) -> Load {
     let narrow = |tokens: u64| u32::try_from(tokens).unwrap_or(u32::MAX / 4);
     let tokens = narrow(in_flight.request.prompt_tokens_or_estimate());
--- a/crates/hollyspoke-gateway/src/lib.rs
+++ b/crates/hollyspoke-gateway/src/lib.rs
@@ -5,9 +5,9 @@
 //! answers into events and carries the effects out.
 //!
 //! Imports go one way: `route`, `engine` and `request` at the ground, with what engines say of
-//! themselves (`statement`; `intake`, `departure` and `rest` keep it, together `terms`); `message`,
+//! themselves (`statement`; `rate_limit`, `departure` and `rest` keep it, together `terms`); `message`,
 //! `event` and `effect` above them; then one mechanism a file (`budget`, `health`, `load`, `directory`,
-//! `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`, `cold`, `permit`); `flight`
+//! `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`, `cold`, `permit`); `in_flight`
 //! follows one request; `gateway` composes all.
 
 pub mod budget;
--- a/crates/hollyspoke-gateway/src/rate_limit.rs
+++ b/crates/hollyspoke-gateway/src/rate_limit.rs
@@ -1,13 +1,13 @@
-//! How many requests a second engines take from all boxes together, as they say themselves.
+//! The rate limits that engines report for the requests of all boxes together.
 //!
-//! An engine in need names a limit in its answers, for as long as it holds. An answer without one
-//! lifts it, if the engine made it after the limit was named: its call was sent later than that.
-//! Answers to orders and questions name limits too, and lift none: what they lack proves nothing of
-//! what the engine says to requests.
+//! A rate-limited engine includes its limit in every answer for as long as the limit holds. An
+//! answer without a limit lifts it, if the call was sent after the limit was reported. Answers to
+//! orders and queries may set limits too, but never lift one: a missing limit there says nothing
+//! about the engine's answers to requests.
 //!
-//! Boxes tell each other, since one that sends an engine nothing can't learn from it. Words carry
-//! their age: the newer one holds, in whichever order they come. A wrong one lasts until the
-//! engine's next answer.
+//! Boxes announce limits to each other, because a box that sends an engine nothing can't learn its
+//! limit. Announcements carry their age, so that the newest one applies in whichever order they
+//! arrive. A wrong one lasts until the engine's next answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -17,89 +17,91 @@
 
 use crate::engine::{Engine, EngineKey};
 
-/// The lowest limit that is kept, in requests a second. An engine that names less, or none at all,
-/// still gets a request now and then: only an answer can tell that it is no longer in need.
+/// The lowest limit that is kept, in requests per second. An engine that reports less, or zero,
+/// still receives a request now and then, because only an answer can lift the limit.
 pub const MIN_RATE_PER_S: f64 = 0.05;
 
-/// The highest limit that is kept, in requests a second. The whole fleet gets 34,000 at its peak
-/// (`docs/CAPACITY.md`); an engine that takes a tenth of them alone is in no need.
+/// The highest limit that is kept, in requests per second. The whole fleet receives 34,000 at its
+/// peak (`docs/CAPACITY.md`); an engine that accepts a tenth of that alone needs no limit.
 pub const MAX_RATE_PER_S: f64 = 3400.0;
 
-/// How long it is kept that a limit was lifted, so that older words do not bring it back: longer than
-/// word of it takes to come to all boxes, also over some lost datagrams.
+/// How long a lifted limit is remembered, so that older announcements don't restore it. Longer than
+/// an announcement takes to reach all boxes, including some lost datagrams.
 const LIFTED_RETENTION: Duration = Duration::from_secs(10);
 
-/// What an answer says of the requests that its engine takes.
+/// What an answer reports about the engine's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Reported {
-    /// Nothing: it is not in need.
+    /// No limit.
     #[default]
     Nothing,
-    /// So many a second.
+    /// A limit in requests per second.
     Rate(f64),
-    /// Something that is no number.
+    /// A value that is not a number.
     Unreadable,
 }
 
-/// What one engine takes.
+/// The rate limit of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// The requests a second, from all boxes together.
+    /// The requests per second, from all boxes together.
     pub rate: f64,
-    /// The life of the engine that named it, if it tells.
+    /// The start time of the engine's incarnation that reported the limit, if known.
     born: Option<u64>,
-    /// When it was last named.
+    /// When the limit was last reported.
     named_at: Time,
 }
 
-/// What a box tells of an engine's limit.
+/// An announcement of an engine's rate limit by a box.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Announcement {
     /// The engine.
     pub engine: EngineKey,
-    /// The life of the engine that is spoken of, if it tells.
+    /// The start time of the engine's incarnation, if known.
     pub born: Option<u64>,
-    /// The requests a second that it takes; none if the limit was lifted.
+    /// The limit in requests per second; absent if it was lifted.
     pub rate: Option<f64>,
-    /// How long ago that was so, in milliseconds.
+    /// The age of the information, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What has become of an engine's limit.
+/// A change of an engine's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// A limit was named, in requests a second; the one that is kept for it.
+    /// A limit was reported, in requests per second; the second value is the limit that is kept for
+    /// it.
     Named(f64, f64),
-    /// Something was named that is no number; what was known is kept.
+    /// A value that is not a number was reported; the known limit is kept.
     Unreadable,
     /// The limit was lifted.
     Lifted,
 }
 
-/// The limits of all engines that have one.
+/// The rate limits of all engines that have one.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    /// The limits.
+    /// The limits by engine.
     limits: BTreeMap<EngineKey, Limit>,
-    /// The engines whose last word was no number.
+    /// The engines whose last reported value was not a number.
     unreadable: BTreeSet<EngineKey>,
-    /// The engines whose limit was lifted of late: of which life, and when.
+    /// The engines whose limit was lifted recently, with the start time of the incarnation and the
+    /// time of the change.
     lifted: BTreeMap<EngineKey, (Option<u64>, Time)>,
 }
 
 impl Table {
-    /// Gives what an engine takes, if it has named a limit.
+    /// Returns the limit of an engine, if it has one.
     pub fn of(&self, engine: EngineKey) -> Option<Limit> {
         self.limits.get(&engine).copied()
     }
 
-    /// Tells whether no engine has a limit.
+    /// Returns whether no engine has a limit.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Learns from an engine's own answer to something that was sent at a time; gives what has
-    /// changed. Only answers that `may_lift` lift a limit.
+    /// Applies what an engine reported in the answer to a call or query sent at `sent`. Returns the
+    /// change, if any. A limit is lifted only if `may_lift`.
     pub fn learn(
         &mut self,
         engine: &Engine,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Takes a limit that an engine names.
+    /// Records a limit that an engine reported.
     fn name(&mut self, engine: &Engine, told: f64, now: Time) -> Option<Change> {
         self.unreadable.remove(&engine.key);
         if told > MAX_RATE_PER_S {
@@ -129,14 +131,14 @@
         is_new.then_some(Change::Named(told, rate))
     }
 
-    /// Sets an engine's limit; tells whether it is another rate than before.
+    /// Sets an engine's limit. Returns whether the rate changed.
     fn set(&mut self, engine: EngineKey, limit: Limit) -> bool {
         self.lifted.remove(&engine);
         let before = self.limits.insert(engine, limit);
         before.is_none_or(|it| it.rate != limit.rate)
     }
 
-    /// Takes word that an engine had no limit any more when it answered something sent at a time.
+    /// Lifts an engine's limit, if it was last reported no later than `sent`.
     fn lift(&mut self, engine: EngineKey, sent: Time) -> Option<Change> {
         let limit = *self.limits.get(&engine).filter(|it| it.named_at <= sent)?;
         self.limits.remove(&engine);
@@ -145,8 +147,8 @@
         Some(Change::Lifted)
     }
 
-    /// Takes what another box tells, if it is newer than what is known; gives what has changed. The
-    /// life of the engine that is listed is given, if it tells.
+    /// Applies an announcement of another box if it is newer than the known state. Returns the
+    /// change, if any. `listed` is the start time of the listed incarnation, if known.
     pub fn hear(&mut self, word: &Announcement, listed: Option<u64>, now: Time) -> Option<Change> {
         if word.born < listed {
             return None;
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Gives what there is to tell of an engine.
+    /// Returns the announcement of an engine's limit or of its lifting, if there is one.
     pub fn word(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         if let Some(limit) = self.limits.get(&engine) {
@@ -181,25 +183,27 @@
         Some(Announcement { engine, born, rate: None, age_ms: age(at) })
     }
 
-    /// Gives some engines that have a limit, behind one in their order or from the first on.
+    /// Returns up to `most` engines that have a limit, in key order after `after` or from the
+    /// first.
     pub fn limited_after(&self, after: Option<EngineKey>, most: usize) -> Vec<EngineKey> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.limits.range((from, Bound::Unbounded)).take(most).map(|(&it, _)| it).collect()
     }
 
-    /// Gives the engines whose limit was lifted of late.
+    /// Returns the engines whose limit was lifted recently.
     pub fn lifted(&self) -> impl Iterator<Item = EngineKey> {
         self.lifted.keys().copied()
     }
 
-    /// Forgets what was lifted long ago, and engines or lives of them that are not listed any more.
+    /// Removes limits that were lifted long ago, and engines or incarnations that are no longer
+    /// listed.
     pub fn sweep(&mut self, now: Time, is_listed: impl Fn(EngineKey, Option<u64>) -> bool) {
         self.limits.retain(|&engine, it| is_listed(engine, it.born));
         self.unreadable.retain(|&engine| is_listed(engine, None));
         self.lifted.retain(|_, (_, at)| now.since(*at) < LIFTED_RETENTION);
     }
 
-    /// Forgets what an engine has said, since that life of it has ended.
+    /// Removes everything reported by an engine, because its incarnation has ended.
     pub fn forget(&mut self, engine: EngineKey) {
         self.limits.remove(&engine);
         self.unreadable.remove(&engine);
