--- a/crates/hollyspoke-gateway/src/budget.rs
+++ b/crates/hollyspoke-gateway/src/budget.rs
@@ -39,7 +39,7 @@
 
 /// The boxes that share a bound, from which the part of one box follows.
 #[derive(Debug, Clone, Copy)]
-pub struct Part<'a> {
+pub struct Share<'a> {
     /// The bound.
     pub bound: &'a Bound,
     /// The number of boxes that may be alive.
@@ -57,7 +57,7 @@
     boxes: usize,
 }
 
-impl Part<'_> {
+impl Share<'_> {
     /// Returns this box's part of the allowance.
     fn allowance(self) -> f64 {
         self.bound.allowance * USED_SHARE / self.boxes.max(1) as f64
@@ -76,14 +76,14 @@
 
 impl Budget {
     /// Adds the tokens for a request that arrived.
-    pub fn arrive(&mut self, now: Time, part: Part<'_>) {
-        self.refill(now, part);
-        self.add(part.bound.ratio * USED_SHARE, part);
+    pub fn add_request(&mut self, now: Time, share: Share<'_>) {
+        self.refill(now, share);
+        self.add(share.bound.ratio * USED_SHARE, share);
     }
 
     /// Takes a token for a retry. Returns whether one was available.
-    pub fn take(&mut self, now: Time, part: Part<'_>) -> bool {
-        self.refill(now, part);
+    pub fn take(&mut self, now: Time, share: Share<'_>) -> bool {
+        self.refill(now, share);
         let has_one = self.available >= 1.0;
         if has_one {
             self.available -= 1.0;
@@ -92,9 +92,9 @@
     }
 
     /// Returns the token of a call that turned out not to count.
-    pub fn refund(&mut self, now: Time, part: Part<'_>) {
-        self.refill(now, part);
-        self.add(1.0, part);
+    pub fn refund(&mut self, now: Time, share: Share<'_>) {
+        self.refill(now, share);
+        self.add(1.0, share);
     }
 
     /// Returns the tokens in the bucket, as of the last operation.
@@ -104,16 +104,16 @@
 
     /// Adds the tokens accrued up to a time. If there are fewer boxes than before, the time up to
     /// now accrues at the rate for the larger number.
-    fn refill(&mut self, now: Time, part: Part<'_>) {
-        let before = Part { boxes: part.boxes.max(self.boxes), ..part };
+    fn refill(&mut self, now: Time, share: Share<'_>) {
+        let before = Share { boxes: share.boxes.max(self.boxes), ..share };
         let elapsed = now.since(self.refilled_at);
         self.refilled_at = now;
-        self.boxes = part.boxes;
-        self.add(before.tokens_per_s() * elapsed.as_secs_f64(), part);
+        self.boxes = share.boxes;
+        self.add(before.tokens_per_s() * elapsed.as_secs_f64(), share);
     }
 
     /// Adds tokens, up to the capacity of the bucket.
-    fn add(&mut self, tokens: f64, part: Part<'_>) {
-        self.available = (self.available + tokens).min(part.capacity());
+    fn add(&mut self, tokens: f64, share: Share<'_>) {
+        self.available = (self.available + tokens).min(share.capacity());
     }
 }
--- a/crates/hollyspoke-gateway/src/effect.rs
+++ b/crates/hollyspoke-gateway/src/effect.rs
@@ -247,7 +247,7 @@
         /// The engine's id.
         id: Arc<str>,
         /// How long the engine is avoided.
-        span: Duration,
+        duration: Duration,
     },
     /// The rate limit of an engine changed.
     Limited {
@@ -332,9 +332,9 @@
         /// The HTTP status, 0 if none was received.
         status: u16,
         /// The load that the engine reported last.
-        told: Option<ToldLoad>,
+        reported_load: Option<ToldLoad>,
         /// The load of all boxes at the engine, as known to this box.
-        known: Load,
+        total_load: Load,
     },
     /// A request ended.
     Ended {
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -125,13 +125,13 @@
     /// The configuration in force.
     configuration: Option<Arc<Configuration>>,
     /// Whether the engines have ever been listed.
-    is_listed: bool,
+    are_engines_listed: bool,
     /// The known engines.
     directory: Directory,
     /// The data centres whose engines receive no requests.
     evacuations: Evacuations,
     /// When this box last sent requests to cold engines.
-    turns: Turns,
+    cold_turns: Turns,
     /// The terms that engines have reported and that bind every sender.
     terms: Terms,
     /// The permits to send to rate-limited engines.
@@ -200,7 +200,7 @@
     /// When the process was told to stop.
     stopped_at: Option<Time>,
     /// The random number generator.
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
     /// The effects of the current event.
     effects: Vec<Effect>,
 }
@@ -208,7 +208,7 @@
 impl Gateway {
     /// Creates a gateway with no knowledge of engines, boxes or configuration.
     pub fn new(settings: Settings) -> Gateway {
-        let random = Pcg64Mcg::seed_from_u64(settings.incarnation);
+        let rng = Pcg64Mcg::seed_from_u64(settings.incarnation);
         let heartbeats = settings.incarnation as u32;
         let stages = Stages::new(&settings);
         Gateway {
@@ -219,10 +219,10 @@
             settings,
             now: Time::ZERO,
             configuration: None,
-            is_listed: false,
+            are_engines_listed: false,
             directory: Directory::default(),
             evacuations: Evacuations::default(),
-            turns: Turns::default(),
+            cold_turns: Turns::default(),
             terms: Terms::default(),
             permits: Permits::default(),
             ledger: Ledger::default(),
@@ -252,7 +252,7 @@
             heartbeats,
             heartbeat_to_all: true,
             stopped_at: None,
-            random,
+            rng,
             effects: Vec::new(),
         }
     }
@@ -420,8 +420,8 @@
 
     /// Returns whether this box knows everything it needs to serve requests.
     fn may_serve(&self) -> bool {
-        let has_prefilled = self.configuration.is_some() && self.is_listed;
-        has_prefilled && self.knows_cases() && self.knows_evacuation()
+        let has_loaded = self.configuration.is_some() && self.are_engines_listed;
+        has_loaded && self.knows_cases() && self.knows_evacuation()
     }
 
     /// Returns whether a stopping box no longer accepts requests.
@@ -432,11 +432,11 @@
 
     /// Returns whether a request with a timeout could still be in flight when a stopping process
     /// must end.
-    fn exceeds_grace(&self, held: Duration) -> bool {
+    fn exceeds_grace(&self, timeout: Duration) -> bool {
         let Some(stopped_at) = self.stopped_at else { return false };
         let since = self.now.since(stopped_at);
         let left = self.settings.grace.saturating_sub(since + GRACE_MARGIN);
-        since >= self.settings.grace.mul_f64(ALL_REQUESTS_SHARE) && held > left
+        since >= self.settings.grace.mul_f64(ALL_REQUESTS_SHARE) && timeout > left
     }
 
     /// Records that the process was told to stop.
@@ -463,6 +463,6 @@
 
     /// Returns a random number.
     fn draw(&mut self) -> u64 {
-        self.random.next_u64()
+        self.rng.next_u64()
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/cached.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cached.rs
@@ -23,41 +23,41 @@
             return None;
         }
         let prompt = in_flight.request.prompt?;
-        let keepers = self.prompts.keepers(prompt).filter(|&it| !has_failed(in_flight, it));
-        let keepers = keepers.filter_map(|it| self.directory.get(it));
-        let keepers = keepers.filter(|it| !it.is_evacuated());
-        let keepers: Vec<_> = keepers.filter(|it| !it.health.is_poor(self.now)).collect();
+        let holders = self.prompts.keepers(prompt).filter(|&it| !has_failed(in_flight, it));
+        let holders = holders.filter_map(|it| self.directory.get(it));
+        let holders = holders.filter(|it| !it.is_evacuated());
+        let holders: Vec<_> = holders.filter(|it| !it.health.is_poor(self.now)).collect();
         let held = in_flight.request.mean_held_tokens();
-        let generators = keepers.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
+        let decode_engines = holders.iter().filter(|it| it.engine.stage != Some(Stage::Prefill));
         // A cached prompt doesn't justify waiting for a rate-limited engine: others prefill it sooner.
-        let at_once = generators.filter(|it| !view.must_ask(it.engine.key));
+        let at_once = decode_engines.filter(|it| !view.must_ask(it.engine.key));
         let own = at_once.filter(|it| view.has_room(it, staged, held)).map(|it| call_to_holder(it));
-        own.chain(keepers.iter().filter_map(|it| call_to_importer(it, view, staged, held))).next()
+        own.chain(holders.iter().filter_map(|it| call_to_importer(it, view, staged, held))).next()
     }
 }
 
 /// Returns whether an engine has just failed the request after the request may have started there.
 fn has_failed(in_flight: &InFlight, engine: EngineKey) -> bool {
-    in_flight.runs > 0 && in_flight.tried.last() == Some(&engine)
+    in_flight.run_count > 0 && in_flight.tried.last() == Some(&engine)
 }
 
 /// Returns the call to an engine that has the prompt cached.
-fn call_to_holder(keeper: &Known) -> NextCall {
-    let choice = View::at(keeper);
+fn call_to_holder(holder: &Known) -> NextCall {
+    let choice = View::at(holder);
     NextCall { task: Task::Decode(Prompt::Cached), choice, decode_engine: None }
 }
 
 /// Returns the call to another engine, which imports the prompt from the one that has it cached.
 fn call_to_importer(
-    keeper: &Known,
+    holder: &Known,
     view: &View<'_>,
     staged: &Staged,
     held: u64,
 ) -> Option<NextCall> {
-    let choice = view.generating(staged, held, &keeper.engine.data_centre, None)?;
-    if choice.engine.key == keeper.engine.key {
+    let choice = view.generating(staged, held, &holder.engine.data_centre, None)?;
+    if choice.engine.key == holder.engine.key {
         return None;
     }
-    let prompt = Prompt::CachedAt(keeper.engine.address);
+    let prompt = Prompt::CachedAt(holder.engine.address);
     Some(NextCall { task: Task::Decode(prompt), choice, decode_engine: None })
 }
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -63,7 +63,7 @@
         }
         let now = self.now;
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
-        in_flight.runs += 1;
+        in_flight.run_count += 1;
         in_flight.trace.mark_sent();
         in_flight.source = None;
         if let Some(prompt) = in_flight.request.prompt {
@@ -118,7 +118,7 @@
             known.turn_away(call.load.held, now);
             self.unannounced.full.push(Full { engine: call.engine.key, held: call.load.held });
         }
-        let rests = matches!(answer.statement.rest, rest::Told::Span(_));
+        let backs_off = matches!(answer.statement.rest, rest::Told::Span(_));
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.rejections += 1;
         match call.task {
@@ -126,10 +126,10 @@
                 in_flight.arrivals += 1;
                 // If the engine backs off, another one may do the prefill; one more attempt is
                 // allowed.
-                in_flight.prefill_failed = !rests || in_flight.rejections > 1;
+                in_flight.prefill_failed = !backs_off || in_flight.rejections > 1;
             }
             // A rejection by an engine that backs off doesn't show whether the prompt still exists.
-            Task::Decode(Prompt::Prefilled(_)) if rests => {}
+            Task::Decode(Prompt::Prefilled(_)) if backs_off => {}
             Task::Decode(Prompt::Prefilled(_)) => self.prefill_handle_rejected(call.request),
             Task::Decode(_) | Task::Plain => {}
         }
@@ -192,7 +192,7 @@
             return self.end(call.request, "whole");
         }
         if let Some(in_flight) = self.in_flight.get_mut(&call.request) {
-            in_flight.runs += 1;
+            in_flight.run_count += 1;
         }
         if is_failure {
             self.log_failure(call, "failed", answer.status);
@@ -229,7 +229,7 @@
         }
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         if !call.has_begun {
-            in_flight.runs += 1;
+            in_flight.run_count += 1;
         }
         in_flight.trace.mark_sent();
         in_flight.source = None;
@@ -243,7 +243,9 @@
     /// Returns whether a request may be sent to another engine.
     fn can_retry(&self, key: RequestKey) -> bool {
         let Some(in_flight) = self.in_flight.get(&key) else { return false };
-        in_flight.route.is_idempotent() && in_flight.may_run_again() && self.now < in_flight.ends
+        in_flight.route.is_idempotent()
+            && in_flight.may_run_again()
+            && self.now < in_flight.deadline
     }
 
     /// Removes a call and the load that it added to its engine.
@@ -276,10 +278,10 @@
     /// Records that an engine has prefilled the prompt of a call that continues.
     fn finish_prefill(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
-        let read = Load { reading: call.load.reading, calls: 0, held: 0 };
+        let prefilled = Load { reading: call.load.reading, calls: 0, held: 0 };
         call.load.reading = 0;
-        if read.reading > 0 {
-            self.ledger.remove(call.engine.key, read, Urgency::Now);
+        if prefilled.reading > 0 {
+            self.ledger.remove(call.engine.key, prefilled, Urgency::Now);
         }
     }
 
@@ -336,9 +338,9 @@
         }
         let now = self.now;
         let Some(known) = self.directory.get_mut(call.engine.key) else { return };
-        let span = known.health.miss(now);
+        let duration = known.health.miss(now);
         self.unannounced.missed.push(call.engine.key);
-        self.log(LogEvent::Avoided { id: call.engine.id.clone(), span });
+        self.log(LogEvent::Avoided { id: call.engine.id.clone(), duration });
     }
 
     /// Logs a failed call.
@@ -347,8 +349,9 @@
         let request = in_flight.request.id.clone();
         let (signature, path) = (in_flight.signature, in_flight.request.path.as_str().into());
         let engine = call.engine.id.clone();
-        let told = self.directory.get(call.engine.key).and_then(|it| it.told).map(|it| it.0);
-        let known = self.ledger.at(call.engine.key);
+        let reported_load =
+            self.directory.get(call.engine.key).and_then(|it| it.told).map(|it| it.0);
+        let total_load = self.ledger.at(call.engine.key);
         self.log(LogEvent::Failed {
             request,
             signature,
@@ -356,8 +359,8 @@
             engine,
             outcome,
             status,
-            told,
-            known,
+            reported_load,
+            total_load,
         });
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -165,7 +165,7 @@
         return in_flight.handle_end();
     }
     if in_flight.call_count > 0 {
-        return in_flight.ends;
+        return in_flight.deadline;
     }
     in_flight.arrived + in_flight.route.target.mul_f64(WAIT_SHARE)
 }
--- a/crates/hollyspoke-gateway/src/gateway/cold.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cold.rs
@@ -14,7 +14,7 @@
     /// Notes that a call is sent to an engine, if that is cold.
     pub(super) fn note_cold(&mut self, engine: EngineKey) {
         if self.directory.get(engine).is_some_and(|it| it.is_cold(self.now)) {
-            self.turns.note(engine, self.now);
+            self.cold_turns.note(engine, self.now);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -27,7 +27,7 @@
     /// Checks one request that is due.
     fn expire_one(&mut self, key: RequestKey) {
         let Some(in_flight) = self.in_flight.get(&key) else { return };
-        if in_flight.ends <= self.now {
+        if in_flight.deadline <= self.now {
             return self.time_out(key);
         }
         if self.is_asked_in_vain(in_flight) {
@@ -75,8 +75,8 @@
     fn can_move(&self, call_key: CallKey) -> bool {
         let Some(call) = self.calls.get(&call_key) else { return false };
         let Some(in_flight) = self.in_flight.get(&call.request) else { return false };
-        let runs = in_flight.runs + u32::from(call.runs_request() && !call.has_begun);
-        !call.runs_request() || runs < in_flight.route.max_attempts
+        let run_count = in_flight.run_count + u32::from(call.runs_request() && !call.has_begun);
+        !call.runs_request() || run_count < in_flight.route.max_attempts
     }
 
     /// Ends a request whose client has disconnected.
@@ -90,11 +90,16 @@
 
     /// Gives a request up.
     pub(super) fn give_up(&mut self, key: RequestKey, reason: NotRunReason) {
-        self.give_up_until(key, reason, RETRY_AFTER);
+        self.give_up_with_retry(key, reason, RETRY_AFTER);
     }
 
     /// Gives a request up. If it has not run, the client may retry after `retry`.
-    pub(super) fn give_up_until(&mut self, key: RequestKey, reason: NotRunReason, retry: Duration) {
+    pub(super) fn give_up_with_retry(
+        &mut self,
+        key: RequestKey,
+        reason: NotRunReason,
+        retry: Duration,
+    ) {
         self.drop_call(key);
         let Some(in_flight) = self.in_flight.get(&key) else { return };
         if in_flight.has_begun {
@@ -102,7 +107,7 @@
         }
         let refusal = match in_flight.trace.not_run() {
             Some(proof) => Refusal::NotRun(proof, reason, retry),
-            None if in_flight.ends <= self.now => Refusal::TimedOut,
+            None if in_flight.deadline <= self.now => Refusal::TimedOut,
             None => Refusal::Failed,
         };
         let outcome = match refusal {
@@ -142,7 +147,7 @@
     pub(super) fn end(&mut self, key: RequestKey, outcome: &'static str) {
         self.unreserve(key);
         let Some(in_flight) = self.in_flight.remove(&key) else { return };
-        self.due.remove(&(in_flight.ends, key));
+        self.due.remove(&(in_flight.deadline, key));
         self.free(in_flight.source);
         let after = self.now.since(in_flight.arrived);
         let customer = in_flight.customer.map(|it| it.name.clone());
--- a/crates/hollyspoke-gateway/src/gateway/era.rs
+++ b/crates/hollyspoke-gateway/src/gateway/era.rs
@@ -35,7 +35,7 @@
         self.store.era = Some(era);
         self.stages.enter_era(self.now, era);
         let revision = self.directory.complete();
-        let knew_earlier = before.is_some() || (self.is_listed && revision.era < era);
+        let knew_earlier = before.is_some() || (self.are_engines_listed && revision.era < era);
         if knew_earlier {
             self.log(LogEvent::StoreReturned { era, revision, announced_by });
             self.write_and_read_again();
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -15,7 +15,7 @@
     pub fn question(&self) -> Question {
         Question {
             version: self.version().unwrap_or(0),
-            revision: self.is_listed.then(|| self.directory.complete()),
+            revision: self.are_engines_listed.then(|| self.directory.complete()),
         }
     }
 
@@ -24,7 +24,7 @@
         let configuration = self.configuration.as_ref();
         let newer = configuration.filter(|it| it.version > question.version);
         let version = newer.map(|it| Version::of(it));
-        let listing = self.is_listed.then(|| self.listing(question.revision)).flatten();
+        let listing = self.are_engines_listed.then(|| self.listing(question.revision)).flatten();
         let departures = self.all_departures();
         Snapshot { version, listing, evacuation: self.evacuations.newest().clone(), departures }
     }
@@ -58,11 +58,11 @@
         }
         match snapshot.listing {
             Some(Listing::Whole { engines, revision })
-                if !self.is_listed || revision > self.directory.complete() =>
+                if !self.are_engines_listed || revision > self.directory.complete() =>
             {
                 self.list(engines, revision);
             }
-            Some(Listing::Changes { changes, revision }) if self.is_listed => {
+            Some(Listing::Changes { changes, revision }) if self.are_engines_listed => {
                 self.catch_up(&changes, revision);
             }
             Some(_) | None => {}
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -35,7 +35,7 @@
     /// Learns from an answer to something that was sent at a time.
     fn learn_limit_of(&mut self, engine: EngineKey, told: Reported, sent: Time, may_lift: bool) {
         let Some(known) = self.directory.get(engine) else { return };
-        let change = self.terms.limits.learn(&known.engine, told, sent, may_lift, self.now);
+        let change = self.terms.limits.apply_report(&known.engine, told, sent, may_lift, self.now);
         if let Some(change) = change {
             self.unannounced.limits.push(engine);
             self.limit_changed(engine, change, None, Duration::ZERO);
@@ -53,7 +53,9 @@
     /// Takes what another box tells of one engine's limit.
     fn hear_limit(&mut self, word: &Announcement, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
-        if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
+        if let Some(change) =
+            self.terms.limits.apply_announcement(word, known.engine.born, self.now)
+        {
             let age = Duration::from_millis(u64::from(word.age_ms));
             self.limit_changed(word.engine, change, Some(sender), age);
         }
@@ -86,8 +88,10 @@
     /// have told is not passed on: all would tell all.
     pub(super) fn tell_limits(&mut self) {
         let changed = std::mem::take(&mut self.unannounced.limits);
-        let limits: Vec<_> =
-            changed.into_iter().filter_map(|it| self.terms.limits.word(it, self.now)).collect();
+        let limits: Vec<_> = changed
+            .into_iter()
+            .filter_map(|it| self.terms.limits.announcement(it, self.now))
+            .collect();
         if !limits.is_empty() {
             let extension = Extension { limits, ..Extension::default() }.filled();
             let message = Message { extension, ..self.message(false) };
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -110,7 +110,7 @@
             return flight.handle_end();
         }
         let begun = if flight.call_count == 0 { flight.arrived } else { self.now };
-        (begun + span).min(flight.ends)
+        (begun + span).min(flight.deadline)
     }
 
     /// Gets a permit for a request that is to go to an engine, if it needs one.
@@ -185,7 +185,7 @@
         patience: Duration,
         issuer: SocketAddr,
     ) {
-        let Some(word) = self.terms.limits.word(engine, self.now) else { return };
+        let Some(word) = self.terms.limits.announcement(engine, self.now) else { return };
         self.permits.last += 1;
         let number = self.permits.last;
         let patience_ms = whole_millis(patience);
@@ -337,7 +337,7 @@
     pub(super) fn limits_to_tell(&self) -> Vec<Announcement> {
         let issued = self.permits.issued.iter().copied();
         let lifted = self.terms.limits.lifted().filter(|&it| self.issues(it));
-        issued.chain(lifted).filter_map(|it| self.terms.limits.word(it, self.now)).collect()
+        issued.chain(lifted).filter_map(|it| self.terms.limits.announcement(it, self.now)).collect()
     }
 
     /// Begins to issue the permits of an engine that has just named a limit, if this box issues them.
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -65,7 +65,7 @@
         let Some(flight) = self.in_flight.get(&call.request) else { return };
         let (signature, about) = (flight.signature, about(flight));
         let engine = &call.engine;
-        if !self.quarantine.suspect(signature, call.stand, engine, about, self.now) {
+        if !self.quarantine.suspect(signature, call.case_state, engine, about, self.now) {
             return;
         }
         if is_back {
@@ -172,7 +172,7 @@
             Verdict::Trial if !self.is_tried(key, signature) => return true,
             Verdict::Trial => self.wait_for_trial(key),
             Verdict::Doubted => {
-                self.give_up_until(key, NotRunReason::UnderSuspicion, DOUBTED_RETRY)
+                self.give_up_with_retry(key, NotRunReason::UnderSuspicion, DOUBTED_RETRY)
             }
             Verdict::Held => self.hold_back(key),
         }
@@ -203,7 +203,7 @@
         if flight.waits_until.is_some() {
             return;
         }
-        let until = flight.ends.min(self.now + TRIAL_WAIT);
+        let until = flight.deadline.min(self.now + TRIAL_WAIT);
         flight.waits_until = Some(until);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
@@ -211,7 +211,7 @@
 
     /// Gives the engines at which requests are tried that are all but held back.
     pub(super) fn trials(&self) -> Vec<EngineKey> {
-        self.calls.values().filter(|it| it.stand.is_last()).map(|it| it.engine.key).collect()
+        self.calls.values().filter(|it| it.case_state.is_last()).map(|it| it.engine.key).collect()
     }
 
     /// Takes what another box tells of requests under which engines have crashed.
@@ -242,7 +242,8 @@
     /// Takes the crashes for proven whose engine is listed in a later life, or not any more. A box that
     /// has started since sees no change that tells it.
     fn prove_by_list(&mut self) {
-        if self.quarantine.is_empty() || !self.is_listed || self.missing_until().is_some() {
+        if self.quarantine.is_empty() || !self.are_engines_listed || self.missing_until().is_some()
+        {
             return;
         }
         for (life, since) in self.quarantine.unproven() {
--- a/crates/hollyspoke-gateway/src/gateway/retries.rs
+++ b/crates/hollyspoke-gateway/src/gateway/retries.rs
@@ -5,7 +5,7 @@
 //! retry takes its token when it is sent.
 
 use super::Gateway;
-use crate::budget::Part;
+use crate::budget::Share;
 use crate::effect::LogEvent;
 use crate::in_flight::Call;
 use crate::request::RequestKey;
@@ -14,18 +14,18 @@
 impl Gateway {
     /// Credits a request to the retry budget of its service.
     pub(super) fn earn_retries(&mut self, service: &Service) {
-        let part = Part { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
-        self.budgets.entry(service.name.clone()).or_default().arrive(self.now, part);
+        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        self.budgets.entry(service.name.clone()).or_default().add_request(self.now, share);
     }
 
     /// Takes a token for a retry from the budget of the request's service. Returns whether one was
     /// available.
     pub(super) fn take_retry(&mut self, key: RequestKey) -> bool {
         let boxes = self.sharing_boxes();
-        let part = Part { bound: &self.settings.retry_bound, boxes };
+        let share = Share { bound: &self.settings.retry_bound, boxes };
         let Some(in_flight) = self.in_flight.get(&key) else { return false };
         let Some(budget) = self.budgets.get_mut(&in_flight.service.name) else { return false };
-        let is_sent = budget.take(self.now, part);
+        let is_sent = budget.take(self.now, share);
         let available = budget.available();
         let request = in_flight.request.id.clone();
         let service = in_flight.service.name.clone();
@@ -39,10 +39,10 @@
         if !call.is_retry {
             return;
         }
-        let part = Part { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
         let service = self.in_flight.get(&call.request).map(|it| &it.service.name);
         if let Some(budget) = service.and_then(|it| self.budgets.get_mut(it)) {
-            budget.refund(self.now, part);
+            budget.refund(self.now, share);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -74,8 +74,8 @@
         let Ok(identity) = identify(&configuration, &route, &request) else {
             return self.refuse_unknown_key(key, &request);
         };
-        let held = request.deadline.map_or(route.timeout, |it| it.min(route.timeout));
-        if self.exceeds_grace(held) {
+        let timeout = request.deadline.map_or(route.timeout, |it| it.min(route.timeout));
+        if self.exceeds_grace(timeout) {
             return self.refuse_on_arrival(key, &request, NotRunReason::Stopping, STOPPING_RETRY);
         }
         let draw = self.draw();
@@ -94,7 +94,7 @@
         let is_client_retry = self.is_client_retry(&route, &request);
         self.meter(&service, &request);
         let in_flight = InFlight {
-            ends: self.now + held,
+            deadline: self.now + timeout,
             signature: Signature::of(
                 request.content,
                 identity.customer.as_ref().map(|it| &*it.name),
@@ -112,7 +112,7 @@
             silence_deadline: None,
             trace: Trace::clean(),
             tried: Vec::new(),
-            runs: 0,
+            run_count: 0,
             arrivals: 0,
             rejections: 0,
             call_count: 0,
@@ -130,7 +130,7 @@
             has_begun: false,
             last_event: None,
         };
-        self.due.insert((in_flight.ends, key));
+        self.due.insert((in_flight.deadline, key));
         self.in_flight.insert(key, in_flight);
         self.proceed(key);
     }
@@ -202,7 +202,7 @@
             tried: &in_flight.tried,
             homes: in_flight.homes(),
             regions: &self.settings.regions,
-            turns: &self.turns,
+            turns: &self.cold_turns,
             part: self.cold_part(),
             terms: &self.terms,
             permits: &self.permits.held,
@@ -235,7 +235,7 @@
         self.unreserve(key);
         self.reserve(key, next.decode_engine);
         let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
-        let stand = self.quarantine.stand(in_flight.signature);
+        let case_state = self.quarantine.stand(in_flight.signature);
         let NextCall { task, choice, .. } = next;
         in_flight.waits_until = None;
         in_flight.waits_for_permit = false;
@@ -254,9 +254,9 @@
             self.due.insert((silence_deadline, key));
         }
         let last_event = in_flight.resume_point();
-        let deadline = in_flight.ends.since(now);
+        let deadline = in_flight.deadline.since(now);
         let caller = in_flight.caller.clone();
-        let note = LogEvent::Sent {
+        let event = LogEvent::Sent {
             request: in_flight.request.id.clone(),
             engine: choice.engine.id.clone(),
             task: task_name(&task),
@@ -280,7 +280,7 @@
                 request: key,
                 engine: engine.clone(),
                 task: task.clone(),
-                stand,
+                case_state,
                 is_retry,
                 sent: now,
                 load,
@@ -289,7 +289,7 @@
                 has_begun: false,
             },
         );
-        self.log(note);
+        self.log(event);
         let send = Send { request: key, call, engine, caller, task, deadline, last_event };
         self.effects.push(Effect::Send(send));
     }
@@ -309,7 +309,7 @@
     /// Refuses a request that would be served too late.
     pub(super) fn refuse_overloaded(&mut self, key: RequestKey, wait: Duration) {
         let (least, most) = RETRY_AFTER_RANGE;
-        self.give_up_until(key, NotRunReason::Overloaded, wait.clamp(least, most));
+        self.give_up_with_retry(key, NotRunReason::Overloaded, wait.clamp(least, most));
     }
 
     /// Refuses a request before it becomes in-flight.
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -189,14 +189,14 @@
     /// Takes a whole list of engines.
     pub(super) fn list(&mut self, engines: Vec<Engine>, revision: Revision) {
         let known = self.directory.complete();
-        let enters = self.is_listed && revision.era > known.era;
+        let enters = self.are_engines_listed && revision.era > known.era;
         // Only what was known at the same revision adds up with the changes to a later era's list.
         let since = if enters { known } else { self.directory.next_since() };
         let missing_until = self.missing_until();
         match self.directory.list(engines, revision, missing_until, self.now) {
             Some(changes) => {
                 self.log(LogEvent::Listed { engines: self.directory.len(), revision });
-                if self.is_listed && self.store.follows {
+                if self.are_engines_listed && self.store.follows {
                     self.pass_on(since, changes);
                 }
             }
@@ -205,8 +205,8 @@
         if enters {
             self.beat_with_news();
         }
-        if !self.is_listed {
-            self.is_listed = true;
+        if !self.are_engines_listed {
+            self.are_engines_listed = true;
             self.beat_with_news();
         }
     }
@@ -247,10 +247,10 @@
         let last = news.changes.last().map_or(news.since, EngineChange::revision);
         let enters = last.era > own.era;
         // A box that knows more of the era before knows what is lost.
-        if enters && self.is_listed && own != news.since {
+        if enters && self.are_engines_listed && own != news.since {
             return self.ask_for_snapshot();
         }
-        if !self.is_listed || own < news.since {
+        if !self.are_engines_listed || own < news.since {
             return;
         }
         let newer: Vec<_> = news.changes.iter().filter(|it| it.revision() > own).cloned().collect();
@@ -383,13 +383,13 @@
         let behind = self.version().unwrap_or(0) < newest.version;
         let lacked_configuration = count(&mut self.store.configuration_behind, behind);
         let known = self.directory.complete();
-        let behind = !self.is_listed || known < newest.revision;
+        let behind = !self.are_engines_listed || known < newest.revision;
         let lacked_engines = count(&mut self.store.engines_behind, behind);
-        let lacks_era = self.is_listed && known.era < newest.revision.era;
+        let lacks_era = self.are_engines_listed && known.era < newest.revision.era;
         if lacked_configuration >= ASKS_AFTER {
             self.effects.push(Effect::Read(Kind::Configuration));
         }
-        if lacked_engines >= self.reads_after() && self.is_listed {
+        if lacked_engines >= self.reads_after() && self.are_engines_listed {
             self.effects.push(Effect::Read(Kind::Engines));
         }
         // Whatever it lacks for so long the store does not give it, or not soon.
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -134,7 +134,7 @@
         if flight.waits_until.is_some() {
             return;
         }
-        flight.waits_until = Some(flight.ends);
+        flight.waits_until = Some(flight.deadline);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
     }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -275,7 +275,7 @@
             Bar::Leaving => NotRunReason::ShuttingDown,
             Bar::Limit => NotRunReason::RateLimited,
         };
-        self.give_up_until(key, reason, retry);
+        self.give_up_with_retry(key, reason, retry);
     }
 
     /// Notes the departures and rests that have ended.
--- a/crates/hollyspoke-gateway/src/in_flight.rs
+++ b/crates/hollyspoke-gateway/src/in_flight.rs
@@ -54,7 +54,7 @@
     /// The arrival time.
     pub arrived: Time,
     /// The deadline for the final answer.
-    pub ends: Time,
+    pub deadline: Time,
     /// The active call, if any.
     pub call: Option<CallKey>,
     /// The time at which a silent active call counts as failed, if it may be retried.
@@ -64,7 +64,7 @@
     /// The engines that the request was sent to, in order.
     pub tried: Vec<EngineKey>,
     /// The number of engines that have run the request or may have.
-    pub runs: u32,
+    pub run_count: u32,
     /// The number of calls that reached engines and count towards the retry budget.
     pub arrivals: u32,
     /// The number of rejections by engines.
@@ -129,7 +129,7 @@
     /// The operation requested of the engine.
     pub task: Task,
     /// The state of the request's quarantine case when the call was sent.
-    pub stand: Stand,
+    pub case_state: Stand,
     /// Whether the call took a token from the service's retry budget.
     pub is_retry: bool,
     /// When the call was sent.
@@ -147,15 +147,15 @@
 impl InFlight {
     /// Returns whether the request may run at another engine.
     pub fn may_run_again(&self) -> bool {
-        let has_attempts = self.runs < self.route.max_attempts.max(1);
-        let may_repeat = self.runs == 0 || self.route.is_idempotent();
+        let has_attempts = self.run_count < self.route.max_attempts.max(1);
+        let may_repeat = self.run_count == 0 || self.route.is_idempotent();
         has_attempts && may_repeat && self.rejections <= MAX_REJECTIONS
     }
 
     /// Records an engine that the request couldn't be sent to, without duplicates.
-    pub fn exclude(&mut self, kept: Exclusion) {
-        if !self.exclusions.contains(&kept) {
-            self.exclusions.push(kept);
+    pub fn exclude(&mut self, exclusion: Exclusion) {
+        if !self.exclusions.contains(&exclusion) {
+            self.exclusions.push(exclusion);
         }
     }
 
--- a/crates/hollyspoke-gateway/src/rate_limit.rs
+++ b/crates/hollyspoke-gateway/src/rate_limit.rs
@@ -102,16 +102,16 @@
 
     /// Applies what an engine reported in the answer to a call or query sent at `sent`. Returns the
     /// change, if any. A limit is lifted only if `may_lift`.
-    pub fn learn(
+    pub fn apply_report(
         &mut self,
         engine: &Engine,
-        told: Reported,
+        reported: Reported,
         sent: Time,
         may_lift: bool,
         now: Time,
     ) -> Option<Change> {
-        match told {
-            Reported::Rate(rate) if rate.is_finite() => self.name(engine, rate, now),
+        match reported {
+            Reported::Rate(rate) if rate.is_finite() => self.set_reported(engine, rate, now),
             Reported::Rate(_) | Reported::Unreadable => {
                 self.unreadable.insert(engine.key).then_some(Change::Unreadable)
             }
@@ -121,14 +121,14 @@
     }
 
     /// Records a limit that an engine reported.
-    fn name(&mut self, engine: &Engine, told: f64, now: Time) -> Option<Change> {
+    fn set_reported(&mut self, engine: &Engine, reported: f64, now: Time) -> Option<Change> {
         self.unreadable.remove(&engine.key);
-        if told > MAX_RATE_PER_S {
+        if reported > MAX_RATE_PER_S {
             return self.lift(engine.key, now);
         }
-        let rate = told.max(MIN_RATE_PER_S);
+        let rate = reported.max(MIN_RATE_PER_S);
         let is_new = self.set(engine.key, Limit { rate, born: engine.born, named_at: now });
-        is_new.then_some(Change::Named(told, rate))
+        is_new.then_some(Change::Named(reported, rate))
     }
 
     /// Sets an engine's limit. Returns whether the rate changed.
@@ -149,31 +149,36 @@
 
     /// Applies an announcement of another box if it is newer than the known state. Returns the
     /// change, if any. `listed` is the start time of the listed incarnation, if known.
-    pub fn hear(&mut self, word: &Announcement, listed: Option<u64>, now: Time) -> Option<Change> {
-        if word.born < listed {
+    pub fn apply_announcement(
+        &mut self,
+        announcement: &Announcement,
+        listed: Option<u64>,
+        now: Time,
+    ) -> Option<Change> {
+        if announcement.born < listed {
             return None;
         }
-        let at = now - Duration::from_millis(u64::from(word.age_ms));
-        let known = self.limits.get(&word.engine).map(|it| (it.born, it.named_at));
-        let known = known.or_else(|| self.lifted.get(&word.engine).copied());
-        if known.is_some_and(|known| (word.born, at) <= known) {
+        let at = now - Duration::from_millis(u64::from(announcement.age_ms));
+        let known = self.limits.get(&announcement.engine).map(|it| (it.born, it.named_at));
+        let known = known.or_else(|| self.lifted.get(&announcement.engine).copied());
+        if known.is_some_and(|known| (announcement.born, at) <= known) {
             return None;
         }
-        match word.rate.filter(|it| it.is_finite()) {
+        match announcement.rate.filter(|it| it.is_finite()) {
             Some(rate) => {
                 let kept = rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S);
-                let limit = Limit { rate: kept, born: word.born, named_at: at };
-                self.set(word.engine, limit).then_some(Change::Named(rate, kept))
+                let limit = Limit { rate: kept, born: announcement.born, named_at: at };
+                self.set(announcement.engine, limit).then_some(Change::Named(rate, kept))
             }
             None => {
-                self.lifted.insert(word.engine, (word.born, at));
-                self.limits.remove(&word.engine).map(|_| Change::Lifted)
+                self.lifted.insert(announcement.engine, (announcement.born, at));
+                self.limits.remove(&announcement.engine).map(|_| Change::Lifted)
             }
         }
     }
 
     /// Returns the announcement of an engine's limit or of its lifting, if there is one.
-    pub fn word(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
+    pub fn announcement(&self, engine: EngineKey, now: Time) -> Option<Announcement> {
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         if let Some(limit) = self.limits.get(&engine) {
             let (born, rate) = (limit.born, Some(limit.rate));
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -33,8 +33,8 @@
         LogEvent::Engine { id, address, is_draining } => info!(log, "engine";
             "engine" => %id, "address" => %address, "draining" => is_draining),
         LogEvent::EngineRemoved { id } => info!(log, "engine left"; "engine" => %id),
-        LogEvent::Avoided { id, span } => info!(log, "engine avoided";
-            "engine" => %id, "span_ms" => millis(span)),
+        LogEvent::Avoided { id, duration } => info!(log, "engine avoided";
+            "engine" => %id, "span_ms" => millis(duration)),
         LogEvent::Limited { id, change, announced_by, age } => {
             let announced_by = announced_by.map(|it| it.to_string());
             let log = log.new(o!("told_by" => announced_by, "age_ms" => millis(age)));
@@ -59,11 +59,20 @@
                 "request" => %request, "service" => %service,
                 "left" => available, "boxes" => boxes)
         }
-        LogEvent::Failed { request, signature, path, engine, outcome, status, told, known } => {
+        LogEvent::Failed {
+            request,
+            signature,
+            path,
+            engine,
+            outcome,
+            status,
+            reported_load,
+            total_load,
+        } => {
             info!(log, "call failed";
             "request" => %request, "signature" => signature.short(), "path" => %path, "engine" => %engine, "how" => outcome, "status" => status,
-            "told" => told.map(|it| format!("{},{},{}", it.running, it.waiting, it.slots)),
-            "held" => known.held, "calls" => known.calls)
+            "told" => reported_load.map(|it| format!("{},{},{}", it.running, it.waiting, it.slots)),
+            "held" => total_load.held, "calls" => total_load.calls)
         }
         LogEvent::Ended { request, customer, units, exclusions, outcome, after } => {
             info!(log, "request ended";
--- a/tests/tests/intake.rs
+++ b/tests/tests/intake.rs
@@ -17,7 +17,7 @@
 
 /// Learns from an answer that came when its call was sent and may lift.
 fn learn(table: &mut Table, told: Reported, sent: u64, now: u64) -> Option<Change> {
-    table.learn(&one(), told, at(sent), true, at(now))
+    table.apply_report(&one(), told, at(sent), true, at(now))
 }
 
 /// Gives the rate that is kept.
@@ -54,7 +54,7 @@
 fn not_lifted_by_failures_and_questions() {
     let mut table = Table::default();
     learn(&mut table, Reported::Rate(3.5), 10, 20);
-    assert_eq!(table.learn(&one(), Reported::Nothing, at(30), false, at(40)), None);
+    assert_eq!(table.apply_report(&one(), Reported::Nothing, at(30), false, at(40)), None);
     assert_eq!(rate(&table), Some(3.5));
 }
 
--- a/tests/tests/repeats_drawn.rs
+++ b/tests/tests/repeats_drawn.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::budget::{Budget, Part};
+use hollyspoke_gateway::budget::{Budget, Share};
 use hollyspoke_tests::faults::{FLEET, Fault, bring};
 use hollyspoke_tests::fleet::{BOUND, Behaviour, Fleet};
 use hollyspoke_tests::gateway::{MODEL, PLAIN};
@@ -46,11 +46,11 @@
 }
 
 /// Gives what a start puts into a bucket.
-fn begin(start: Start, now: Time, part: Part<'_>) -> Budget {
+fn begin(start: Start, now: Time, part: Share<'_>) -> Budget {
     let mut budget = Budget::default();
     if start == Start::Full {
         for _ in 0..1000 {
-            budget.arrive(now, part);
+            budget.add_request(now, part);
         }
     }
     budget
@@ -58,7 +58,7 @@
 
 /// Plays what was drawn on buckets; gives the share of the bound that was used.
 fn play(acts: &[Act], start: Start) -> f64 {
-    let part = Part { bound: &BOUND, boxes: BOXES };
+    let part = Share { bound: &BOUND, boxes: BOXES };
     let mut now = Time::from_millis(1);
     let mut lives: Vec<_> = (0..BOXES).map(|_| (now, begin(start, Time::ZERO, part))).collect();
     let mut records = Records::default();
@@ -70,7 +70,7 @@
             Act::Requests(number, count) => {
                 let (began, budget) = &mut lives[number];
                 for _ in 0..count {
-                    budget.arrive(Time::ZERO + now.since(*began), part);
+                    budget.add_request(Time::ZERO + now.since(*began), part);
                     records.asked.push(Asked { service: PLAIN, at: now });
                 }
             }
--- a/tests/tests/repeats_many.rs
+++ b/tests/tests/repeats_many.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::budget::{Bound, Budget, Part};
+use hollyspoke_gateway::budget::{Bound, Budget, Share};
 
 /// Gives the most repeats within a window, in shares of the bound, where boxes have rested for a
 /// minute and then repeat whatever they may, each with so many requests a second.
 fn used(boxes: usize, allowance: f64, a_second: f64) -> f64 {
     let bound = Bound { ratio: 0.2, allowance, window: Duration::from_secs(10) };
-    let part = Part { bound: &bound, boxes };
+    let part = Share { bound: &bound, boxes };
     let mut repeats = 0.0;
     let mut requests = 0.0;
     for _ in 0..boxes {
         let mut budget = Budget::default();
-        budget.arrive(Time::ZERO, part);
+        budget.add_request(Time::ZERO, part);
         let mut owed = 0.0;
         for step in 0..100u64 {
             let now = Time::from_millis(60_000 + step * 100);
@@ -26,7 +26,7 @@
             while owed >= 1.0 {
                 owed -= 1.0;
                 requests += 1.0;
-                budget.arrive(now, part);
+                budget.add_request(now, part);
             }
             while budget.take(now, part) {
                 repeats += 1.0;
