--- a/crates/hollyspoke-gateway/src/gateway/cold.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cold.rs
@@ -14,7 +14,7 @@
     /// Records that a call is sent to an engine, if the engine is cold.
     pub(super) fn record_cold_send(&mut self, engine: EngineKey) {
         if self.directory.get(engine).is_some_and(|it| it.is_cold(self.now)) {
-            self.turns.record(engine, self.now);
+            self.cold_turns.record(engine, self.now);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -65,7 +65,7 @@
         let Some(flight) = self.in_flight.get(&call.request) else { return };
         let (signature, about) = (flight.signature, summary(flight));
         let engine = &call.engine;
-        if !self.quarantine.suspect(signature, call.stand, engine, about, self.now) {
+        if !self.quarantine.suspect(signature, call.case_state, engine, about, self.now) {
             return;
         }
         if is_back {
@@ -178,7 +178,7 @@
             Verdict::Trial if !self.has_running_trial(key, signature) => return true,
             Verdict::Trial => self.wait_for_trial(key),
             Verdict::Unconfirmed => {
-                self.give_up_until(key, NotRunReason::UnderSuspicion, UNCONFIRMED_RETRY_DELAY)
+                self.give_up_with_retry(key, NotRunReason::UnderSuspicion, UNCONFIRMED_RETRY_DELAY)
             }
             Verdict::Held => self.refuse_held(key),
         }
@@ -209,7 +209,7 @@
         if flight.waits_until.is_some() {
             return;
         }
-        let until = flight.ends.min(self.now + MAX_TRIAL_WAIT);
+        let until = flight.deadline.min(self.now + MAX_TRIAL_WAIT);
         flight.waits_until = Some(until);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
@@ -219,7 +219,7 @@
     pub(super) fn trials(&self) -> Vec<EngineKey> {
         self.calls
             .values()
-            .filter(|it| it.stand.is_next_to_last())
+            .filter(|it| it.case_state.is_next_to_last())
             .map(|it| it.engine.key)
             .collect()
     }
@@ -252,7 +252,8 @@
     /// Takes the crashes for proven whose engine is listed in a later life, or not any more. A box that
     /// has started since sees no change that tells it.
     fn prove_from_directory(&mut self) {
-        if self.quarantine.is_empty() || !self.is_listed || self.missing_until().is_some() {
+        if self.quarantine.is_empty() || !self.are_engines_listed || self.missing_until().is_some()
+        {
             return;
         }
         for (incarnation, since) in self.quarantine.unproven() {
--- a/crates/hollyspoke-gateway/src/gateway/retries.rs
+++ b/crates/hollyspoke-gateway/src/gateway/retries.rs
@@ -1,30 +1,31 @@
-//! Which calls are repeats, and what they take from their service's budget.
+//! Which calls count as retries, and how they use the retry budget of their service.
 //!
-//! A request's calls count from the second that comes to an engine. The reading of its prompt does
-//! not count if the engine takes it up; whether it does is known only by its answer, so that one
-//! that would be a repeat takes its token when it is sent.
+//! Of a request's calls, every one that reaches an engine after the first counts. A prefill doesn't
+//! count if the engine accepts it. Since only the answer shows that, a prefill that would be a
+//! retry takes its token when it is sent.
 
 use super::Gateway;
-use crate::budget::Part;
+use crate::budget::Share;
 use crate::effect::LogEvent;
 use crate::in_flight::Call;
 use crate::request::RequestKey;
 use crate::route::Service;
 
 impl Gateway {
-    /// Adds what a request brings to its service's budget.
+    /// Credits a request to the retry budget of its service.
     pub(super) fn earn_retries(&mut self, service: &Service) {
-        let part = Part { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
-        self.budgets.entry(service.name.clone()).or_default().arrive(self.now, part);
+        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        self.budgets.entry(service.name.clone()).or_default().add_request(self.now, share);
     }
 
-    /// Takes a repeat from the budget of a request's service; tells whether there was one.
+    /// Takes a token for a retry from the budget of the request's service. Returns whether one was
+    /// available.
     pub(super) fn take_retry(&mut self, key: RequestKey) -> bool {
         let boxes = self.sharing_boxes();
-        let part = Part { bound: &self.settings.retry_bound, boxes };
+        let share = Share { bound: &self.settings.retry_bound, boxes };
         let Some(in_flight) = self.in_flight.get(&key) else { return false };
         let Some(budget) = self.budgets.get_mut(&in_flight.service.name) else { return false };
-        let is_sent = budget.take(self.now, part);
+        let is_sent = budget.take(self.now, share);
         let available = budget.available();
         let request = in_flight.request.id.clone();
         let service = in_flight.service.name.clone();
@@ -32,15 +33,16 @@
         is_sent
     }
 
-    /// Gives a call's repeat back, if it took one: it did not come to an engine, or does not count.
+    /// Returns the token of a call, if it took one, because the call didn't reach an engine or
+    /// doesn't count.
     pub(super) fn refund_retry(&mut self, call: &Call) {
         if !call.is_retry {
             return;
         }
-        let part = Part { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
         let service = self.in_flight.get(&call.request).map(|it| &it.service.name);
         if let Some(budget) = service.and_then(|it| self.budgets.get_mut(it)) {
-            budget.refund(self.now, part);
+            budget.refund(self.now, share);
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -287,7 +287,7 @@
             Restriction::Leaving => NotRunReason::ShuttingDown,
             Restriction::RateLimit => NotRunReason::RateLimited,
         };
-        self.give_up_until(key, reason, retry);
+        self.give_up_with_retry(key, reason, retry);
     }
 
     /// Notes the departures and rests that have ended.
