--- a/crates/hollyspoke-gateway/src/back_off.rs
+++ b/crates/hollyspoke-gateway/src/back_off.rs
@@ -1,11 +1,11 @@
-//! For how long engines want nothing from this box, and how it comes back to them.
+//! Back-off that engines ask this box for, and the gradual return to them.
 //!
-//! An engine that turns a request away may say how long the box that sent it is to leave it alone.
-//! That is between the two: other boxes are told the same when they send there.
+//! An engine that rejects a request may state how long the box that sent it is to back off. This
+//! holds between the two only: other boxes are asked the same when they send requests there.
 //!
-//! What waited meanwhile must not come all at once: when the time is over one request goes first, and
-//! each good answer allows one more under way, up to eight; after that the engine is used
-//! as before.
+//! The requests that waited meanwhile must not arrive all at once. When the back-off ends, one
+//! request is sent first, and each successful answer allows one more in progress, up to eight.
+//! After that the engine is used as before.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,79 +14,79 @@
 
 use crate::engine::{Engine, EngineKey};
 
-/// The longest rest that is kept. An engine that asks for more is tried again then, so that a wrong
-/// number does not lose it for the rest of its life.
+/// Longest back-off that is applied. An engine that asks for more is tried again after this time,
+/// so that a wrong number does not exclude it for as long as it runs.
 pub const MAX_DURATION: Duration = Duration::from_secs(3600);
 
-/// The calls under way from which on an engine that has rested is used as before.
+/// Number of calls in progress beyond which an engine is used as before after a back-off.
 const MAX_CALLS_AT_RETURN: u32 = 8;
 
-/// By how much later a rest must end for its change to be worth a line: each call that was under way
-/// when it began asks for it anew.
+/// Minimum extension of a back-off that is logged. Each call that was in progress when the back-off
+/// began asks for it again.
 const MIN_LOGGED_EXTENSION: Duration = Duration::from_millis(500);
 
-/// What an answer says of rest.
+/// What an answer reports about back-off.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Reported {
     /// Nothing.
     #[default]
     Nothing,
-    /// Nothing is wanted for so long.
+    /// The box is to back off for this duration.
     Duration(Duration),
-    /// Something that is neither a number of seconds nor a date.
+    /// A value that is neither a number of seconds nor a date.
     Unreadable,
 }
 
-/// What has become of an engine's rest.
+/// A change of an engine's back-off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It asks for rest, or for more, from now on.
+    /// The engine asks for back-off, or for a longer one, of this duration from now on.
     Begun(Duration),
-    /// It has asked for something that can't be read; what was known is kept.
+    /// The engine has sent an unreadable value; the known back-off stays.
     Unreadable,
-    /// Its rest is over, after so long.
+    /// The back-off has ended after this duration.
     Ended(Duration),
 }
 
-/// An engine whose rest is over.
+/// An engine whose back-off has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// The engine.
+    /// The engine's key.
     pub engine: EngineKey,
-    /// How long it rested.
+    /// Duration of the back-off.
     pub after: Duration,
 }
 
-/// The rest of one engine.
+/// The back-off of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct BackOff {
-    /// The life of the engine that asked for it.
+    /// Start time of the incarnation that asked for it.
     born: Option<u64>,
-    /// When it first asked.
+    /// When the engine first asked for it.
     began: Time,
-    /// When it is over.
+    /// When it ends.
     until: Time,
-    /// The calls that may be under way once it is over.
+    /// Maximum number of calls in progress once it has ended.
     max_calls: u32,
-    /// The calls under way that were sent since.
+    /// Number of calls in progress that were sent after its end.
     calls_in_progress: u32,
-    /// Whether its end was told.
+    /// Whether its end has been reported.
     is_end_reported: bool,
 }
 
-/// The engines that rest, or that this box is coming back to.
+/// The engines that ask for back-off, or to which this box is returning.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    /// Their rests.
+    /// The back-offs by engine.
     back_offs: BTreeMap<EngineKey, BackOff>,
-    /// The engines whose last word could not be read.
+    /// The engines whose last value was unreadable.
     unreadable: BTreeSet<EngineKey>,
 }
 
 impl Table {
-    /// Learns from an engine's own answer. The rest ends later than asked for by what `spread` gives
-    /// for it, so that boxes that were told together do not come back together. Of two words the one
-    /// that ends later holds.
+    /// Applies what an engine's own answer reports. The back-off is extended by the result of
+    /// `spread`, so that boxes that were asked at the same time do not return together. Of two
+    /// values, the one that ends later holds.
     pub fn learn(
         &mut self,
         engine: &Engine,
@@ -125,47 +125,47 @@
         Some(Change::Begun(span))
     }
 
-    /// Tells whether an engine wants nothing from this box now, or nothing more before it has answered
-    /// what this box has sent it since its rest.
+    /// Returns whether an engine accepts no request from this box: during its back-off, or
+    /// afterwards until it answers calls that are in progress.
     pub fn is_closed(&self, engine: &Engine, now: Time) -> bool {
         self.of(engine).is_some_and(|it| now < it.until || it.calls_in_progress >= it.max_calls)
     }
 
-    /// Gives how much longer an engine rests, if it does.
+    /// Returns the remaining duration of an engine's back-off, if there is one.
     pub fn wait(&self, engine: &Engine, now: Time) -> Option<Duration> {
         self.of(engine).map(|it| it.until.since(now)).filter(|it| !it.is_zero())
     }
 
-    /// Tells whether no engine rests, and this box is coming back to none.
+    /// Returns whether there is no engine with a back-off, and none to which this box is returning.
     pub fn is_empty(&self) -> bool {
         self.back_offs.is_empty()
     }
 
-    /// Goes over the engines that rest.
+    /// Iterates over the engines in back-off.
     pub fn engines(&self, now: Time) -> impl Iterator<Item = EngineKey> {
         self.back_offs.iter().filter(move |(_, it)| now < it.until).map(|(&it, _)| it)
     }
 
-    /// Gives when the next rest is over.
+    /// Returns when the next back-off ends.
     pub fn next_end(&self, now: Time) -> Option<Time> {
         self.back_offs.values().map(|it| it.until).filter(|&it| it > now).min()
     }
 
-    /// Notes that a call is sent to an engine.
+    /// Records that a call is sent to an engine.
     pub fn record_send(&mut self, engine: EngineKey) {
         if let Some(back_off) = self.back_offs.get_mut(&engine) {
             back_off.calls_in_progress += 1;
         }
     }
 
-    /// Notes that a call that was sent at a time has its answer, or gets none any more.
+    /// Records that a call sent at `sent` has been answered, or no longer will be.
     pub fn release(&mut self, engine: EngineKey, sent: Time) {
         if let Some(back_off) = self.back_offs.get_mut(&engine).filter(|it| sent >= it.until) {
             back_off.calls_in_progress = back_off.calls_in_progress.saturating_sub(1);
         }
     }
 
-    /// Goes by the answer to a call that was sent at a time.
+    /// Adjusts the allowed number of calls by the answer to a call sent at `sent`.
     pub fn record_answer(&mut self, engine: EngineKey, sent: Time, is_good: bool) {
         let Some(back_off) = self.back_offs.get_mut(&engine).filter(|it| sent >= it.until) else {
             return;
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Gives the rests that are over and were not told yet. Forgets those of lives that are not listed
-    /// any more.
+    /// Returns the back-offs that have ended and were not reported yet. Drops those of incarnations
+    /// that are no longer listed.
     pub fn sweep<'a>(
         &mut self,
         now: Time,
@@ -201,14 +201,14 @@
         ended
     }
 
-    /// Gives the rest of an engine in the life that is listed.
+    /// Returns the back-off of an engine's listed incarnation.
     fn of(&self, engine: &Engine) -> Option<&BackOff> {
         self.back_offs.get(&engine.key).filter(|it| it.is_of(engine))
     }
 }
 
 impl BackOff {
-    /// Tells whether it was asked for by the life of an engine that is listed.
+    /// Returns whether the listed incarnation of an engine has asked for this back-off.
     fn is_of(&self, engine: &Engine) -> bool {
         self.born.is_none() || self.born >= engine.born
     }
--- a/crates/hollyspoke-gateway/src/customer.rs
+++ b/crates/hollyspoke-gateway/src/customer.rs
@@ -1,5 +1,5 @@
-//! Customers as one version of the configuration has them: who holds a key, and what may be asked
-//! for with it.
+//! Customers of one configuration version: which keys they hold, and what requests with these keys
+//! may do.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,31 +12,31 @@
 use crate::region::Homes;
 use crate::request::Request;
 
-/// The short name of a customer: a hash of its name, the same on all boxes.
+/// Short identifier of a customer: a hash of its name, the same on all boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CustomerKey(pub u64);
 
 impl CustomerKey {
-    /// Makes the key of a name.
+    /// Computes the key of a customer's name.
     pub fn of(name: &str) -> CustomerKey {
         CustomerKey(xxh3_64(name.as_bytes()))
     }
 }
 
-/// What a customer's limit counts.
+/// The unit in which a customer's limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
     /// Requests.
     Request,
-    /// The tokens of the prompt and the most of the answer.
+    /// Tokens: those of the prompt and the maximum number of those of the answer.
     Token {
-        /// What a request counts that tells no tokens.
+        /// Units charged for a request that does not state its tokens.
         plain: u64,
     },
 }
 
 impl Unit {
-    /// Gives what a request counts.
+    /// Returns the units that a request is charged.
     pub fn of(self, request: &Request) -> u64 {
         match (self, request.prompt_tokens, request.answer_tokens) {
             (Unit::Request, ..) => 1,
@@ -46,36 +46,36 @@
     }
 }
 
-/// One customer.
+/// A customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its short name.
+    /// Its short identifier.
     pub key: CustomerKey,
-    /// Its name, which engines are told.
+    /// Its name, which is sent to engines.
     pub name: Arc<str>,
-    /// Its rank, which goes before that of the route; 0 is the highest.
+    /// Its priority, which takes precedence over the route's; 0 is the highest.
     pub priority: Option<u8>,
-    /// What its limit counts.
+    /// The unit of its limit.
     pub unit: Unit,
     /// Its limit over all boxes, if it has one.
     pub limit: Option<Limit>,
-    /// Where its requests may be served.
+    /// The data centres in which its requests may be served.
     pub homes: Homes,
-    /// The digests of its keys.
+    /// The digests of its API keys.
     pub credentials: Vec<KeyDigest>,
 }
 
-/// All customers of one version.
+/// All customers of one configuration version.
 #[derive(Debug, Clone, Default)]
 pub struct Customers {
-    /// The customers by their keys.
+    /// The customers by the digests of their keys.
     by_key: HashMap<KeyDigest, Arc<Customer>>,
-    /// All customers, also those without a key.
+    /// All customers, including those without a key.
     all: Vec<Arc<Customer>>,
 }
 
 impl Customers {
-    /// Makes the lookup of some customers. Of two that hold the same key the first has it.
+    /// Indexes customers by their keys. If two hold the same key, the first one gets it.
     pub fn new(customers: Vec<Customer>) -> Customers {
         let all: Vec<_> = customers.into_iter().map(Arc::new).collect();
         let mut by_key = HashMap::new();
@@ -92,24 +92,24 @@
         self.by_key.get(&key)
     }
 
-    /// Goes over all customers.
+    /// Iterates over all customers.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Customer>> {
         self.all.iter()
     }
 
-    /// Gives the limits of those that have one.
+    /// Returns the limits of the customers that have one.
     pub fn limits(&self) -> BTreeMap<CustomerKey, Limit> {
         self.all.iter().filter_map(|it| Some((it.key, it.limit?))).collect()
     }
 }
 
-/// On whose behalf a request is sent to an engine.
+/// The caller on whose behalf a request is sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// The configuration has no customers; what clients send as credentials is the engines' own.
+    /// The configuration has no customers; credentials that clients send are meant for the engines.
     Unchecked,
-    /// Nobody known, on a route that needs no key.
+    /// An unknown client, on a route that requires no key.
     Anonymous,
-    /// The customer of a name.
+    /// The customer with this name.
     Customer(Arc<str>),
 }
--- a/crates/hollyspoke-gateway/src/gateway/cases.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cases.rs
@@ -1,10 +1,11 @@
-//! The cases of requests that crash their engines, as the platform's store keeps them.
+//! Stores the cases of requests that crash their engines in the platform's store.
 //!
-//! What boxes tell each other is lost with all of them, and does not reach a part that is cut off;
-//! the few repeats that are allowed are allowed over the whole time. A box reads the cases when it
-//! starts, before it serves, and now and then while it misses others. Who counts a crash writes it
-//! as soon as one more would hold the request back, or at once while it misses others; some boxes
-//! that heard of it write it a little later if nobody has.
+//! Announcements between boxes are lost if all boxes stop, and do not reach boxes that are
+//! partitioned off, but the limit on repeats applies throughout. A box reads the cases when it
+//! starts, before it serves, and periodically while other boxes are missing. The box that counts a
+//! crash writes it once one more would hold the request back, or immediately while boxes are
+//! missing. Some of the boxes that receive the announcement write the case a little later if it is
+//! still not stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,87 +19,90 @@
 use crate::quarantine::{Announcement, Crashes, MAX_CRASHES, RequestSummary};
 use crate::signature::Signature;
 
-/// The kind of the object.
+/// Kind of the stored object.
 pub const KIND: &str = "quarantine";
 
-/// The name of the object.
+/// Name of the stored object.
 const NAME: &str = "requests";
 
-/// The most cases in the store, some 300 bytes each.
+/// Maximum number of cases in the store, about 300 bytes each.
 const MAX_STORED_CASES: usize = 256;
 
-/// How long a box that starts waits for the cases before it serves without them.
+/// How long a starting box waits for the cases before it serves without them.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time after a box's start in which it hears the others, and does not read the cases again: with
-/// 300 boxes that all start, each read them twice more.
+/// Time after the start during which a box does not read the cases again, since it is only
+/// beginning to receive the other boxes' heartbeats. Without this, each of 300 boxes that start
+/// together reads them twice more.
 const STARTUP_DURATION: Duration = Duration::from_secs(3);
 
-/// How often it is looked whether boxes are missing to whom what is known may not come: often
-/// against the time in which that is noticed, and seldom against the datagrams of many boxes.
+/// Interval between checks for missing boxes: short compared to the time in which a missing box is
+/// detected, long compared to the interval between datagrams of many boxes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after an operation that failed, and between two that did not.
+/// Pause after each operation, whether it failed or not.
 const OPERATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often a box that follows the store reads the cases while it misses a few others; the rest hear
-/// of it. If all read them, the loss of one box of 300 would cost 4,500 calls in a minute.
+/// Interval at which a box that follows the store reads the cases while a few others are missing;
+/// other boxes receive announcements. If all boxes read them, the loss of one box of 300 would
+/// cause 4,500 calls in a minute.
 const READ_INTERVAL: Duration = Duration::from_secs(4);
 
-/// How often one reads them that misses half of the others or more: it may be the one that is cut
-/// off. With the former pause six boxes that heard nobody sent up to three repeats too late, of
-/// three that are allowed; with this one, none or one (15 plays of 20 s).
+/// Interval at which a box reads them while half of the other boxes or more are missing, since it
+/// may be the one that is partitioned off. With [`READ_INTERVAL`], six isolated boxes sent up to
+/// three repeats too late, of three that are allowed; with this interval, none or one.
 const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long boxes that heard of a crash leave it to the one that counted it to write it.
+/// How long boxes that receive an announced crash leave storing it to the box that counted it.
 pub(super) const BACKUP_DELAY: Duration = Duration::from_millis(1500);
 
-/// The time over which many boxes look whether the store has the cases again that it lost.
+/// Period over which boxes spread their checks whether the store has regained lost cases.
 const REWRITE_SPREAD: Duration = Duration::from_secs(3);
 
-/// A case as the store has it.
+/// A case as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredCase {
-    /// The signature.
+    /// Signature of the request, in hexadecimal.
     signature: String,
-    /// The epoch.
+    /// Epoch of the case.
     epoch: u32,
-    /// The crashes.
+    /// The crashes, by slot.
     crashes: Crashes,
     /// When the last crash was counted, in seconds of Unix time.
     at: u64,
-    /// The customer that sent the request, if it is known.
+    /// The customer that sent the request, if known.
     customer: Option<Arc<str>>,
-    /// Its path, if the writer knows it.
+    /// Its path, if the writing box knows it.
     path: Option<Arc<str>>,
 }
 
-/// How far this box is with the store.
+/// State of this box's reads and writes of the cases.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Cases {
-    /// The version of the object, once it was read: 0 if there is none.
+    /// Version of the object as last read or written, 0 if it is absent. `None` means that it must
+    /// be read before the next write.
     version: Option<u64>,
-    /// Whether it was ever read.
+    /// Whether the object has been read since the start.
     is_read: bool,
-    /// The number of the operation under way, and whether it writes.
+    /// Number of the pending operation, and whether it writes.
     pending: Option<(u64, bool)>,
-    /// When the next operation may begin.
+    /// Earliest time of the next operation.
     next_operation_at: Time,
     /// When the object was last read.
     read_at: Time,
-    /// When it is looked again whether it is to be read once more.
+    /// When to check next whether to read the object again.
     next_check_at: Time,
-    /// What the store holds, as it was last read or written.
+    /// Content of the store, as last read or written.
     value: String,
 }
 
 impl Gateway {
-    /// Tells whether this box may serve without having read the cases, or has read them.
+    /// Returns whether this box has read the cases, or may serve without them by now.
     pub(super) fn knows_cases(&self) -> bool {
         self.cases.is_read || self.now.since(Time::ZERO) >= FIRST_READ_TIMEOUT
     }
 
-    /// Reads or writes the cases, if it is time to.
+    /// Reads or writes the cases if an operation is due.
     pub(super) fn sync_cases(&mut self) {
         let may_begin = self.cases.pending.is_none() && self.now >= self.cases.next_operation_at;
         if !may_begin || self.is_stopping() {
@@ -116,8 +120,8 @@
         }
     }
 
-    /// Tells whether the cases are to be read once more. It is looked now and then: counting the
-    /// boxes that live with each datagram took six tenths of the time of 985 boxes.
+    /// Returns whether the cases must be read again. The result is computed at intervals: counting
+    /// the live boxes for each datagram took 60% of the CPU time of 985 boxes.
     fn needs_read(&mut self) -> bool {
         if self.now < self.cases.next_check_at || self.now.since(Time::ZERO) < STARTUP_DURATION {
             return false;
@@ -127,7 +131,7 @@
         self.read_interval().is_some_and(|every| age >= every)
     }
 
-    /// Gives when the cases are to be looked at, if that is before the next heartbeat.
+    /// Returns when the next operation is due, if one waits for the end of the pause.
     pub(super) fn cases_due(&self) -> Option<Time> {
         let is_wanted = !self.cases.is_read || !self.quarantine.is_empty();
         let is_idle = self.cases.pending.is_none();
@@ -135,8 +139,8 @@
             .then_some(self.cases.next_operation_at)
     }
 
-    /// Gives how often this box reads the cases: if boxes are missing that may live, to whom what
-    /// this one knows may not come, nor what they know to this one.
+    /// Returns how often this box reads the cases: only while boxes are missing that may be alive,
+    /// since announcements from and to those may be lost.
     fn read_interval(&self) -> Option<Duration> {
         let known = self.members.most_serving()?;
         let heard = self.members.count(self.now);
@@ -146,25 +150,25 @@
         (heard < known && self.follows_store()).then_some(READ_INTERVAL)
     }
 
-    /// Tells whether boxes are missing that may live.
+    /// Returns whether boxes are missing that may be alive.
     fn has_missing_boxes(&self) -> bool {
         let heard = self.members.count(self.now);
         self.members.most_serving().is_some_and(|it| heard < it)
     }
 
-    /// Gives how many crashes a case in the store has at the least.
+    /// Returns the minimum number of crashes with which a case is stored.
     fn min_stored_crashes(&self) -> usize {
         if self.has_missing_boxes() { 1 } else { MAX_CRASHES - 1 }
     }
 
-    /// Begins to read the cases.
+    /// Starts to read the cases.
     fn read_cases(&mut self) {
         let operation = Operation::Get { kind: KIND.to_owned(), name: NAME.to_owned() };
         let number = self.begin_operation(operation);
         self.cases.pending = Some((number, false));
     }
 
-    /// Begins to write the cases, unless the store has them as they are.
+    /// Starts to write the cases, unless the store has them already.
     fn write_cases(&mut self, expected: u64) {
         let value = self.cases_text();
         self.quarantine.mark_saved();
@@ -177,19 +181,20 @@
         self.cases.pending = Some((number, true));
     }
 
-    /// Gives the cases as text.
+    /// Returns the cases as JSON text.
     fn cases_text(&self) -> String {
         let stored = self.quarantine.to_save(self.min_stored_crashes(), MAX_STORED_CASES);
         let stored: Vec<_> = stored
             .into_iter()
             .map(|(announcement, about)| to_stored(&announcement, about))
             .collect();
-        // Plain data always has a form as text.
+        // Serialising plain data does not fail.
         serde_json::to_string(&stored).unwrap_or_default()
     }
 
-    /// Notes that the store may have lost cases. The boxes that follow it write them again at once; the
-    /// others look later, one after the other, whether the store has them.
+    /// Handles a possible loss of cases in the store. The boxes that follow the store write the
+    /// cases again immediately; the others check later, spread over time, whether the store has
+    /// them.
     pub(super) fn cases_lost(&mut self) {
         self.cases.version = None;
         self.cases.value.clear();
@@ -199,7 +204,8 @@
         self.quarantine.mark_unsaved(self.now + delay);
     }
 
-    /// Takes the store's answer to an operation on the cases; tells whether it was one.
+    /// Handles the store's answer to an operation. Returns whether the operation belonged to the
+    /// cases.
     pub(super) fn cases_stored(&mut self, number: u64, answer: &Answer) -> bool {
         let Some((_, writes)) = self.cases.pending.take_if(|it| it.0 == number) else {
             return false;
@@ -209,7 +215,7 @@
             Answer::Found { version, value } => self.apply_cases(*version, value),
             Answer::Absent if !writes => self.apply_cases(0, ""),
             Answer::Written { version } if writes => self.cases.version = Some(*version),
-            // Another box has written, or this write may have taken effect: it is read again.
+            // Another box has written, or this write may have taken effect: read again.
             _ => {
                 self.cases.version = None;
                 self.cases.value.clear();
@@ -219,13 +225,13 @@
         true
     }
 
-    /// Takes the cases as they were read.
+    /// Merges the cases that were read.
     fn apply_cases(&mut self, version: u64, value: &str) {
         self.cases.version = Some(version);
         self.cases.is_read = true;
         self.cases.read_at = self.now;
         value.clone_into(&mut self.cases.value);
-        // What is no list of cases was not written by a box; it is replaced with the next write.
+        // Text that is not a list of cases was not written by a box; the next write replaces it.
         let stored: Vec<StoredCase> = serde_json::from_str(value).unwrap_or_default();
         for case in &stored {
             let Some(signature) = Signature::parse(&case.signature) else { continue };
@@ -244,7 +250,7 @@
     }
 }
 
-/// Gives a case as the store has it.
+/// Converts a case to its stored form.
 fn to_stored(announcement: &Announcement, about: Option<RequestSummary>) -> StoredCase {
     StoredCase {
         signature: announcement.signature.text(),
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -1,4 +1,4 @@
-//! Whether a request's customer may send it: its key, and its limit over all boxes.
+//! Checks whether a request's customer may send it: its API key, and its limit over all boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,40 +14,41 @@
 use crate::request::{FlightKey, Request};
 use crate::route::{Configuration, Route};
 
-/// When a client may come back whose key may be in a configuration that is being read. Boxes have
-/// a version within some tens of milliseconds of each other.
+/// Retry delay for a client whose key may be in a configuration that is still being read. Boxes
+/// receive a version within tens of milliseconds of each other.
 const STALE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// When a client may come back whose customer's limit is all but used up for a box that has just
-/// started and heard nobody yet. Boxes that start at once hear the first after 0.1 to 0.4 s.
+/// Retry delay for a client whose customer's limit is nearly used up because this box has just
+/// started and has not received a heartbeat yet. Boxes that start together receive the first one
+/// after 0.1 to 0.4 s.
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How often a box looks which others it hears, before it goes by a customer's limit: a small part
-/// of the silence after which a heartbeat is overdue.
+/// Interval at which a box updates the set of boxes that share limits, before it applies a limit: a
+/// small part of the time after which a heartbeat is overdue.
 const SHARING_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Of how many heartbeats one tells all accounts, so that a box that missed some is set right.
+/// One of this number of heartbeats carries all accounts, which corrects boxes that missed some.
 const COMPLETE_USAGE_PERIOD: u32 = 16;
 
-/// The share by which times to come back after a customer's limit are spread.
+/// Share by which retry delays after a customer's limit are spread.
 const RETRY_SPREAD: f64 = 0.5;
 
-/// The bounds of the time after which a client may come back whose customer is over its limit.
+/// Minimum and maximum retry delay for a client whose customer is over its limit.
 const RETRY_DELAY_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(10));
 
-/// Who sent a request.
+/// The sender of a request.
 pub(super) struct Identity {
     /// The customer, if it is known.
     pub(super) customer: Option<Arc<Customer>>,
-    /// On whose behalf the request is sent to engines.
+    /// The caller on whose behalf the request is sent to engines.
     pub(super) caller: Caller,
 }
 
-/// The request has no key that is known on a route that needs one.
+/// Error for a request without a known key on a route that requires one.
 pub(super) struct UnknownKey;
 
-/// Looks up who sent a request.
+/// Identifies the sender of a request.
 pub(super) fn identify(
     configuration: &Configuration,
     route: &Route,
@@ -68,8 +69,8 @@
 }
 
 impl Gateway {
-    /// Refuses a request without a known key. A box that knows that its configuration is behind
-    /// does not say that the key is unknown.
+    /// Refuses a request without a known key. A box whose configuration is known to be outdated
+    /// does not report the key as unknown.
     pub(super) fn refuse_unknown_key(&mut self, key: FlightKey, request: &Request) {
         if self.is_behind() {
             return self.refuse_unsent(key, request, NotRunReason::Behind, STALE_RETRY_DELAY);
@@ -78,8 +79,8 @@
         self.effects.push(Effect::Refuse(key, Refusal::UnknownKey));
     }
 
-    /// Takes a request from its customer's limit and gives the units taken; none if the limit
-    /// forbids it, which is then refused.
+    /// Charges a request to its customer's limit and returns the units charged. If the limit does
+    /// not allow it, refuses the request and returns `None`.
     pub(super) fn charge_units(
         &mut self,
         key: FlightKey,
@@ -115,7 +116,7 @@
         self.effects.push(Effect::Refuse(key, Refusal::OverLimit(proof, wait)));
     }
 
-    /// Gives back what was taken for a request that has not run.
+    /// Refunds the units charged for a request that has not run.
     pub(super) fn refund_units(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         let units = std::mem::take(&mut flight.units);
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Takes the limits of a new configuration, and refuses the requests that wait with a key that
-    /// is not known any more.
+    /// Applies the limits of a new configuration, and refuses waiting requests whose key is no
+    /// longer known.
     pub(super) fn apply_customers(&mut self) {
         let customers = self.configuration.as_ref().and_then(|it| it.customers.as_ref());
         let limits = customers.map(|it| it.limits()).unwrap_or_default();
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Looks a request's key up again if the configuration has changed since; refuses the request
-    /// and tells so if the key is not known any more.
+    /// Checks a request's key again if the configuration has changed since the last check. Refuses
+    /// the request and returns `false` if the key is no longer known.
     pub(super) fn recheck_key(&mut self, key: FlightKey) -> bool {
         let Some(configuration) = &self.configuration else { return true };
         let Some(flight) = self.flights.get_mut(&key) else { return true };
@@ -156,7 +157,7 @@
         false
     }
 
-    /// Brings the picture of the boxes that share customers' limits up to date.
+    /// Updates the set of boxes that share customers' limits, at intervals.
     fn update_sharing(&mut self) {
         if self.now < self.sees_boxes_at {
             return;
@@ -170,8 +171,8 @@
         self.quota.see(self.now, picture);
     }
 
-    /// Gives how many boxes share what is bounded for all together: as many as the operator says or more that live,
-    /// or else the most that were heard of.
+    /// Returns how many boxes share a common bound: the configured number or that of live boxes if
+    /// greater, or without a configured number the maximum known.
     pub(super) fn sharing_boxes(&self) -> usize {
         match self.settings.boxes {
             Some(boxes) => boxes.max(self.members.count(self.now)),
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Takes in what another box has let through. A box that has just started hears it before it
+    /// Handles the usage that another box reports. A box that has just started records it before it
     /// knows any limit.
     pub(super) fn receive_usage(&mut self, message: &Message) {
         let may_count = self.configuration.is_none() || self.quota.has_limits();
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Gives what this box is to tell of customers with a heartbeat.
+    /// Returns the usage that this box's heartbeat reports.
     pub(super) fn heartbeat_usage(&mut self) -> Usage {
         if self.heartbeats.is_multiple_of(COMPLETE_USAGE_PERIOD) {
             self.quota.take_untold(self.now);
@@ -200,7 +201,7 @@
         self.changed_usage()
     }
 
-    /// Gives what others have yet to hear of customers.
+    /// Returns the usage that has not been reported to the other boxes.
     pub(super) fn changed_usage(&mut self) -> Usage {
         let accounts = match self.settings.sharing {
             Sharing::Parts => Vec::new(),
@@ -209,7 +210,7 @@
         Usage { accounts, ..self.usage_without_accounts() }
     }
 
-    /// Gives all that this box has let through for customers.
+    /// Returns the complete usage at this box.
     pub(super) fn complete_usage(&self) -> Usage {
         match self.settings.sharing {
             Sharing::Parts => self.usage_without_accounts(),
@@ -221,15 +222,15 @@
         }
     }
 
-    /// Gives what is told of limits without any account: how many boxes share them.
+    /// Returns a usage report without accounts: only how many boxes share limits.
     fn usage_without_accounts(&self) -> Usage {
         let boxes = self.known_boxes().unwrap_or(0);
         Usage { boxes: u32::try_from(boxes).unwrap_or(u32::MAX), ..Usage::default() }
     }
 }
 
-/// Tells whether a request's route lets it through with its key under a configuration. One whose
-/// route is gone was taken up while it was there.
+/// Returns whether a request's route accepts its key under a configuration. If the route is gone,
+/// the one that the request was accepted under counts.
 fn is_allowed(configuration: &Configuration, flight: &Flight) -> bool {
     let request = &flight.request;
     let route = configuration.route(&request.host, &request.path).unwrap_or(&flight.route);
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -1,4 +1,4 @@
-//! What engines in need take: learnt from their answers, and told to the other boxes.
+//! Rate limits that engines report with their answers, and that boxes announce to each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::intake::{Change, Told, Word};
 use crate::message::{Extension, Message};
 
-/// The lowest status of an answer that is no success.
+/// Lowest status of an unsuccessful answer.
 const MIN_UNSUCCESSFUL_STATUS: u16 = 300;
 
 impl Gateway {
-    /// Learns from the answer to a call. One that is no success may come from a part of the engine
-    /// that names no limit, and lifts none. The end of a stream says nothing that its head has not
-    /// said, long before.
+    /// Learns the engine's limit from the answer to a call. An unsuccessful answer may come from a
+    /// component that never reports a limit, so it does not lift one. The end of a stream is
+    /// ignored, since its head has reported the limit long before.
     pub(super) fn learn_limit(&mut self, call: &Call, answer: &Answer) {
         if !call.has_begun {
             let may_lift =
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Takes a limit that an engine names in its answer to an order or a question.
+    /// Applies a limit that an engine reports in its answer to an order or a query.
     pub(super) fn learn_reported_limit(&mut self, engine: EngineKey, told: Told) {
         self.learn_limit_of(engine, told, Time::ZERO, false);
     }
 
-    /// Learns from an answer to something that was sent at a time.
+    /// Applies what an engine reported in the answer to something sent at `sent`.
     fn learn_limit_of(&mut self, engine: EngineKey, told: Told, sent: Time, may_lift: bool) {
         let Some(known) = self.directory.get(engine) else { return };
         let change = self.terms.limits.learn(&known.engine, told, sent, may_lift, self.now);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes what another box tells of limits.
+    /// Handles the limits in another box's announcement or permit questions.
     pub(super) fn receive_limits(&mut self, sender: SocketAddr, told: &Extension) {
         let asked = told.asks.iter().map(|it| &it.word);
         for word in told.limits.iter().chain(asked) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes what another box tells of one engine's limit.
+    /// Handles another box's announcement of one engine's limit.
     fn receive_limit(&mut self, word: &Word, sender: SocketAddr) {
         let Some(known) = self.directory.get(word.engine) else { return };
         if let Some(change) = self.terms.limits.hear(word, known.engine.born, self.now) {
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Forgets an engine's limit, since the box that issues its permits knows that it has none.
+    /// Drops an engine's limit, since the box that issues its permits reports that it has none.
     pub(super) fn forget_limit(&mut self, engine: EngineKey) {
         self.terms.limits.forget(engine);
         self.handle_limit_change(engine, Change::Lifted, None, Duration::ZERO);
     }
 
-    /// Goes by a change of what an engine takes, and adds it to the log.
+    /// Applies and logs a change of an engine's limit.
     fn handle_limit_change(
         &mut self,
         engine: EngineKey,
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Tells all boxes at once of the limits that have changed by the engines' own word. What others
-    /// have told is not passed on: all would tell all.
+    /// Announces to all boxes immediately the limits that the engines themselves have changed.
+    /// Limits received from other boxes are not forwarded, since every box would then announce to
+    /// every other one.
     pub(super) fn announce_limits(&mut self) {
         let changed = std::mem::take(&mut self.untold.limits);
         let limits: Vec<_> =
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for engines in need: asked of the box that issues them, issued, and used.
+//! Asks for, issues and uses permits for rate-limited engines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,68 +18,70 @@
 use crate::request::FlightKey;
 use crate::terms::Restriction;
 
-/// The most questions for permits of one call. Each takes a datagram and its answer; where all
-/// engines of a service are in need, a fifth one seldom finds what four did not.
+/// Maximum number of permit questions per call. Each takes a datagram and its answer, and when all
+/// engines of a service are rate-limited, a fifth question seldom succeeds where four did not.
 const MAX_ASKS: u32 = 4;
 
-/// The share of the target for which a request waits for permits before it is refused: as for room.
+/// Share of the latency target for which a request waits for permits before it is refused, the same
+/// as for free capacity.
 const WAIT_SHARE: f64 = 0.22;
 
-/// The engines in need of which a box looks with one heartbeat whether it issues their permits. Each
-/// look goes over all boxes: what a heartbeat costs must not grow with boxes times engines.
+/// Maximum number of rate-limited engines per heartbeat for which a box checks whether it issues
+/// their permits. Each check iterates over all boxes, and the cost of a heartbeat must not grow
+/// with boxes times engines.
 const MAX_CHECKED_PER_HEARTBEAT: usize = 256;
 
-/// How long a question is kept for its answer.
+/// How long a question is retained for its answer.
 const QUESTION_RETENTION: Duration = Duration::from_secs(1);
 
 /// Whether a request may be sent to an engine now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Permission {
-    /// It may.
+    /// It may be sent.
     Granted,
     /// It waits for a permit.
     Pending,
-    /// There is no permit in time.
+    /// No permit is available in time.
     Refused,
 }
 
-/// A question that has no answer yet.
+/// A question that has not been answered.
 #[derive(Debug, Clone, Copy)]
 struct Question {
-    /// The request.
+    /// The request that waits for the permit.
     flight: FlightKey,
-    /// The engine.
+    /// The engine asked about.
     engine: EngineKey,
-    /// When it was asked.
+    /// When the question was sent.
     at: Time,
 }
 
-/// What this box has of permits.
+/// Permit state of this box.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Permits {
-    /// Those that it holds.
+    /// Permits that this box holds.
     pub(super) held: Holder,
-    /// Those that it issues.
+    /// Permits that this box issues.
     issuer: Issuer,
-    /// Its questions for others.
+    /// This box's questions to other boxes, by number.
     questions: BTreeMap<u64, Question>,
-    /// The number of the last question.
+    /// Number of the last question.
     last_number: u64,
-    /// The engines whose permits this box issues, of those that it looked at with its last heartbeat.
+    /// The engines whose permits this box issues, out of those checked with its last heartbeat.
     issued: Vec<EngineKey>,
-    /// The last of the engines in need that it looked at, if there are more.
+    /// The last rate-limited engine checked, if there are more.
     last_checked: Option<EngineKey>,
 }
 
 impl Permits {
-    /// Gives when a permit can be used that can't be yet.
+    /// Returns when the next permit becomes valid that is not valid yet.
     pub(super) fn next_start(&self, now: Time) -> Option<Time> {
         self.held.next_start(now)
     }
 }
 
 impl Gateway {
-    /// Tells whether a request may ask for permits.
+    /// Returns whether a request may ask for permits, and from which engines.
     pub(super) fn asking(&self, flight: &Flight) -> Asking {
         match flight.asked {
             Some(asked) if self.is_waiting_for(&asked) => Asking::At(asked.engine),
@@ -90,18 +92,18 @@
         }
     }
 
-    /// Tells whether a question may still bring a permit.
+    /// Returns whether a question may still result in a permit.
     fn is_waiting_for(&self, asked: &Asked) -> bool {
         let is_left = !asked.is_issued || self.permits.held.expects(asked.engine, self.now);
         self.now < asked.until && is_left
     }
 
-    /// Tells whether a request has asked for a permit that does not come.
+    /// Returns whether a request's question for a permit can no longer succeed.
     pub(super) fn has_failed_question(&self, flight: &Flight) -> bool {
         flight.asked.is_some_and(|it| !self.is_waiting_for(&it))
     }
 
-    /// Gives until when a request may wait for permits.
+    /// Returns until when a request may wait for permits.
     pub(super) fn permit_deadline(&self, flight: &Flight) -> Time {
         let duration = flight.route.target.mul_f64(WAIT_SHARE);
         if flight.source.is_some() {
@@ -111,7 +113,8 @@
         (begun + duration).min(flight.ends)
     }
 
-    /// Gets a permit for a request that is to go to an engine, if it needs one.
+    /// Obtains or asks for a permit for a request that is about to be sent to an engine, if the
+    /// engine requires one.
     pub(super) fn acquire_permit(&mut self, key: FlightKey, engine: EngineKey) -> Permission {
         if self.terms.limits.of(engine).is_none() || self.permits.held.has(engine, self.now) {
             return Permission::Granted;
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Forgets a question that brings no permit any more: one without an answer is not asked again at
-    /// once.
+    /// Drops a request's question that can no longer succeed. If it was not answered, the engine's
+    /// permits are not asked for again for a short time.
     fn drop_failed_question(&mut self, key: FlightKey) {
         let Some(asked) = self.flights.get(&key).and_then(|it| it.asked) else { return };
         if self.is_waiting_for(&asked) {
@@ -145,8 +148,8 @@
         self.end_question(key, asked.engine);
     }
 
-    /// Notes that a request's question for a permit of an engine brings none. It may have asked for
-    /// another one since.
+    /// Records that a request's question for an engine's permit has failed. The request may have
+    /// asked for another engine's since.
     fn end_question(&mut self, key: FlightKey, engine: EngineKey) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         flight.asked.take_if(|it| it.engine == engine);
@@ -202,14 +205,14 @@
         self.tell(vec![issuer], message);
     }
 
-    /// Gives for how long a request may wait for its turn: the higher its rank, the longer, so that
-    /// the next turns are left to the higher ranks.
+    /// Returns how long a request may wait for a permit. A higher priority waits longer, so that
+    /// later permits are left to the higher priorities.
     fn patience(&self, flight: &Flight) -> Duration {
         let left = self.permit_deadline(flight).since(self.now);
         left / (1 + u32::from(flight.rank()))
     }
 
-    /// Has a request wait for a permit.
+    /// Lets a request wait for a permit.
     fn await_permit(&mut self, key: FlightKey, asked: Asked) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         flight.asked = Some(asked);
@@ -219,13 +222,13 @@
         self.wake_at(key, Some(asked.until));
     }
 
-    /// Notes that a request can't go to an engine, and that no other can for a time.
+    /// Records that a request can't be sent to an engine, and that no other request can for `wait`.
     fn exclude_engine(&mut self, key: FlightKey, engine: EngineKey, wait: Duration) {
         self.permits.held.refuse(engine, wait, self.now);
         self.end_question(key, engine);
     }
 
-    /// Gives the box that issues an engine's permits.
+    /// Returns the box that issues an engine's permits.
     fn issuer(&self, engine: EngineKey) -> SocketAddr {
         let known = self.directory.get(engine);
         let data_centre = known.map(|it| DataCentreKey::of(&it.engine.data_centre));
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Tells how this box stands to the others as an issuer.
+    /// Returns which side of a possible partition this box is on as an issuer.
     fn side(&self, engine: EngineKey) -> Side {
         let boxes = self.sharing_boxes();
         if (1 + self.members.punctual(self.now)) * 2 > boxes {
@@ -252,7 +255,7 @@
         Side::Minority(self.members.first_heard(self.settings.peer, engine, PART_COUNT, boxes))
     }
 
-    /// Takes in questions for permits, and answers to this box's own.
+    /// Handles another box's permit questions, and its answers to this box's questions.
     pub(super) fn receive_permits(&mut self, sender: SocketAddr, told: &Extension) {
         let replies: Vec<_> = told.asks.iter().map(|it| self.answer(it)).collect();
         if !replies.is_empty() {
@@ -265,8 +268,8 @@
         }
     }
 
-    /// Answers a question for a permit. A box that does not issue the engine's permits, as it knows the
-    /// others, refuses it: two that issue them would issue them twice.
+    /// Answers a permit question. A box that is not the engine's issuer by its own view of the
+    /// boxes refuses it, since two issuers would exceed the limit.
     fn answer(&mut self, ask: &Ask) -> Reply {
         let engine = ask.word.engine;
         let outcome = if self.issuer(engine) == self.settings.peer {
@@ -277,7 +280,7 @@
         Reply { number: ask.number, engine, outcome }
     }
 
-    /// Takes the answer to a question for a permit.
+    /// Handles the answer to a permit question.
     fn handle_reply(&mut self, reply: &Reply) {
         let Some(question) = self.permits.questions.remove(&reply.number) else { return };
         let Question { flight: key, engine, at } = question;
@@ -297,7 +300,7 @@
         }
     }
 
-    /// Has a request that asked go on waiting, for a permit that can be used later.
+    /// Extends the wait of a request that asked until its permit becomes valid.
     fn extend_wait(&mut self, key: FlightKey, asked: Asked) {
         let waits = self.flights.get(&key).and_then(|it| it.asked);
         if waits.is_some_and(|it| it.engine == asked.engine) {
@@ -305,15 +308,16 @@
         }
     }
 
-    /// Gives after which time an engine in need takes one more request, if it is in need.
+    /// Returns the time until a rate-limited engine accepts one more request. `None` if the engine
+    /// is not rate-limited.
     pub(super) fn permit_wait(&self, engine: EngineKey) -> Option<Duration> {
         let limit = self.terms.limits.of(engine)?;
         let average = Duration::from_secs_f64(1.0 / limit.rate);
         Some(self.permits.held.wait(engine, self.now).unwrap_or(average))
     }
 
-    /// Forgets permits and questions that are over, and goes by which engines' permits this box issues
-    /// now.
+    /// Drops expired permits and questions, and updates the set of engines whose permits this box
+    /// issues.
     pub(super) fn sweep_permits(&mut self) {
         let now = self.now;
         let directory = &self.directory;
@@ -335,33 +339,34 @@
         self.permits.issued = issued;
     }
 
-    /// Gives the limits that this box's heartbeat tells: those of the engines whose permits it issues,
-    /// so that each is told by one box, and those that were lifted of late.
+    /// Returns the limits that this box's heartbeat announces: those of engines whose permits it
+    /// issues, so that one box announces each, and those that were lifted recently.
     pub(super) fn limits_to_announce(&self) -> Vec<Word> {
         let issued = self.permits.issued.iter().copied();
         let lifted = self.terms.limits.lifted().filter(|&it| self.issues(it));
         issued.chain(lifted).filter_map(|it| self.terms.limits.word(it, self.now)).collect()
     }
 
-    /// Begins to issue the permits of an engine that has just named a limit, if this box issues them.
+    /// Begins to issue the permits of an engine that has just reported a limit, if this box is its
+    /// issuer.
     pub(super) fn begin_to_issue(&mut self, engine: EngineKey) {
         if self.terms.limits.of(engine).is_some() && self.issues(engine) {
             self.permits.issuer.begin(engine, self.now);
         }
     }
 
-    /// Tells whether this box issues an engine's permits.
+    /// Returns whether this box issues an engine's permits.
     pub(super) fn issues(&self, engine: EngineKey) -> bool {
         self.issuer(engine) == self.settings.peer
     }
 }
 
-/// Gives a span of whole milliseconds.
+/// Converts milliseconds to a duration.
 fn millis(count: u32) -> Duration {
     Duration::from_millis(u64::from(count))
 }
 
-/// Gives a span in milliseconds, rounded up.
+/// Returns a duration in milliseconds, rounded up.
 fn millis_rounded_up(duration: Duration) -> u32 {
     u32::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -1,8 +1,9 @@
-//! Requests that crash their engines: found out, held back, told to the other boxes and let go.
+//! Detects requests that crash their engines, holds them back, announces them to the other boxes
+//! and releases them.
 //!
-//! A call that breaks makes its request a suspect at once, and its engine is asked whether it lives.
-//! Waiting for the answer, or for the engine to be back, would let the request crash another engine
-//! with each try meanwhile; being a suspect costs an innocent request little.
+//! A broken call makes its request a suspect immediately, and its engine is probed. If the request
+//! stayed unsuspected until the probe was answered or the engine was back, each retry could crash
+//! another engine meanwhile. Being a suspect costs an innocent request little.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,44 +19,45 @@
 use crate::request::FlightKey;
 use crate::signature::Signature;
 
-/// When a client may come back whose request is held back until it is known whether its engines
-/// have crashed: about as long as these take to be back.
+/// Retry delay for a request that is held back until the crashes of its engines are confirmed:
+/// about the time that engines take to restart.
 const UNCONFIRMED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a request waits while the same one is tried: most are answered or broken by then.
+/// How long a request waits while another try of it runs. Most tries are answered or broken by
+/// then.
 const MAX_TRIAL_WAIT: Duration = Duration::from_millis(600);
 
-/// How long an engine must be missing in the list for its crash to be taken for proven: longer than
-/// word of an engine that has just entered itself takes to come to all boxes.
+/// How long an engine must be missing from the directory before its crash counts as proven: longer
+/// than the entry of an engine that has just registered takes to reach all boxes.
 const UNLISTED_PROOF_DELAY: Duration = Duration::from_secs(4);
 
-/// A request that is held back, as operators see it.
+/// A held request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRequest {
-    /// The shown part of its signature.
+    /// The displayed prefix of its signature.
     pub short: String,
-    /// The customer that sent it, if it is known.
+    /// The customer that sent it, if known.
     pub customer: Option<Arc<str>>,
     /// Its path, if this box knows it.
     pub path: Option<Arc<str>>,
-    /// The engines that crashed: their ids, or short names where they are not listed any more.
+    /// The engines that crashed: their ids, or the hexadecimal keys of those no longer listed.
     pub engines: Vec<String>,
     /// Whether all crashes are proven.
     pub is_proven: bool,
-    /// When the last crash was noted, in seconds of Unix time.
+    /// When the last crash was recorded, in seconds of Unix time.
     pub since: u64,
-    /// Until when it is held back, in seconds of Unix time.
+    /// When the hold ends, in seconds of Unix time.
     pub until: u64,
 }
 
 impl Gateway {
-    /// Gives the Unix time, in seconds.
+    /// Returns the Unix time in seconds.
     pub(super) fn unix_time(&self) -> u64 {
         self.settings.unix_start + self.now.since(hollyspoke::time::Time::ZERO).as_secs()
     }
 
-    /// Notes that a call broke, or that its engine fell silent. One at an engine that is about to
-    /// leave proves nothing: it may have ended as planned.
+    /// Records that a call broke, or that its engine timed out. At an engine that is shutting down
+    /// this proves nothing, since the engine may have stopped as planned.
     pub(super) fn suspect(&mut self, call: &Call) {
         let Some(known) = self.directory.get(call.engine.key) else { return };
         if known.engine.is_draining || known.is_missing() || self.terms.is_leaving(&known.engine) {
@@ -79,14 +81,14 @@
         }
     }
 
-    /// Takes an engine's answer to the question whether it lives.
+    /// Handles the result of an engine's liveness probe.
     pub(super) fn probed(&mut self, engine: EngineKey, probe: Probe) {
         self.probing.remove(&engine);
         let asked = Incarnation { engine, started_at: None };
         match probe {
             Probe::Lives(started_at) => {
                 self.quarantine.clear(Incarnation { engine, started_at }, self.now);
-                // What is still in question broke in an earlier life.
+                // The remaining unconfirmed crashes belong to an earlier incarnation.
                 self.confirm(asked, Proof::Proven);
             }
             Probe::Replaced => self.confirm(asked, Proof::Proven),
@@ -94,18 +96,18 @@
         }
     }
 
-    /// Notes how well it is known that an engine has crashed.
+    /// Records how certain it is that an engine has crashed.
     fn confirm(&mut self, ended: Incarnation, proof: Proof) {
         let unix = self.unix_time();
         let held = self.quarantine.confirm(ended, proof, self.now, unix);
         self.log_held(&held);
     }
 
-    /// Takes the engines that have ended without a word: whatever broke there crashed with them, and
-    /// nothing that was known of them holds.
+    /// Handles engines that ended without announcing it: every call that broke there is attributed
+    /// to a crash, and whatever was known of the engine is dropped.
     pub(super) fn take_ended(&mut self) {
         for engine in self.directory.take_ended() {
-            // One that had said that it leaves has ended as planned.
+            // An engine that announced its shutdown has stopped as planned.
             if !self.terms.is_leaving(&engine) {
                 self.confirm(
                     Incarnation { engine: engine.key, started_at: engine.born },
@@ -119,22 +121,22 @@
         }
     }
 
-    /// Drops the prompts that an engine had read for requests and that nobody has taken: it does not
-    /// keep them any more.
+    /// Drops the prefilled prompts at an engine that no request has used yet: the engine no longer
+    /// holds them.
     fn drop_handles(&mut self, engine: &Engine) {
         for flight in self.flights.values_mut() {
             flight.source.take_if(|it| it.address == engine.address);
         }
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request was answered completely.
     pub(super) fn close_case(&mut self, signature: Signature) {
         if self.quarantine.close_case(signature, self.now) {
             self.note(Note::Released { signature, how: "answered" });
         }
     }
 
-    /// Lets the requests go whose signature begins as shown.
+    /// Releases the held requests whose signature starts with `short`.
     pub(super) fn release_held(&mut self, short: &str) {
         for signature in self.quarantine.find_held(short) {
             self.quarantine.close_case(signature, self.now);
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Gives the requests that are held back.
+    /// Returns the held requests.
     pub fn held(&self) -> Vec<HeldRequest> {
         let held = self.quarantine.held();
         held.map(|(signature, case)| HeldRequest {
@@ -157,13 +159,13 @@
         .collect()
     }
 
-    /// Gives an engine's id, or its short name if it is not listed any more.
+    /// Returns an engine's id, or its key in hexadecimal if it is no longer listed.
     pub(super) fn engine_name(&self, engine: EngineKey) -> String {
         let known = self.directory.get(engine);
         known.map_or_else(|| format!("{:016x}", engine.0), |it| it.engine.id.to_string())
     }
 
-    /// Tells whether a request may be sent now; one that may not waits or is refused.
+    /// Returns whether a request may be sent now. If not, it waits or is refused.
     pub(super) fn may_run(&mut self, key: FlightKey) -> bool {
         let Some(flight) = self.flights.get(&key) else { return false };
         let signature = flight.signature;
@@ -185,8 +187,8 @@
         false
     }
 
-    /// Gives an answer to a request that is held back that does not ask the client to come again. One
-    /// that has run at an engine can't be told that it has not.
+    /// Refuses a held request with an answer that does not invite a retry. A request that has run
+    /// at an engine can't be reported as not run.
     fn refuse_held(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get(&key) else { return };
         let Some(proof) = flight.trace.not_run().filter(|_| !flight.has_begun) else {
@@ -197,13 +199,13 @@
         self.end(key, "held back");
     }
 
-    /// Tells whether another try of the same request is under way.
+    /// Returns whether another try of the same request is running.
     fn has_running_trial(&self, key: FlightKey, signature: Signature) -> bool {
         let of = |it: &Call| self.flights.get(&it.flight).map(|it| it.signature);
         self.calls.values().any(|it| it.flight != key && of(it) == Some(signature))
     }
 
-    /// Has a request wait until the same one was tried.
+    /// Lets a request wait until the running try of the same request has ended.
     fn wait_for_trial(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         if flight.waits_until.is_some() {
@@ -215,7 +217,7 @@
         self.wake_at(key, Some(until));
     }
 
-    /// Gives the engines at which requests are tried that are all but held back.
+    /// Returns the engines that run requests for which one more crash means a hold.
     pub(super) fn trials(&self) -> Vec<EngineKey> {
         self.calls
             .values()
@@ -224,7 +226,7 @@
             .collect()
     }
 
-    /// Takes what another box tells of requests under which engines have crashed.
+    /// Handles the cases that another box announces.
     pub(super) fn receive_cases(&mut self, message: &Message) {
         if message.crashes.is_empty() {
             return;
@@ -238,7 +240,7 @@
         self.may_have_room = true;
     }
 
-    /// Tells all boxes of the cases that have changed.
+    /// Announces all changed cases to all boxes.
     pub(super) fn announce_cases(&mut self) {
         while self.quarantine.has_unannounced() {
             let crashes = self.quarantine.take_unannounced();
@@ -249,8 +251,8 @@
         }
     }
 
-    /// Takes the crashes for proven whose engine is listed in a later life, or not any more. A box that
-    /// has started since sees no change that tells it.
+    /// Marks crashes as proven whose engine is listed with a later incarnation, or no longer
+    /// listed. A box that has started since then receives no change event that would show it.
     fn prove_from_directory(&mut self) {
         if self.quarantine.is_empty() || !self.is_listed || self.missing_until().is_some() {
             return;
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Proves what can be proven, and drops what is out of date.
+    /// Proves crashes from the directory, and drops what has expired.
     pub(super) fn sweep_quarantine(&mut self) {
         self.prove_from_directory();
         let unix = self.unix_time();
@@ -285,15 +287,15 @@
         }
     }
 
-    /// Tells whether a call goes to the life of its engine that is listed: what became of one that
-    /// went to an earlier life says nothing about this one.
+    /// Returns whether a call was sent to the currently listed incarnation of its engine. The
+    /// outcome of a call to an earlier one says nothing about the current one.
     pub(super) fn is_current_incarnation(&self, call: &Call) -> bool {
         let known = self.directory.get(call.engine.key);
         known.is_none_or(|it| it.engine.born == call.engine.born)
     }
 }
 
-/// Gives what operators see of a request.
+/// Returns the summary of a request for operators.
 fn summary(flight: &Flight) -> RequestSummary {
     RequestSummary {
         customer: flight.customer.as_ref().map(|it| it.name.clone()),
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -1,4 +1,5 @@
-//! What engines say of themselves, whichever answer brings it.
+//! Handles what engines report about themselves in any of their answers: limits, shutdowns and
+//! back-off.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,50 +16,51 @@
 use crate::statement::Statement;
 use crate::terms::{Restriction, Terms};
 
-/// By which share of itself a rest is drawn out at most, so that boxes that were told together do not
-/// come back together.
+/// Maximum share of its own duration by which a back-off is extended, so that boxes that were asked
+/// at the same time do not return together.
 const SPREAD_SHARE: f64 = 0.1;
 
-/// What each box adds to that.
+/// Additional extension of a back-off per box.
 const SPREAD_PER_BOX: Duration = Duration::from_millis(10);
 
-/// The share of its drain for which an engine that leaves is used where no other can serve.
+/// Share of its drain time for which an engine that is shutting down is still used if no other
+/// engine can serve a request.
 const DRAIN_USED_SHARE: f64 = 0.5;
 
-/// The engines that leave of which a box looks with one heartbeat whether it tells of them: each look
-/// goes over all boxes.
+/// Maximum number of engines that are shutting down for which a box checks with one heartbeat
+/// whether it announces them. Each check iterates over all boxes.
 const MAX_CHECKED_PER_HEARTBEAT: usize = 256;
 
-/// The most engines that leave that one heartbeat tells, of about 25 bytes each.
+/// Maximum number of shutdowns announced with one heartbeat, about 25 bytes each.
 const MAX_ANNOUNCED: usize = 32;
 
-/// The most that a box that has just started is told at once.
+/// Maximum number of shutdowns announced at once to a box that has just started.
 const MAX_ANNOUNCED_TO_NEW: usize = 128;
 
-/// The most engines that one request is noted to be kept from.
+/// Maximum number of excluded engines recorded for one request.
 const MAX_LOGGED: usize = 8;
 
-/// The engines of a service that are looked at for the time at which a client may come back.
+/// Maximum number of a service's engines that are compared for a retry delay.
 const MAX_COMPARED: usize = 64;
 
-/// The least time after which a client may come back whose engines are all closed by their own word.
+/// Minimum retry delay for a client whose request all engines exclude by their own reports.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The spread of the times at which such clients come back, so that they do not come together.
+/// Share by which the retry delays of such clients are spread, so that they do not return together.
 const RETRY_SPREAD: f64 = 0.5;
 
-/// For how long a request is kept from all engines that could take it.
+/// How long all engines that could serve a request are unavailable for it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Wait {
-    /// The time.
+    /// Time until the first engine accepts the request.
     pub(super) duration: Duration,
-    /// Why it can't go to the engine that takes it first.
+    /// What restricts that engine until then.
     by: Restriction,
 }
 
 impl Gateway {
-    /// Takes what an engine says of itself in an answer that is not that to a call. What an earlier
-    /// life said says nothing of this one.
+    /// Handles what an engine reports in an answer to anything other than a call. Reports of an
+    /// earlier incarnation are ignored.
     pub(super) fn handle_statement(&mut self, engine: EngineKey, says: &Statement) {
         let listed = self.directory.get(engine).map(|it| it.engine.born);
         if says.born.is_some() && listed.is_some_and(|it| says.born < it) {
@@ -70,7 +72,7 @@
         self.learn_back_off(engine, says.back_off);
     }
 
-    /// Learns from the answer to a call.
+    /// Applies what an engine reports in its answer to a call.
     pub(super) fn learn_terms(&mut self, call: &Call, says: &Statement) {
         self.learn_departure(call.engine.key, call.engine.born, says);
         if !call.has_begun {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Learns whether a life of an engine is about to leave.
+    /// Records whether an incarnation of an engine is shutting down.
     fn learn_departure(&mut self, engine: EngineKey, incarnation: Option<u64>, says: &Statement) {
         if says.is_leaving && self.terms.departures.learn(engine, incarnation, self.now) {
             self.untold.departures.push(engine);
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Takes what another box tells of engines that leave.
+    /// Handles another box's announcements of engines that are shutting down.
     pub(super) fn receive_departures(&mut self, sender: SocketAddr, told: &[departure::Word]) {
         for word in told {
             if self.terms.departures.hear(word, self.now) {
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Goes by the news that an engine leaves: it is sent nothing that is not sent yet.
+    /// Handles the news that an engine is shutting down: calls that are not sent to it yet are
+    /// dropped.
     fn handle_departure(&mut self, engine: EngineKey, told_by: Option<SocketAddr>, age: Duration) {
         let id = self.engine_name(engine).into();
         self.note(Note::Leaving { id, told_by, age });
@@ -104,7 +107,8 @@
         self.may_have_room = true;
     }
 
-    /// Tells all boxes at once of the engines that have told this one that they leave.
+    /// Announces to all boxes immediately the engines that have reported their shutdown to this
+    /// box.
     pub(super) fn announce_departures(&mut self) {
         let told = std::mem::take(&mut self.untold.departures);
         let departures = self.departure_announcements(told);
@@ -115,8 +119,8 @@
         }
     }
 
-    /// Gives what this box's heartbeat tells: the engines that it would issue permits of, so that each is
-    /// told by one box, and those that have told it themselves a short time ago.
+    /// Returns the shutdowns that this box's heartbeat announces: engines whose permits it would
+    /// issue, so that one box announces each, and engines that reported it to this box recently.
     pub(super) fn departures_to_announce(&mut self) -> Vec<departure::Word> {
         if self.terms.departures.is_empty() {
             return Vec::new();
@@ -133,21 +137,23 @@
         self.departure_announcements(leaving)
     }
 
-    /// Gives all that a box that has just started is told, as far as it goes into a datagram.
+    /// Returns all known shutdowns for a box that has just started, as far as they fit into a
+    /// datagram.
     pub(super) fn all_departures(&self) -> Vec<departure::Word> {
         let leaving = self.terms.departures.engines().take(MAX_ANNOUNCED_TO_NEW);
         self.departure_announcements(leaving.collect())
     }
 
-    /// Gives what there is to tell of engines.
+    /// Returns the shutdown announcements of some engines.
     fn departure_announcements(&self, engines: Vec<EngineKey>) -> Vec<departure::Word> {
         let departures = &self.terms.departures;
         engines.into_iter().filter_map(|it| departures.word(it, self.now)).collect()
     }
 
-    /// Gives for how long an engine may be known to leave that is used for a request all the same; none
-    /// if another engine can serve it. An engine that leaves goes on serving for the time of its drain
-    /// from its entry on, which this box may not have seen: half of that is counted on.
+    /// Returns how long an engine may have been known to be shutting down and still be used for a
+    /// request; `None` if another engine can serve the request. Such an engine keeps serving for
+    /// its drain time, counted from its entry, which this box may not have seen, so only half of
+    /// the drain time is relied on.
     pub(super) fn leaving_for(&self, flight: &Flight) -> Option<Duration> {
         if self.terms.departures.is_empty() {
             return None;
@@ -158,15 +164,15 @@
         is_last.then(|| self.settings.drain.mul_f64(DRAIN_USED_SHARE))
     }
 
-    /// Tells whether an engine may be asked whether it lives: one in need too, since nothing else tells
-    /// whether a request has crashed it.
+    /// Returns whether an engine may be probed. Rate-limited engines are probed too, since nothing
+    /// else shows whether a request has crashed them.
     pub(super) fn accepts_probe(&self, engine: EngineKey) -> bool {
         let known = self.directory.get(engine).filter(|it| !it.is_evacuated());
         let restriction = known.map(|it| self.terms.restriction(&it.engine, None, self.now));
         matches!(restriction, Some(None | Some(Restriction::RateLimit)))
     }
 
-    /// Notes which engines a request is kept from by what they have said, for the log.
+    /// Records, for the log, which engines are excluded for a request by their own reports.
     pub(super) fn record_exclusions(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get(&key) else { return };
         let leaving = self.terms.departures.engines();
@@ -185,14 +191,14 @@
         }
     }
 
-    /// Tells whether something that is no request may be sent to an engine: a question, an order, the
-    /// freeing of a prompt. All of it can be left out.
+    /// Returns whether something other than a request may be sent to an engine: a query, an order,
+    /// the release of a prompt. All of these can be omitted.
     pub(super) fn accepts_auxiliary(&self, engine: EngineKey) -> bool {
         let known = self.directory.get(engine).filter(|it| !it.is_evacuated());
         known.is_some_and(|it| self.terms.restriction(&it.engine, None, self.now).is_none())
     }
 
-    /// Learns for how long an engine wants nothing from this box.
+    /// Records for how long an engine asks this box to back off.
     fn learn_back_off(&mut self, engine: EngineKey, told: back_off::Reported) {
         if told == back_off::Reported::Nothing {
             return;
@@ -213,15 +219,15 @@
         }
     }
 
-    /// Goes by how an engine answered a call, if this box is coming back to it after its rest.
+    /// Records the answer to a call, if this box is resuming use of the engine after a back-off.
     pub(super) fn record_return_answer(&mut self, call: &Call, is_good: bool) {
         if !call.has_begun {
             self.terms.back_offs.record_answer(call.engine.key, call.sent, is_good);
         }
     }
 
-    /// Gives for how long a request is kept from all engines that could take it, and by what; none if
-    /// one of them takes it as far as its own word goes.
+    /// Returns how long all engines that could serve a request exclude it by their own reports, and
+    /// by which restriction. `None` if one of them accepts it.
     pub(super) fn blocked_for(&self, flight: &Flight) -> Option<Wait> {
         let Terms { limits, back_offs, .. } = &self.terms;
         if limits.is_empty() && back_offs.is_empty() {
@@ -243,12 +249,12 @@
         shortest
     }
 
-    /// Gives for how long an engine's own word keeps requests from it, and by what.
+    /// Returns how long an engine's own reports exclude requests, and by which restriction.
     fn wait_for(&self, engine: &Engine, leaving_for: Option<Duration>) -> Option<Wait> {
         let limited = self.permit_wait(engine.key);
         match self.terms.restriction(engine, leaving_for, self.now)? {
             Restriction::BackOff => {
-                // One whose rest is over may take more with the next answer.
+                // An engine whose back-off has ended may accept more after its next answer.
                 let back_off = self.terms.back_offs.wait(engine, self.now).unwrap_or_default();
                 let duration = limited.map_or(back_off, |it| it.max(back_off));
                 Some(Wait { duration, by: Restriction::BackOff })
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Has a request wait for the end of a rest that comes in time, or refuses it.
+    /// Lets a request wait if a back-off ends in time, and refuses it otherwise.
     pub(super) fn wait_or_refuse(&mut self, key: FlightKey, wait: Wait) {
         let Some(flight) = self.flights.get(&key) else { return };
         let until = flight.waits_until.unwrap_or_else(|| self.permit_deadline(flight));
@@ -268,7 +274,7 @@
         self.refuse_blocked(key, wait);
     }
 
-    /// Refuses a request that all engines are closed to by their own word.
+    /// Refuses a request that all engines exclude by their own reports.
     pub(super) fn refuse_blocked(&mut self, key: FlightKey, wait: Wait) {
         let spread = (self.draw() % 1000) as f64 / 1000.0;
         let retry = wait.duration.max(MIN_RETRY_DELAY).mul_f64(1.0 + RETRY_SPREAD * spread);
@@ -280,7 +286,7 @@
         self.give_up_until(key, reason, retry);
     }
 
-    /// Notes the departures and rests that have ended.
+    /// Logs shutdowns and back-offs that have ended.
     pub(super) fn sweep_terms(&mut self) {
         let (now, directory) = (self.now, &self.directory);
         let listed = |it: EngineKey| directory.get(it).map(|it| &*it.engine);
@@ -297,7 +303,7 @@
     }
 }
 
-/// Tells whether an engine can serve a request to its end, as those that only read prompts can't.
+/// Returns whether an engine can serve a request to its end, which prefill engines can't.
 fn is_able(known: &Known) -> bool {
     known.engine.stage != Some(Stage::Prefill)
 }
--- a/crates/hollyspoke-gateway/src/permit.rs
+++ b/crates/hollyspoke-gateway/src/permit.rs
@@ -1,20 +1,23 @@
-//! Permits to send requests to engines that take only so many a second from all boxes together.
+//! Permits to send requests to engines whose request rate is limited for all boxes together.
 //!
-//! Each engine has one box that issues its permits: of those that live the first in an order drawn
-//! by a hash, near the engine. A box that has a request for such an engine asks that one, and sends
-//! with a permit alone. So the work may be at any of a thousand boxes, and the limit is used whole.
+//! Each engine has one box that issues its permits: the first live one in an order drawn by a hash,
+//! preferably in the engine's data centre. A box with a request for such an engine asks that box,
+//! and sends only with a permit. The load may thus be spread over a thousand boxes in any way, and
+//! the limit is still used in full.
 //!
-//! Boxes may differ on who lives. A side that hears most of all boxes issues the whole limit, and
-//! there is one such side at most. To each other side belong the parts of those of its boxes that
-//! come first of all known ones for the engine. Engines count over 4 s; in any such time, with all
-//! restarts, since a box begins with nothing, the sum is at most
+//! Boxes may disagree on which boxes are alive. A side in contact with a majority of all boxes
+//! issues the whole limit, and there is at most one such side. The first [`PART_COUNT`] of all
+//! known boxes for the engine each stand for one part of the limit, and each other side issues the
+//! parts of those that it reaches. Engines count over 4 s. In any such window, restarts included
+//! since a restarted box begins with no permits, the sum is at most
 //!
-//! - `USED_SHARE` of the limit over that time and the life of a permit, and `BURST`;
+//! - `USED_SHARE` of the limit over the window and a permit's lifetime, and `BURST`;
 //! - [`PART_COUNT`] times `PART_SHARE` of the limit over the same time, and one for each part;
-//! - what a side issues on until it misses the boxes that were cut off: `USED_SHARE` for as long.
+//! - what a side keeps issuing until it misses the boxes that were cut off: `USED_SHARE` for that
+//!   long.
 //!
-//! With 1.3 s for the last, that is 5.95 times the limit, and 5, where 6 times the limit and 5 are
-//! allowed.
+//! With 1.3 s for the last, the sum is 5.95 times the limit, and 5, where 6 times the limit and 5
+//! are allowed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,90 +27,93 @@
 use crate::engine::EngineKey;
 use crate::intake::Word;
 
-/// The share of a limit that is issued by a side with most boxes. The rest is for calls that are held
-/// up on the way and come together.
+/// Share of a limit that a side with a majority issues. The rest covers calls that are delayed on
+/// the way and arrive together.
 const USED_SHARE: f64 = 0.95;
 
-/// The permits that such a side issues at once at most, when none was asked for in a while. Where twice
-/// the work of a limit of 1 to 3.5 a second comes, one alone leaves 0.28 to 0.32 of the limit unused,
-/// two leave 0.07 to 0.09 (66 boxes in virtual time, 200 s).
+/// Maximum number of permits that such a side issues at once after an idle time. With a load of
+/// twice a limit of 1 to 3.5 requests per second on 66 boxes, a burst of one leaves 0.28 to 0.32 of
+/// the limit unused, and a burst of two leaves 0.07 to 0.09.
 const BURST: f64 = 2.0;
 
-/// The parts of a limit that belong to boxes which do not hear most of the others.
+/// Number of parts of a limit that belong to boxes that are not in contact with a majority of the
+/// others.
 pub const PART_COUNT: usize = 3;
 
-/// The share of a limit that is one part. All parts together leave the other side what it may use.
+/// Share of a limit that makes up one part. All parts together are small enough for the majority
+/// side to issue its full share.
 const PART_SHARE: f64 = 0.2 / PART_COUNT as f64;
 
-/// How long a permit can be used. A request waits for it, so that it is used at once; one whose
-/// request has gone elsewhere is left for the next.
+/// How long a permit is valid. A request waits for its permit and so uses it immediately; the
+/// permit of a request that was sent elsewhere is left to the next request.
 const PERMIT_LIFETIME: Duration = Duration::from_millis(100);
 
-/// How long an answer to a question for a permit may take; a datagram and its answer take up to 30 ms
-/// between regions. Later ones are worth nothing, so that what is sent does not gather.
+/// How long the answer to a permit question may take. A datagram and its answer take up to 30 ms
+/// between regions. Later answers are ignored, so that delayed permits do not lead to a burst.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How long nothing more is asked for an engine after a question got no answer, or was asked of a box
-/// that does not issue its permits: boxes that differ on who lives agree with the next heartbeats.
+/// How long no permit is asked for after a question was not answered, or was sent to a box that
+/// does not issue the engine's permits. Boxes that disagree on which boxes are alive agree after
+/// their next heartbeats.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long it is believed at most that there is no permit: the box that issues them, or what it may
-/// issue, may be another one by then.
+/// Maximum time for which a refusal is believed: after that, another box may issue the permits, or
+/// the issuer's share may have changed.
 const MAX_REFUSAL_DURATION: Duration = Duration::from_secs(1);
 
 /// A question for a permit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ask {
-    /// The number of the question at the box that asks.
+    /// Number of the question at the box that asks.
     pub number: u64,
-    /// What that box knows of the engine's limit.
+    /// The engine's limit as known to the box that asks.
     pub word: Word,
-    /// For how long the request may wait for its turn, in milliseconds.
+    /// How long the request may wait for its permit, in milliseconds.
     pub patience_ms: u32,
 }
 
 /// The answer to a question for a permit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reply {
-    /// The number of the question.
+    /// Number of the question.
     pub number: u64,
-    /// The engine.
+    /// The engine asked about.
     pub engine: EngineKey,
-    /// What was decided.
+    /// The decision.
     pub outcome: Outcome,
 }
 
-/// What was decided on a permit.
+/// The decision on a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is issued, and can be used after so many milliseconds.
+    /// Issued, and valid after this number of milliseconds.
     Issued(u32),
-    /// There is none in time; the next one is in so many milliseconds.
+    /// Not available in time. The next permit is available after this number of milliseconds.
     Refused(u32),
-    /// The engine has no limit any more.
+    /// The engine no longer has a limit.
     Unlimited,
 }
 
-/// How a box that issues permits stands to the others.
+/// Which side of a possible network partition an issuing box is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// It hears most of all boxes.
+    /// It is in contact with a majority of all boxes.
     Majority,
-    /// It does not; so many parts belong to the boxes that it hears.
+    /// It does not. This number of parts belongs to the boxes that it is in contact with.
     Minority(usize),
 }
 
 /// What a box may issue of one engine's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Share {
-    /// Permits a second.
+    /// Permits per second.
     rate: f64,
-    /// Permits at once.
+    /// Maximum number of permits at once.
     burst: f64,
 }
 
 impl Side {
-    /// Gives what the side may issue of a limit, if anything.
+    /// Returns the side's share of a limit, if it has any.
     fn share(self, limit: f64) -> Option<Share> {
         match self {
             Side::Majority => Some(Share { rate: limit * USED_SHARE, burst: BURST }),
@@ -121,7 +127,7 @@
 }
 
 impl Share {
-    /// Gives the time in which one permit comes.
+    /// Returns the average time between two permits.
     fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.rate)
     }
@@ -130,32 +136,32 @@
 /// The permits that this box issues.
 #[derive(Debug, Clone, Default)]
 pub struct Issuer {
-    /// What was issued for each engine whose permits it issues.
+    /// Permits issued so far, for each engine whose permits this box issues.
     meters: BTreeMap<EngineKey, Meter>,
 }
 
-/// What was issued for one engine.
+/// Permits issued so far for one engine.
 #[derive(Debug, Clone, Copy)]
 struct Meter {
-    /// Since when this box issues its permits.
+    /// When this box began to issue the engine's permits.
     since: Time,
-    /// When the permits issued so far would all have come one after the other, if there was one.
+    /// When the issued permits would have been used up at the issuing rate, if any was issued.
     spent_until: Option<Time>,
 }
 
 impl Issuer {
-    /// Begins to issue an engine's permits, with none at first: another box may have issued all that
-    /// may be at once until now.
+    /// Begins to issue an engine's permits. None is available at first, since another box may just
+    /// have issued a full burst.
     pub fn begin(&mut self, engine: EngineKey, now: Time) {
         self.meters.entry(engine).or_insert(Meter { since: now, spent_until: None });
     }
 
-    /// Issues a permit for an engine that takes so many requests a second, and gives after which time
-    /// it can be used.
+    /// Issues a permit for an engine with a limit in requests per second. Returns the time until
+    /// the permit is valid.
     ///
     /// # Errors
     ///
-    /// The time until the next one, if that is longer than the patience.
+    /// Returns the time until the next permit if that exceeds `patience`.
     pub fn issue(
         &mut self,
         engine: EngineKey,
@@ -178,71 +184,71 @@
         Ok(wait)
     }
 
-    /// Notes that another box issues an engine's permits.
+    /// Stops issuing an engine's permits, since another box issues them.
     pub fn end(&mut self, engine: EngineKey) {
         self.meters.remove(&engine);
     }
 
-    /// Forgets the engines that have no limit any more.
+    /// Drops the engines that no longer have a limit.
     pub fn retain(&mut self, is_limited: impl Fn(EngineKey) -> bool) {
         self.meters.retain(|&it, _| is_limited(it));
     }
 }
 
-/// One permit that this box holds.
+/// A permit that this box holds.
 #[derive(Debug, Clone, Copy)]
 struct Permit {
-    /// From when on it can be used.
+    /// When it becomes valid.
     from: Time,
 }
 
 impl Permit {
-    /// Tells whether it can be used now.
+    /// Returns whether it is valid now.
     fn is_valid(self, now: Time) -> bool {
         self.from <= now && now < self.from + PERMIT_LIFETIME
     }
 
-    /// Tells whether it can be used now or later.
+    /// Returns whether it is valid now or will be.
     fn is_left(self, now: Time) -> bool {
         now < self.from + PERMIT_LIFETIME
     }
 }
 
-/// The permits that this box holds, and the engines for which there are none for a time.
+/// The permits that this box holds, and the engines for which permits were refused.
 #[derive(Debug, Clone, Default)]
 pub struct Holder {
-    /// The permits.
+    /// The permits by engine.
     permits: BTreeMap<EngineKey, Vec<Permit>>,
-    /// The engines for which there are none.
+    /// The refusals by engine.
     refusals: BTreeMap<EngineKey, Refusal>,
 }
 
-/// What is known of an engine for which there is no permit.
+/// A refusal of permits for one engine.
 #[derive(Debug, Clone, Copy)]
 struct Refusal {
-    /// Until when none is asked for.
+    /// When permits may be asked for again.
     until: Time,
-    /// When the next one comes.
+    /// When the next permit is available.
     next: Time,
 }
 
 impl Holder {
-    /// Takes a permit that can be used from a time on.
+    /// Adds a permit that becomes valid at `from`.
     pub fn add(&mut self, engine: EngineKey, from: Time) {
         self.permits.entry(engine).or_default().push(Permit { from });
     }
 
-    /// Tells whether there is a permit that can be used now.
+    /// Returns whether there is a permit that is valid now.
     pub fn has(&self, engine: EngineKey, now: Time) -> bool {
         self.of(engine).iter().any(|it| it.is_valid(now))
     }
 
-    /// Tells whether there is a permit that can be used now or later.
+    /// Returns whether there is a permit that is valid now or will be.
     pub fn expects(&self, engine: EngineKey, now: Time) -> bool {
         self.of(engine).iter().any(|it| it.is_left(now))
     }
 
-    /// Uses a permit, if there is one.
+    /// Uses a valid permit, if there is one.
     pub fn take(&mut self, engine: EngineKey, now: Time) {
         let Some(permits) = self.permits.get_mut(&engine) else { return };
         if let Some(used) = permits.iter().position(|it| it.is_valid(now)) {
@@ -250,34 +256,35 @@
         }
     }
 
-    /// Notes that the next permit comes after a time.
+    /// Records that the next permit is available after `wait`.
     pub fn refuse(&mut self, engine: EngineKey, wait: Duration, now: Time) {
         let until = now + wait.min(MAX_REFUSAL_DURATION);
         self.refusals.insert(engine, Refusal { until, next: now + wait });
     }
 
-    /// Notes that what is known of an engine's permits may not hold any more.
+    /// Drops the refusal for an engine, which may no longer hold.
     pub fn clear_refusal(&mut self, engine: EngineKey) {
         self.refusals.remove(&engine);
     }
 
-    /// Tells whether a request that can wait for some time need not ask: the next permit comes later.
+    /// Returns whether a request that can wait for `patience` need not ask, since the next permit
+    /// is available later.
     pub fn is_refused(&self, engine: EngineKey, patience: Duration, now: Time) -> bool {
         self.refusals.get(&engine).is_some_and(|it| now < it.until && now + patience < it.next)
     }
 
-    /// Gives how long it is until the next permit, if that is known.
+    /// Returns the time until the next permit, if known.
     pub fn wait(&self, engine: EngineKey, now: Time) -> Option<Duration> {
         let next = self.refusals.get(&engine).map(|it| it.next);
         next.filter(|it| now < *it).map(|it| it.since(now))
     }
 
-    /// Gives when the next permit can be used that can't be yet.
+    /// Returns when the next permit becomes valid that is not valid yet.
     pub fn next_start(&self, now: Time) -> Option<Time> {
         self.permits.values().flatten().map(|it| it.from).filter(|it| now < *it).min()
     }
 
-    /// Forgets what is over.
+    /// Drops expired permits and refusals.
     pub fn sweep(&mut self, now: Time) {
         self.permits.retain(|_, permits| {
             permits.retain(|it| it.is_left(now));
@@ -286,7 +293,7 @@
         self.refusals.retain(|_, it| now < it.until.max(it.next));
     }
 
-    /// Gives the permits for an engine.
+    /// Returns the permits for an engine.
     fn of(&self, engine: EngineKey) -> &[Permit] {
         self.permits.get(&engine).map_or(&[], Vec::as_slice)
     }
--- a/crates/hollyspoke-gateway/src/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests under which engines have crashed, and which of them are held back.
+//! Tracks requests that crash engines and decides which of them are held back.
 //!
-//! A crash breaks all that an engine has under way, so that each of these requests is a suspect, and
-//! most are innocent. A [`Case`] collects the crashes of one request. They count one after the
-//! other: a run counts only if it was sent when all the crashes counted so far were known, so that
-//! one failure of many engines counts once, however often the request ran there. A whole answer ends
-//! the case: a request that crashes its engines never gets one.
+//! A crash breaks all calls in progress at the engine, so each of their requests becomes a suspect
+//! although most are innocent. A [`Case`] collects the crashes of one request. Crashes count only
+//! in sequence: a run counts only if it was sent when all crashes counted so far were known. A
+//! failure of many engines at once therefore counts once, however often the request ran there. A
+//! complete answer closes the case, since a request that crashes its engines never gets one.
 //!
-//! Cases of several boxes are joined like this: a case has an epoch, which rises when it ends; the
-//! higher epoch wins, and of one epoch each crash stands in its place, so that boxes that see the
-//! same engine crash count it once.
+//! Cases of several boxes are merged as follows. A case has an epoch, which increases when the case
+//! is closed, and the higher epoch wins. Within one epoch, crashes are merged slot by slot, so that
+//! boxes that see the same engine crash count it once.
 
 mod case;
 
@@ -24,51 +24,51 @@
     RequestSummary, Verdict,
 };
 
-/// The most cases at one box: some 300 bytes each.
+/// Maximum number of cases at one box, about 300 bytes each.
 const MAX_CASES: usize = 2048;
 
-/// The cases that are told with each heartbeat, at most.
+/// Maximum number of cases announced with each heartbeat.
 pub const MAX_ANNOUNCED: usize = 24;
 
-/// All cases that one box knows.
+/// All cases known to one box.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
-    /// The cases.
+    /// The cases by request.
     cases: HashMap<Signature, Case>,
-    /// The cases that the other boxes have yet to hear of. Kept apart, since it is looked at with each
-    /// event.
+    /// The cases that are not announced to the other boxes yet. Kept separately because it is
+    /// checked after each event.
     unannounced: BTreeSet<Signature>,
-    /// When the first of the cases is to be saved that the store lacks.
+    /// When the first case that the store lacks is due to be saved.
     save_due_at: Option<Time>,
 }
 
 impl Quarantine {
-    /// Gives what may be done with a request.
+    /// Returns what may be done with a request.
     pub fn verdict(&self, signature: Signature) -> Verdict {
         self.cases.get(&signature).map_or(Verdict::Clear, Case::verdict)
     }
 
-    /// Gives how far a request's case is.
+    /// Returns the current progress of a request's case.
     pub fn progress(&self, signature: Signature) -> Progress {
         self.cases
             .get(&signature)
             .map_or(Progress::default(), |it| Progress { epoch: it.epoch, crashes: it.count() })
     }
 
-    /// Gives a case.
+    /// Returns a request's case, if there is one.
     pub fn case(&self, signature: Signature) -> Option<&Case> {
         self.cases.get(&signature)
     }
 
-    /// Goes over the cases of requests that are held back, in a fixed order.
+    /// Iterates over the cases of held requests, in a fixed order.
     pub fn held(&self) -> impl Iterator<Item = (Signature, &Case)> {
         let held = self.cases.iter().filter(|(_, it)| it.count() == MAX_CRASHES);
         let held: BTreeMap<_, _> = held.map(|(&signature, it)| (signature, it)).collect();
         held.into_iter()
     }
 
-    /// Notes that a call broke that was sent when its request's case stood somewhere; tells whether
-    /// that counts, so that its engine is to be asked.
+    /// Records that a call broke, with its case's progress when the call was sent. Returns whether
+    /// the break counts, in which case the engine has to be probed.
     pub fn suspect(
         &mut self,
         signature: Signature,
@@ -90,8 +90,7 @@
         true
     }
 
-    /// Notes that a life of an engine goes on that was asked: what broke there was the connection
-    /// alone.
+    /// Records that a probed incarnation of an engine is still running: only the connection broke.
     pub fn clear(&mut self, running: Incarnation, now: Time) {
         let changed_keys =
             self.cases.iter_mut().filter_map(|(&key, it)| it.clear(running).then_some(key));
@@ -99,9 +98,9 @@
         self.mark_changed(ended, now);
     }
 
-    /// Notes how well it is known that a life of an engine has ended, at a Unix time in seconds. If
-    /// the life is not known, that holds for all of it. Gives the requests that are held back from
-    /// now on.
+    /// Records how certain it is that an incarnation of an engine has ended, at a Unix time in
+    /// seconds. If the incarnation's start time is unknown, the proof applies to every incarnation
+    /// of the engine. Returns the requests that are held back from now on.
     pub fn confirm(
         &mut self,
         ended: Incarnation,
@@ -123,7 +122,7 @@
         held
     }
 
-    /// Notes changes of cases that others are to hear of, and the store is to have.
+    /// Marks cases as changed, to be announced and stored.
     fn mark_changed(&mut self, signatures: Vec<Signature>, now: Time) {
         for signature in signatures {
             let Some(case) = self.cases.get_mut(&signature) else { continue };
@@ -133,8 +132,8 @@
         }
     }
 
-    /// Ends the case of a request that was answered whole, or that an operator lets go; tells whether
-    /// there was one.
+    /// Closes the case of a request that was answered completely, or that an operator releases.
+    /// Returns whether there was one.
     pub fn close_case(&mut self, signature: Signature, now: Time) -> bool {
         let Some(case) = self.cases.get_mut(&signature).filter(|it| it.count() > 0) else {
             return false;
@@ -144,14 +143,14 @@
         true
     }
 
-    /// Finds the held requests whose signature begins as shown.
+    /// Finds the held requests whose signature starts with `short`.
     pub fn find_held(&self, short: &str) -> Vec<Signature> {
         let held = self.held().map(|(signature, _)| signature);
         held.filter(|it| !short.is_empty() && it.text().starts_with(short)).collect()
     }
 
-    /// Takes what another box, or the store, tells of a case, which this box saves from a time on if
-    /// nobody else has; tells whether a request is held back from now on.
+    /// Merges a case received from another box or read from the store. This box saves it at
+    /// `save_due_at` unless another one has. Returns whether the request is held back from now on.
     pub fn receive(
         &mut self,
         announcement: &Announcement,
@@ -174,7 +173,7 @@
         case.update_held()
     }
 
-    /// Drops crashes that were not proven in time, and cases that are over.
+    /// Drops crashes that were not proven in time, and expired cases.
     pub fn sweep(&mut self, now: Time, unix: u64) {
         let expired = self.cases.iter_mut().filter_map(|(&key, it)| it.expire(now).then_some(key));
         let expired = expired.collect();
@@ -182,8 +181,8 @@
         self.cases.retain(|_, it| !it.is_over(now, unix));
     }
 
-    /// Gives the lives of engines whose crashes are likely and not proven, and since when nothing has
-    /// changed about them.
+    /// Returns the engine incarnations whose crashes are likely but not proven, with the time of
+    /// the last change of their cases.
     pub fn unproven(&self) -> Vec<(Incarnation, Time)> {
         let cases = self.cases.values();
         let crashes = cases.flat_map(|case| case.crashes().map(|it| (it, case.changed)));
@@ -193,7 +192,7 @@
             .collect()
     }
 
-    /// Takes the words that the other boxes have yet to hear.
+    /// Removes and returns the next announcements for the other boxes, at most [`MAX_ANNOUNCED`].
     pub fn take_unannounced(&mut self) -> Vec<Announcement> {
         let mut announcements = Vec::new();
         while announcements.len() < MAX_ANNOUNCED
@@ -204,13 +203,14 @@
         announcements
     }
 
-    /// Tells whether the other boxes have yet to hear of a case.
+    /// Returns whether any case is not announced yet.
     pub fn has_unannounced(&self) -> bool {
         !self.unannounced.is_empty()
     }
 
-    /// Gives what each heartbeat tells, for boxes that missed it: the requests that are held back or
-    /// nearly so, those with the latest crash if there are many.
+    /// Returns the announcements that each heartbeat repeats for boxes that missed them: requests
+    /// that are held back or one crash short of it. If there are many, those with the latest
+    /// crashes.
     pub fn reminder(&self) -> Vec<Announcement> {
         let mut announcements: Vec<_> = self
             .cases
@@ -223,8 +223,8 @@
         announcements
     }
 
-    /// Tells whether the store is to have something that it lacks: of cases with at least so many
-    /// crashes, and of those that it had and that have ended.
+    /// Returns whether the store lacks a case that is due: one with at least `min` crashes, or one
+    /// that was stored and has been closed since.
     pub fn has_unsaved(&self, min: usize, now: Time) -> bool {
         if self.save_due_at.is_none_or(|it| it > now) {
             return false;
@@ -233,7 +233,7 @@
         self.cases.values().any(|it| is_due(it) && (it.count() >= min || it.epoch > 0))
     }
 
-    /// Gives the cases for the store: of those with at least so many crashes the latest ones.
+    /// Returns the latest cases with at least `min` crashes for the store, at most `max`.
     pub fn to_save(&self, min: usize, max: usize) -> Vec<(Announcement, Option<RequestSummary>)> {
         let mut mark_saved: Vec<_> = self
             .cases
@@ -246,7 +246,7 @@
         mark_saved
     }
 
-    /// Notes that the store has what was to be saved, or will have.
+    /// Records that the pending cases have been sent to the store.
     pub fn mark_saved(&mut self) {
         self.save_due_at = None;
         for case in self.cases.values_mut() {
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Notes that the store may lack everything.
+    /// Records that the store may have lost all cases.
     pub fn mark_unsaved(&mut self, now: Time) {
         self.save_due_at = Some(now);
         for case in self.cases.values_mut().filter(|it| it.count() > 0) {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Notes that a request with a case has come, and what operators see of it.
+    /// Records that a request with a case has arrived, with the summary that operators see.
     pub fn record_seen(
         &mut self,
         signature: Signature,
@@ -275,19 +275,19 @@
         }
     }
 
-    /// Gives the number of cases.
+    /// Returns the number of cases.
     pub fn len(&self) -> usize {
         self.cases.len()
     }
 
-    /// Tells whether there is no case.
+    /// Returns whether there are no cases.
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// Makes room for a request's case. The case with the fewest crashes goes, and of those the one
-    /// whose request has not come for the longest: whoever fills the list with requests that come
-    /// once displaces these first.
+    /// Evicts a case if there is no space for a request's one: the one with the fewest crashes, and
+    /// of those the one whose request has not arrived for the longest time. Filling the list with
+    /// requests that are sent once thus evicts these first.
     fn evict_for(&mut self, signature: Signature) {
         if self.cases.len() < MAX_CASES || self.cases.contains_key(&signature) {
             return;
--- a/crates/hollyspoke-gateway/src/quarantine/case.rs
+++ b/crates/hollyspoke-gateway/src/quarantine/case.rs
@@ -1,4 +1,4 @@
-//! The crashes of engines under one request, as one box knows them.
+//! The engine crashes attributed to one request, as known to one box.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,60 +9,60 @@
 use crate::engine::{Engine, EngineKey};
 use crate::signature::Signature;
 
-/// The crashes one after the other at which a request is held back: the users allow three, and few
-/// repeats after them.
+/// Number of successive crashes after which a request is held back. Three crashes are allowed, and
+/// few repeats beyond them.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long a crash that was not proven counts. An engine that has crashed is back, or its entry
-/// lapses, within some seconds; a connection that was cut leaves neither.
+/// How long an unproven crash counts. A crashed engine is back, or its entry expires, within
+/// seconds; a connection that was merely cut causes neither.
 const PROOF_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The least pause between two answers to word of an ended case.
+/// Minimum interval between two corrections of announcements of an earlier epoch.
 const MIN_CORRECTION_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a case lasts that holds nothing back, after its last change.
+/// How long a case that holds nothing back is retained after its last change.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long a request is held back: until engines may have got other software, which operators
-/// install by day.
+/// How long a request is held back: until engines may have been upgraded, which operators do in the
+/// daytime.
 pub const HOLD_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-/// How long an ended case is kept, so that word of it that comes late does not open it again.
+/// How long a closed case is retained, so that a late announcement does not reopen it.
 const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How well it is known that an engine has crashed.
+/// How certain it is that an engine has crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Proof {
-    /// A connection broke, and the engine is being asked.
+    /// A connection broke, and the engine is being probed.
     Asked,
-    /// It does not take connections, or does not answer.
+    /// The engine refuses connections or does not answer.
     Likely,
-    /// It has started again, or its entry is gone.
+    /// The engine has restarted, or its entry is gone.
     Proven,
 }
 
-/// A crash of an engine that had a request under way.
+/// A crash of an engine while a request was running there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The engine.
+    /// The engine that crashed.
     pub engine: EngineKey,
-    /// When the life of the engine began that ended so, if it tells.
+    /// Start time of the incarnation that crashed, if the engine reports it.
     pub born: Option<u64>,
-    /// How well it is known.
+    /// How certain the crash is.
     pub proof: Proof,
 }
 
-/// A life of an engine.
+/// An incarnation of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The engine.
+    /// The engine's key.
     pub engine: EngineKey,
-    /// When the life began, if that is known.
+    /// Start time of the incarnation, if it is known.
     pub started_at: Option<u64>,
 }
 
 impl Crash {
-    /// Tells whether it may have ended a life, as far as the beginnings are known.
+    /// Returns whether this crash may have ended `incarnation`. An unknown start time matches any.
     fn matches(&self, incarnation: Incarnation) -> bool {
         let is_same = self.born.is_none()
             || incarnation.started_at.is_none()
@@ -71,20 +71,20 @@
     }
 }
 
-/// The crashes under one request, in their places.
+/// The crashes of one request, by slot.
 pub type Crashes = [Option<Crash>; MAX_CRASHES];
 
-/// How far a case was when a call was sent.
+/// Progress of a case when a call was sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The case's epoch.
+    /// Epoch of the case.
     pub(super) epoch: u32,
-    /// The crashes that counted.
+    /// Number of crashes counted.
     pub(super) crashes: usize,
 }
 
 impl Progress {
-    /// Tells whether one more crash would hold the request back.
+    /// Returns whether one more crash would hold the request back.
     pub fn is_next_to_last(self) -> bool {
         self.crashes + 1 == MAX_CRASHES
     }
@@ -93,65 +93,65 @@
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// No crash is counted.
     Clear,
-    /// Engines have crashed under it: it runs where it harms least.
+    /// Engines have crashed while running it. It runs where a crash does the least harm.
     Suspect,
-    /// One more crash holds it back: it runs once at a time.
+    /// One more crash holds it back. It runs at one engine at a time.
     Trial,
-    /// It is held back while it is found out whether its engines have crashed.
+    /// It is held back until the crashes of its engines are confirmed or refuted.
     Unconfirmed,
-    /// It is held back.
+    /// It is held back, and all crashes are proven.
     Held,
 }
 
-/// What operators see of a request.
+/// Information about a request for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestSummary {
-    /// The customer that sent it, if it is known.
+    /// The customer that sent it, if known.
     pub customer: Option<Arc<str>>,
-    /// Its path.
+    /// Path of the request.
     pub path: Arc<str>,
 }
 
-/// What boxes tell each other of a case.
+/// A case as boxes announce it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The request.
+    /// Signature of the request.
     pub signature: Signature,
-    /// The epoch.
+    /// Epoch of the case.
     pub epoch: u32,
-    /// The crashes.
+    /// The crashes, by slot.
     pub crashes: Crashes,
     /// When the last crash was counted, in seconds of Unix time.
     pub at: u64,
 }
 
-/// The crashes under one request.
+/// The crashes attributed to one request.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// The epoch.
+    /// Epoch of the case, which increases when the case is closed.
     pub(super) epoch: u32,
-    /// The crashes.
+    /// The crashes, by slot.
     pub(super) crashes: Crashes,
     /// When the last crash was counted, in seconds of Unix time.
     pub at: u64,
-    /// What operators see of the request, if this box has seen it.
+    /// The summary for operators, if this box has received the request.
     pub about: Option<RequestSummary>,
-    /// Whether it was noted that the request is held back.
+    /// Whether the hold has been reported.
     pub(super) is_held: bool,
-    /// When it last changed here.
+    /// When the case last changed at this box.
     pub(super) changed: Time,
-    /// When the request last came here, or word of it.
+    /// When the request, or an announcement that changed the case, last arrived.
     pub(super) seen: Time,
-    /// From when on the store is to have it, if it has yet to.
+    /// When the case is due to be stored, if the store lacks it.
     pub(super) save_due_at: Option<Time>,
-    /// When word of an earlier epoch was last answered.
+    /// When an announcement of an earlier epoch was last corrected.
     pub(super) corrected_at: Option<Time>,
 }
 
 impl Case {
-    /// Makes a case without a crash.
+    /// Creates a case without a crash.
     pub(super) fn new(now: Time) -> Case {
         Case {
             epoch: 0,
@@ -166,29 +166,29 @@
         }
     }
 
-    /// Gives the number of crashes.
+    /// Returns the number of crashes.
     pub fn count(&self) -> usize {
         self.crashes.iter().flatten().count()
     }
 
-    /// Goes over the crashes.
+    /// Iterates over the crashes.
     pub fn crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().flatten()
     }
 
-    /// Tells whether all crashes are proven.
+    /// Returns whether all crashes are proven.
     pub(super) fn is_proven(&self) -> bool {
         self.crashes().all(|it| it.proof == Proof::Proven)
     }
 
-    /// Tells whether the request is held back and was not the last time.
+    /// Updates whether the request is held back. Returns whether that has just begun.
     pub(super) fn update_held(&mut self) -> bool {
         let is_held = self.count() == MAX_CRASHES;
         let was_held = std::mem::replace(&mut self.is_held, is_held);
         is_held && !was_held
     }
 
-    /// Gives what may be done with the request.
+    /// Returns what may be done with the request.
     pub(super) fn verdict(&self) -> Verdict {
         match self.count() {
             0 => Verdict::Clear,
@@ -199,20 +199,20 @@
         }
     }
 
-    /// Gives what others are told: the crashes that are more than a broken connection.
+    /// Returns the announcement for other boxes, without crashes for which only a connection broke.
     pub(super) fn announcement(&self, signature: Signature) -> Announcement {
         let is_announced = |it: &Crash| it.proof >= Proof::Likely;
         let crashes = self.crashes.map(|it| it.filter(is_announced));
         Announcement { signature, epoch: self.epoch, crashes, at: self.at }
     }
 
-    /// Ends the case; what is left of its crashes begins the next one.
+    /// Closes the case; the crashes that are `left` start the next epoch.
     pub(super) fn end(&mut self, left: Crashes) {
         self.epoch += 1;
         self.crashes = left;
     }
 
-    /// Takes over word of a case; tells whether that changed something.
+    /// Merges an announcement of the case. Returns whether that changed it.
     pub(super) fn merge(&mut self, announcement: &Announcement) -> bool {
         if announcement.epoch < self.epoch {
             return false;
@@ -229,7 +229,7 @@
         before != (self.epoch, self.crashes)
     }
 
-    /// Tells whether nothing is left to be known of it.
+    /// Returns whether the case has expired.
     pub(super) fn is_over(&self, now: Time, unix: u64) -> bool {
         let unchanged_for = now.since(self.changed);
         match self.count() {
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Counts a crash of a life of an engine as it is being asked, unless it is counted; tells whether
-    /// it counts.
+    /// Counts an unconfirmed crash of an engine's incarnation, unless it is counted already.
+    /// Returns whether it counts.
     pub(super) fn suspect(&mut self, engine: &Engine) -> bool {
         let Engine { key, born, .. } = *engine;
         let is_counted = self.crashes().any(|it| (it.engine, it.born) == (key, born));
@@ -250,7 +250,8 @@
         true
     }
 
-    /// Drops the crashes of a life that goes on; tells whether others were told of one.
+    /// Drops the unproven crashes of a running incarnation. Returns whether other boxes may know of
+    /// one.
     pub(super) fn clear(&mut self, running: Incarnation) -> bool {
         let is_refuted = |it: &Crash| it.matches(running) && it.proof != Proof::Proven;
         let strongest = self.crashes().filter(|it| is_refuted(it)).map(|it| it.proof).max();
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Notes how well it is known that a life has ended; tells whether that is news.
+    /// Raises the proof that an incarnation has ended. Returns whether that changed a crash.
     pub(super) fn confirm(&mut self, ended: Incarnation, proof: Proof) -> bool {
         let mut has_changed = false;
         for crash in self.crashes.iter_mut().flatten() {
@@ -279,7 +280,7 @@
         has_changed
     }
 
-    /// Drops the crashes that were not proven in time; tells whether there were any.
+    /// Drops the crashes that were not proven in time. Returns whether there were any.
     pub(super) fn expire(&mut self, now: Time) -> bool {
         let is_overdue = now.since(self.changed) >= PROOF_TIMEOUT;
         if !is_overdue || self.count() == 0 || self.is_proven() {
@@ -290,7 +291,8 @@
         true
     }
 
-    /// Tells whether word of an ended case is to be told again, to a box that missed it.
+    /// Returns whether to announce a closed case again to a box that missed it, and limits how
+    /// often.
     pub(super) fn should_correct(&mut self, now: Time) -> bool {
         let is_due = self.corrected_at.is_none_or(|it| now.since(it) >= MIN_CORRECTION_INTERVAL);
         if is_due {
@@ -300,7 +302,7 @@
     }
 }
 
-/// Gives the better known of two crashes that stand in one place, the same on all boxes.
+/// Returns the better known of two crashes in the same slot. The result is the same on all boxes.
 fn better_known(own: Option<Crash>, announced: Option<Crash>) -> Option<Crash> {
     let rank = |it: &Crash| (it.proof, std::cmp::Reverse((it.engine, it.born)));
     [own, announced].into_iter().flatten().max_by_key(rank)
--- a/crates/hollyspoke-gateway/src/signature.rs
+++ b/crates/hollyspoke-gateway/src/signature.rs
@@ -1,8 +1,8 @@
-//! What makes a request the same as another one: its target, its caller and its body.
+//! Signatures that identify repeated requests by their target, caller and body.
 //!
-//! Each try of a client has an id of its own, so that a request that comes again is known by these
-//! alone. All are digested, so that nothing of a body is kept or told, and nobody can make up a
-//! request of another caller's that has the same signature.
+//! Each try of a client has its own id, so a repeated request is recognised by these alone. All of
+//! them are hashed, so that nothing of a body is stored or sent, and nobody can forge a request
+//! with the signature of another caller's request.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
 
 use crate::credential::KeyDigest;
 
-/// The bytes of a signature. Half of the digest: to find a second request to a given signature
-/// takes 2^128 tries, and it goes into datagrams.
+/// Length of a signature in bytes: half of the digest, since signatures are sent in datagrams.
+/// Finding a second request with a given signature takes 2^128 attempts.
 const LENGTH_BYTES: usize = 16;
 
-/// The bytes of a signature that are shown: enough to tell requests apart that are held back, too few
-/// to confirm a guess of a body.
+/// Number of bytes of a signature that are displayed: enough to tell held requests apart, too few
+/// to confirm a guessed body.
 const SHORT_LENGTH_BYTES: usize = 3;
 
-/// The digest of a request's method, target and body.
+/// Digest of a request's method, host, target and body.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Content([u8; 32]);
 
 impl Content {
-    /// Makes the digest of a request.
+    /// Computes the digest of a request.
     pub fn of(method: &str, host: &str, target: &str, body: &[u8]) -> Content {
         let mut digest = Sha256::new();
         for part in [method.as_bytes(), host.as_bytes(), target.as_bytes(), body] {
-            // The length keeps the parts apart.
+            // The length prefix keeps adjacent parts from being confused.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
@@ -47,8 +47,8 @@
 pub struct Signature([u8; LENGTH_BYTES]);
 
 impl Signature {
-    /// Makes the signature of a request, with the name of the customer that sent it, or the key that
-    /// came with it where customers are not known.
+    /// Computes the signature of a request from its content and the name of the customer that sent
+    /// it, or the key sent with it if customers are not configured.
     pub fn of(
         content: Content,
         customer: Option<&str>,
@@ -67,17 +67,17 @@
         Signature(signature)
     }
 
-    /// Gives the part that logs and operators see.
+    /// Returns the displayed prefix, for logs and operators.
     pub fn short(&self) -> String {
         hex(&self.0[..SHORT_LENGTH_BYTES])
     }
 
-    /// Gives the whole as text, for the store alone.
+    /// Returns the full signature in hexadecimal, for the store only.
     pub fn text(&self) -> String {
         hex(&self.0)
     }
 
-    /// Reads the whole from text; none if it is not one.
+    /// Parses a full signature in hexadecimal. `None` if the text is not one.
     pub fn parse(text: &str) -> Option<Signature> {
         if text.len() != 2 * LENGTH_BYTES || !text.is_ascii() {
             return None;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Writes bytes as hexadecimal digits.
+/// Formats bytes as hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|it| format!("{it:02x}")).collect()
 }
--- a/crates/hollyspoke-gateway/src/statement.rs
+++ b/crates/hollyspoke-gateway/src/statement.rs
@@ -1,32 +1,32 @@
-//! What an engine says of itself, whichever call or question brought the answer.
+//! What an engine reports about itself, in the answer to any call or query.
 
 use crate::back_off;
 use crate::intake;
 
-/// What an engine tells of its load with an answer.
+/// The load that an engine reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run at once.
     pub slots: u32,
-    /// How long work takes there now, in percent of the usual; 100 if it does not tell.
+    /// Current duration of work, in percent of the usual one; 100 if it is not reported.
     pub pace: u32,
 }
 
-/// What one answer says of its engine.
+/// What one answer reports about its engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Statement {
-    /// The engine's load, if it tells.
+    /// The engine's load, if it is reported.
     pub load: Option<ReportedLoad>,
-    /// The requests that it takes.
+    /// The engine's rate limit.
     pub limit: intake::Told,
-    /// Whether it is about to leave.
+    /// Whether the engine is shutting down.
     pub is_leaving: bool,
-    /// For how long it wants nothing from the box that had asked.
+    /// How long the box that sent the request is to back off.
     pub back_off: back_off::Reported,
-    /// When the life of the engine began that says so, in milliseconds of Unix time, if it tells.
+    /// Start time of the reporting incarnation, in milliseconds of Unix time, if it is reported.
     pub born: Option<u64>,
 }
--- a/crates/hollyspoke-gateway/src/terms.rs
+++ b/crates/hollyspoke-gateway/src/terms.rs
@@ -1,4 +1,4 @@
-//! What engines have said of themselves that binds whoever sends to them, by life and age.
+//! Restrictions that engines have reported and that bind every sender, by incarnation and age.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use crate::engine::Engine;
 use crate::{back_off, departure, intake};
 
-/// The terms of all engines that have set any.
+/// The restrictions of all engines that have reported any.
 #[derive(Debug, Clone, Default)]
 pub struct Terms {
-    /// How many requests a second they take from all boxes together.
+    /// Limits on requests per second from all boxes together.
     pub limits: intake::Table,
-    /// Those that are about to leave.
+    /// Engines that are shutting down.
     pub departures: departure::Table,
-    /// Those that want nothing from this box for a time.
+    /// Engines that ask this box to back off.
     pub back_offs: back_off::Table,
 }
 
-/// What keeps requests from an engine by its own word.
+/// What excludes requests from an engine, by its own report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Restriction {
-    /// It is about to leave.
+    /// The engine is shutting down.
     Leaving,
-    /// It wants nothing from this box for a time, or nothing more until it has answered.
+    /// The engine asks this box to back off, or accepts no more until it has answered.
     BackOff,
-    /// It takes only so many requests a second.
+    /// The engine limits its requests per second.
     RateLimit,
 }
 
 impl Terms {
-    /// Gives what keeps requests from an engine: of several the strictest. One that leaves is used all
-    /// the same while that is known for no longer than a time, if one is given.
+    /// Returns the strictest restriction on sending to an engine. An engine that is shutting down
+    /// is still used if that has been known for at most `leaving_for`.
     pub fn restriction(
         &self,
         engine: &Engine,
@@ -47,14 +47,14 @@
         self.limits.of(engine.key).map(|_| Restriction::RateLimit)
     }
 
-    /// Tells whether an engine does not leave, or is used all the same while that is known for no longer
-    /// than a time.
+    /// Returns whether an engine is not shutting down, or that has been known for at most
+    /// `leaving_for`.
     pub fn is_usable(&self, engine: &Engine, leaving_for: Option<Duration>, now: Time) -> bool {
         let departure = self.departures.of(engine);
         departure.is_none_or(|it| leaving_for.is_some_and(|most| it.age(now) <= most))
     }
 
-    /// Tells whether an engine is known to leave.
+    /// Returns whether an engine is known to be shutting down.
     pub fn is_leaving(&self, engine: &Engine) -> bool {
         self.departures.of(engine).is_some()
     }
