--- a/crates/hollyspoke-gateway/src/gateway/census.rs
+++ b/crates/hollyspoke-gateway/src/gateway/census.rs
@@ -1,10 +1,10 @@
-//! How many boxes live, as the platform's store keeps it.
+//! The number of live boxes, stored in the platform's store.
 //!
-//! Boxes know by hearing each other how many share what is bounded for all together. Those that all
-//! start at the same moment in a part that is cut off hear only that part; the number in the store
-//! tells them of the others. Each box that follows the store reads it once in its life and tells it
-//! with its heartbeats; a box that serves has its configuration from the store, or from one that
-//! has. The first box writes it when it has changed.
+//! Boxes learn from each other's datagrams how many share the limits for all together. Boxes that
+//! start at the same moment in a part that is cut off receive only from that part; the number in
+//! the store counts the others too. Each box that follows the store reads it once after its start
+//! and includes it in its heartbeats. Boxes that serve have their configuration from the store, or
+//! from a box that has read it. The first box writes the number when it has changed.
 
 use std::time::Duration;
 
@@ -14,50 +14,52 @@
 use super::Gateway;
 use crate::effect::Note;
 
-/// The kind of the object.
+/// The kind of the object in the store.
 const KIND: &str = "census";
 
-/// The name of the object.
+/// The name of the object in the store.
 const NAME: &str = "boxes";
 
-/// The time after a box's start from which on it writes: boxes that start together have then heard
-/// each other, so that one write does for all.
+/// The time after start before a box writes. Boxes that start together have received from each
+/// other by then, so that one write is enough for all.
 const WRITE_DELAY: Duration = Duration::from_secs(3);
 
-/// The pause between two operations, so that boxes that come one after the other cost few.
+/// The pause between two operations, so that boxes that join one after the other cost few
+/// operations.
 const OPERATION_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long fewer boxes must have been there before the number is lowered: as long as the members
-/// count a box that was stopped, and may be back.
+/// The time for which fewer boxes must be counted before the number is lowered. A box that was shut
+/// down may come back within it, and the membership counts it as long.
 const LOWER_DELAY: Duration = Duration::from_secs(60);
 
-/// What the store holds.
+/// The content of the object.
 #[derive(Debug, Clone, Copy)]
 struct Stored {
-    /// The version of the object; 0 if there is none.
+    /// The version of the object; 0 if it doesn't exist.
     version: u64,
-    /// The boxes; 0 if there is none.
+    /// The number of boxes; 0 if the object doesn't exist.
     boxes: usize,
 }
 
-/// What this box knows of the number.
+/// The state of the census at this box.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Census {
-    /// What the store holds, once it was read.
+    /// The content of the object; none until it was read.
     stored: Option<Stored>,
-    /// Whether this box has heard as many itself: then it goes by its hearing, which knows of those
-    /// that were stopped since.
+    /// Whether this box has counted as many boxes itself. From then on it uses its own count, which
+    /// leaves out boxes that were shut down since.
     is_confirmed: bool,
-    /// The operation under way, and the boxes that it writes if it does.
+    /// The number of the operation under way, and the number of boxes that it writes if it is a
+    /// write.
     under_way: Option<(u64, Option<usize>)>,
-    /// When the next operation may begin.
+    /// The time when the next operation may start.
     paused_until: Time,
-    /// Since when fewer boxes are there than the store holds.
+    /// The time since which fewer boxes are counted than the store contains.
     fewer_since: Option<Time>,
 }
 
 impl Census {
-    /// Gives the boxes by the store, as long as this box has not heard as many.
+    /// Returns the number of boxes in the store, as long as this box has not counted as many.
     fn boxes(&self) -> Option<usize> {
         let stored = self.stored.filter(|it| it.boxes > 0 && !self.is_confirmed);
         stored.map(|it| it.boxes)
@@ -65,12 +67,13 @@
 }
 
 impl Gateway {
-    /// Gives the most boxes that may live, by hearing and by the store; none if neither tells.
+    /// Returns the peak number of live boxes by this box's count and by the store; none if neither
+    /// is known.
     pub(super) fn known_boxes(&self) -> Option<usize> {
         self.members.peak_serving().max(self.census.boxes())
     }
 
-    /// Reads the number or writes it, if it is time to.
+    /// Reads or writes the number if that is due.
     pub(super) fn update_census(&mut self) {
         let heard = self.members.peak_serving().unwrap_or(0);
         self.census.is_confirmed |= self.census.stored.is_some_and(|it| heard >= it.boxes);
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Tells whether the number in the store is to be changed.
+    /// Returns whether the number in the store needs to be changed.
     fn should_write(&mut self, stored: Stored, heard: usize) -> bool {
         let fewer = (heard < stored.boxes).then_some(self.now);
         self.census.fewer_since = fewer.map(|it| self.census.fewer_since.unwrap_or(it));
@@ -96,14 +99,14 @@
         (heard > stored.boxes || is_lower) && is_old && self.is_leader()
     }
 
-    /// Begins to read the number.
+    /// Starts reading the number.
     fn read_census(&mut self) {
         let operation = Operation::Get { kind: KIND.to_owned(), name: NAME.to_owned() };
         let number = self.begin_operation(operation);
         self.census.under_way = Some((number, None));
     }
 
-    /// Begins to write the number.
+    /// Starts writing the number.
     fn write_census(&mut self, stored: Stored, boxes: usize) {
         let operation = Operation::Put {
             kind: KIND.to_owned(),
@@ -115,13 +118,14 @@
         self.census.under_way = Some((number, Some(boxes)));
     }
 
-    /// Notes that the store may have lost the number, so that it is read and written again.
+    /// Records that the store may have lost the number, so that it is read and written again.
     pub(super) fn invalidate_census(&mut self) {
         self.census.stored = None;
         self.census.under_way = None;
     }
 
-    /// Takes the store's answer to an operation of the census; tells whether it was one.
+    /// Handles the store's answer to an operation of the census. Returns whether the operation was
+    /// one.
     pub(super) fn apply_census_answer(&mut self, number: u64, answer: &Answer) -> bool {
         let Some((_, written)) = self.census.under_way.take_if(|it| it.0 == number) else {
             return false;
@@ -129,13 +133,15 @@
         self.census.paused_until = self.now + OPERATION_PAUSE;
         self.census.stored = match (answer, written) {
             (Answer::Found { version, value }, _) => {
-                // What is no number was not written by a box; it counts as none and is replaced.
+                // Content that is not a number was not written by a box. It counts as missing and
+                // is overwritten.
                 let boxes = value.parse().unwrap_or(0);
                 Some(Stored { version: *version, boxes })
             }
             (Answer::Absent, None) => Some(Stored { version: 0, boxes: 0 }),
             (Answer::Written { version }, Some(boxes)) => Some(Stored { version: *version, boxes }),
-            // The object is read again: another box has written, or this write may have taken effect.
+            // The object is read again: another box has written it, or this write may have taken
+            // effect.
             (Answer::Conflict | Answer::Away | Answer::Absent | Answer::Written { .. }, _) => None,
         };
         if let Some(Stored { boxes, .. }) = self.census.stored {
--- a/crates/hollyspoke-gateway/src/gateway/era.rs
+++ b/crates/hollyspoke-gateway/src/gateway/era.rs
@@ -1,8 +1,9 @@
-//! The store's era: how often it has come back from an older copy, which has lost the latest writes.
+//! The store's era: how many times the store was restored from an older copy, which lacks the
+//! latest writes.
 //!
 //! A box learns of a new era from any answer of the store, or from another box. What it has read
-//! stays in force until it reads the store again, or is told by a box that has; what this system
-//! itself has written there may be gone, and is read and written again.
+//! stays in force until it reads the store again, or receives the state from a box that has. What
+//! this system itself has written to the store may be lost, and is read and written again.
 
 use std::net::SocketAddr;
 
@@ -10,23 +11,23 @@
 use crate::effect::{Effect, Note};
 use crate::event::Kind;
 
-/// The kinds of objects that are followed.
+/// The kinds of objects that the followers watch.
 const KINDS: [Kind; 3] = [Kind::Configuration, Kind::Engines, Kind::Evacuations];
 
 impl Gateway {
-    /// Gives the newest era of the store that this box knows of; 0 if none was told.
+    /// Returns the newest known era of the store; 0 if none was reported.
     pub fn store_era(&self) -> u64 {
         self.store.era.unwrap_or(0)
     }
 
-    /// Takes the store's era from another box, if that tells one.
+    /// Applies the era that another box reports, if it reports one.
     pub(super) fn receive_era(&mut self, era: u64, told_by: SocketAddr) {
         if era > 0 {
             self.update_era(era, Some(told_by));
         }
     }
 
-    /// Takes the store's era from one of its answers, or from another box.
+    /// Applies an era from the store's answer, or from the box `told_by`.
     pub(super) fn update_era(&mut self, era: u64, told_by: Option<SocketAddr>) {
         let before = self.store.era;
         if before.is_some_and(|it| it >= era) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Has what this box knows of the store read again, and what it wrote there written again.
+    /// Reads the followed objects again, and has this box's own objects read and written again.
     fn resync_with_store(&mut self) {
         self.store.engines_back = Some(self.now);
         self.invalidate_census();
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -1,6 +1,6 @@
-//! The configuration and the list of engines from box to box. A box that the store turns away, or
-//! that is cut off from it, gets them from another box that it still hears; else it would go on by
-//! keys and routes that are withdrawn, or never serve at all.
+//! The transfer of the configuration and the list of engines between boxes. A box that the store
+//! rejects, or that is cut off from it, gets them from a box that it still receives from. Otherwise
+//! it would go on with keys and routes that are withdrawn, or never serve at all.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::snapshot::{ConfigurationParts, Listing, Snapshot, SnapshotRequest};
 
 impl Gateway {
-    /// Gives what this box knows, for one that asks.
+    /// Returns a request for what this box lacks.
     pub fn snapshot_request(&self) -> SnapshotRequest {
         SnapshotRequest {
             version: self.version().unwrap_or(0),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Gives all that another box lacks to serve.
+    /// Returns what the requesting box lacks to serve.
     pub fn snapshot(&self, question: SnapshotRequest) -> Snapshot {
         let configuration = self.configuration.as_ref();
         let newer = configuration.filter(|it| it.version > question.version);
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Gives the engines, as changes if they reach back to what the asking box knows; none if it
-    /// knows as much. A whole list of 10,000 engines is a megabyte, and boxes ask when they have
-    /// missed a single datagram.
+    /// Returns the engines, as changes if the history reaches back to what the requesting box
+    /// knows; none if it knows as much. A complete list of 10,000 engines takes a megabyte, and a
+    /// box asks whenever it has missed a single datagram.
     fn engine_listing(&self, known: Option<Revision>) -> Option<Listing> {
         let revision = self.directory.complete();
         if known.is_some_and(|it| it >= revision) {
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Takes what a box handed over, as far as it is newer.
+    /// Applies the parts of a snapshot that are newer than this box's state.
     pub(super) fn apply_snapshot(&mut self, provider: SocketAddr, snapshot: Snapshot) {
         self.hear_departures(provider, &snapshot.departures);
         let listed = snapshot.listing.as_ref().map_or(0, |it| it.revision().era);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Asks one of the boxes that know the newest version and the engines to hand them over.
+    /// Requests a snapshot from one of the boxes with the newest version and engines.
     pub(super) fn request_snapshot(&mut self) {
         let draw = self.draw();
         let wanted = self.version().unwrap_or(0);
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other: that they live, and the work that they have sent to engines.
+//! The datagrams between boxes: heartbeats, and announcements of the work sent to engines.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,65 +17,65 @@
     EngineUpdate, Extension, Format, Load, Message, PeerAddress, Rejection, Usage,
 };
 
-/// The most boxes that one datagram names.
+/// The maximum number of peers listed in one datagram.
 const MAX_PEERS_PER_DATAGRAM: usize = 8;
 
-/// The most boxes that the answer to a new box names. All may start at once, and each learns the
-/// others soonest from those that it greets first.
+/// The maximum number of peers listed in the answer to a new box. If all boxes start at once, each
+/// learns of the others soonest from those that it greets first.
 const MAX_PEERS_TO_NEW: usize = 64;
 
-/// The time after a box's start in which it names as many to all: two heartbeats of a large
-/// deployment, after which all were named.
+/// The time after start in which a box lists [`MAX_PEERS_TO_NEW`] peers to all: two heartbeats of a
+/// large deployment, after which all boxes have been listed.
 const STARTUP_DURATION: Duration = Duration::from_millis(900);
 
-/// The least time for which memory that another box freed is left to others.
+/// The minimum time for which memory that another box freed is left to other boxes.
 const MIN_FREED_MEMORY_DELAY: Duration = Duration::from_millis(3);
 
-/// What each box adds to the longest such time.
+/// The increase per box of the maximum of that time.
 const FREED_MEMORY_DELAY_PER_NODE: Duration = Duration::from_micros(500);
 
-/// How long changes gather that are not urgent, for each box: the more boxes there are, the more
-/// datagrams each change costs, and the less it counts.
+/// The time per box for which changes that aren't urgent are batched. With more boxes, each change
+/// costs more datagrams and matters less.
 const BATCH_DELAY_PER_NODE: Duration = Duration::from_millis(4);
 
-/// What a box has found out about engines and not told yet.
+/// What this box has found out about engines and not announced yet.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Unannounced {
-    /// Engines whose address another incarnation has.
+    /// Engines whose address belongs to another incarnation.
     pub(super) replaced: Vec<EngineKey>,
-    /// Engines that were not reached, or fell silent.
+    /// Engines that could not be reached, or that timed out.
     pub(super) unreachable: Vec<EngineKey>,
-    /// Engines that had no room.
+    /// Engines that had no free capacity.
     pub(super) rejections: Vec<Rejection>,
-    /// Engines whose limit has changed by their own word.
+    /// Engines that have changed their limit themselves.
     pub(super) limits: Vec<EngineKey>,
-    /// Engines that have said that they leave.
+    /// Engines that have announced that they are shutting down.
     pub(super) departures: Vec<EngineKey>,
 }
 
-/// The boxes that were first heard or fell silent since the last heartbeat.
+/// The boxes that joined or timed out since the last heartbeat, for the log.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerChanges {
-    /// Those heard.
+    /// The boxes that joined.
     heard: Vec<SocketAddr>,
-    /// Those that fell silent.
+    /// The boxes that timed out.
     silent: Vec<SocketAddr>,
 }
 
 impl Unannounced {
-    /// Tells whether there is nothing to tell.
+    /// Returns whether there is nothing urgent to announce.
     fn is_empty(&self) -> bool {
         self.replaced.is_empty() && self.unreachable.is_empty() && self.rejections.is_empty()
     }
 }
 
-/// Gives the name of a service that boxes use among themselves.
+/// Returns the hash that identifies a service between boxes.
 pub(super) fn service_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 impl Gateway {
-    /// Takes in a datagram.
+    /// Handles a datagram from another box.
     pub(super) fn receive(&mut self, message: &Message) {
         if message.sender == self.settings.peer {
             return;
@@ -84,7 +84,7 @@
             self.relay(message);
         }
         if let Some(extension) = &message.extension {
-            // It holds also if a later datagram has overtaken it.
+            // These parts are valid even if a later datagram has overtaken this one.
             self.hear_limits(message.sender, extension);
             self.hear_departures(message.sender, &extension.departures);
             self.hear_permits(message.sender, extension);
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Tells whether a box that was not known needs an answer. One of many that is heard with a
-    /// heartbeat from another data centre, and names others, hears this one with its heartbeats.
+    /// Returns whether a new box needs an answer. In a large deployment, a box in another data
+    /// centre that lists other peers receives this box's heartbeats anyway.
     fn should_answer(&self, message: &Message) -> bool {
         let is_local = message.data_centre == self.data_centre();
         !self.members.is_large() || is_local || message.peers.len() < MAX_PEERS_PER_DATAGRAM
     }
 
-    /// Answers a box that was not known. One that names few others is told of many.
+    /// Answers a new box. One that lists few peers is sent many.
     fn answer_new_peer(&mut self, message: &Message) {
         let mut answer = self.message(true);
         answer.usage = self.complete_usage();
@@ -189,17 +189,16 @@
         let limits = self.limits_to_tell();
         let departures = self.departures_to_tell();
         message.extension = Extension { limits, departures, ..Extension::default() }.non_empty();
-        // Where boxes are many, keepers of prompts are not told by themselves.
+        // In a large deployment, cached prompts are announced only with heartbeats.
         message.cached_prompts = self.prompts.take_untold();
-        // The heartbeat tells all work, so that no changes are left to tell.
+        // The heartbeat contains all work, so that no changes are left to announce.
         self.ledger.take_changed();
         self.gathering_since = None;
         let reach = self.heartbeat_reach();
         self.send_within(&reach, message);
     }
 
-    /// Adds the boxes to the log that were heard or fell silent since the last heartbeat, in one
-    /// line however many they are.
+    /// Logs the boxes that joined or timed out since the last heartbeat, in a single line.
     fn log_peer_changes(&mut self) {
         let PeerChanges { heard, silent } = std::mem::take(&mut self.peer_changes);
         if !heard.is_empty() || !silent.is_empty() {
@@ -208,8 +207,9 @@
         }
     }
 
-    /// Gives how far this heartbeat goes: to all boxes if they are few, if something new is to be
-    /// told to all, and now and then; else to the own data centre.
+    /// Returns which boxes this heartbeat reaches: all if the deployment is small, if there is news
+    /// for all, or on every [`HEARTBEATS_PER_REMOTE_HEARTBEAT`]th one; otherwise the local data
+    /// centre.
     fn heartbeat_reach(&mut self) -> Reach {
         self.heartbeats = self.heartbeats.wrapping_add(1);
         let is_turn = self.heartbeats.is_multiple_of(HEARTBEATS_PER_REMOTE_HEARTBEAT);
@@ -220,18 +220,19 @@
         Reach::DataCentres(BTreeSet::new())
     }
 
-    /// Tells whether this box has a duty for all boxes, which must notice its death soon.
+    /// Returns whether this box has a duty for all boxes, which must detect its failure soon.
     fn has_global_duty(&self) -> bool {
         self.follows_store() || self.has_stage_changes()
     }
 
-    /// Gives how often this box tells the others that it lives.
+    /// Returns the intervals between this box's heartbeats.
     pub(super) fn cadence(&self) -> Cadence {
         self.members.cadence(self.has_global_duty())
     }
 
-    /// Draws for how long memory that another box freed is left to others. The more boxes there
-    /// are, the longer, so that one of them takes it and is heard before the next tries.
+    /// Draws how long memory that another box freed is left to others. The maximum grows with the
+    /// number of boxes, so that one of them takes the memory and announces it before the next one
+    /// tries.
     fn draw_freed_memory_delay(&mut self) -> Duration {
         let spread = self.draw() % 1000;
         let longest = MIN_FREED_MEMORY_DELAY
@@ -239,22 +240,23 @@
         MIN_FREED_MEMORY_DELAY + longest.mul_f64(spread as f64 / 1000.0)
     }
 
-    /// Has the heartbeat sent with this event, to all boxes.
+    /// Schedules the heartbeat for the end of this event, to all boxes.
     pub(super) fn schedule_heartbeat_to_all(&mut self) {
         self.next_heartbeat = self.now;
         self.beats_wide = true;
     }
 
-    /// Has the heartbeat sent with this event, since this box has learnt what all learn. Of many
-    /// boxes only those tell all that have it from the store; the others pass it on in their data
-    /// centre. If each told all, a new version would be a million datagrams among 1,000 boxes.
+    /// Schedules the heartbeat for the end of this event, since this box has learnt something that
+    /// all boxes need. In a large deployment, only boxes with a global duty, such as followers of
+    /// the store, send it to all; the others send it within their data centre. If each sent it to
+    /// all, a new version would cost a million datagrams among 1,000 boxes.
     pub(super) fn schedule_heartbeat(&mut self) {
         self.next_heartbeat = self.now;
         self.beats_wide |= !self.members.is_large() || self.has_global_duty();
     }
 
-    /// Tells the living boxes what work has changed, which engines keep new prompts, and which
-    /// were replaced, not reached or full.
+    /// Announces changed work, newly cached prompts, and engines that were replaced, unreachable or
+    /// full.
     pub(super) fn send_changes(&mut self) {
         let has_urgent_kept = self.prompts.has_untold() && !self.members.is_large();
         let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.untold.is_empty();
@@ -275,7 +277,7 @@
         self.send_to_concerned(message);
     }
 
-    /// Tells whether changes that are not urgent have gathered for long enough to be told.
+    /// Returns whether the batch of changes that aren't urgent is due.
     fn is_batch_due(&mut self) -> bool {
         if !self.ledger.has_changed() && !self.quota.is_urgent() {
             return false;
@@ -284,28 +286,28 @@
         self.batch_due_at().is_some_and(|it| it <= self.now)
     }
 
-    /// Gives when the changes that are not urgent are told at the latest.
+    /// Returns the latest time at which the batched changes are sent.
     pub(super) fn batch_due_at(&self) -> Option<Time> {
         let nodes = u32::try_from(self.members.peak_count()).unwrap_or(u32::MAX);
         let span = BATCH_DELAY_PER_NODE.saturating_mul(nodes).min(self.cadence().local_interval());
         self.gathering_since.map(|it| it + span)
     }
 
-    /// Passes on changes of engines that were read from the store.
+    /// Forwards engine changes that were read from the store.
     pub(super) fn send_engine_update(&mut self, news: EngineUpdate) {
         let mut message = self.message(false);
         message.engine_update = Some(Box::new(news));
         self.send_to_all(message);
     }
 
-    /// Adds a datagram to boxes, if there are any.
+    /// Sends a datagram to boxes, if there are any.
     pub(super) fn send_to(&mut self, audience: Vec<SocketAddr>, message: Message) {
         if !audience.is_empty() {
             self.effects.push(Effect::Tell(audience, Box::new(message)));
         }
     }
 
-    /// Makes a datagram, with all own work if it is whole.
+    /// Creates a datagram, with all of this box's work if it is whole.
     pub(super) fn message(&mut self, is_whole: bool) -> Message {
         self.next_sequence += 1;
         let loads: Vec<(EngineKey, Load)> = if is_whole { self.ledger.own() } else { Vec::new() };
@@ -347,13 +349,13 @@
         }
     }
 
-    /// Tells whether this box has just started, perhaps with all others: what it has heard may be
-    /// news to them.
+    /// Returns whether this box has just started, possibly together with all others. The peers that
+    /// it knows may be new to them.
     fn is_starting_up(&self) -> bool {
         self.now.since(Time::ZERO) < STARTUP_DURATION
     }
 
-    /// Draws some of the living boxes.
+    /// Returns a random sample of the live boxes.
     fn sample_peers(&mut self, most: usize) -> Vec<PeerAddress> {
         let mut alive = self.members.peer_addresses();
         if alive.len() > most {
@@ -364,7 +366,7 @@
         alive
     }
 
-    /// Greets boxes that are to be greeted before the next heartbeat.
+    /// Greets the boxes that are due before the next heartbeat.
     pub(super) fn send_greetings(&mut self) {
         if self.members.next_greeting_at(self.now).is_some_and(|it| it <= self.now) {
             let mut message = self.message(true);
--- a/crates/hollyspoke-gateway/src/gateway/relay.rs
+++ b/crates/hollyspoke-gateway/src/gateway/relay.rs
@@ -1,12 +1,12 @@
-//! Datagrams to many boxes. Bytes between data centres are dear, so that one box of each other data
-//! centre passes on to the rest of its data centre what it hears.
+//! Datagrams to many boxes. Traffic between data centres is expensive, so that one box of each
+//! remote data centre relays what it receives to the rest of its data centre.
 //!
-//! Beyond some size not everything is told to all: work at engines is told at once to the boxes of
-//! the own data centre and of the engines' data centres, and to the others with the heartbeats that
-//! reach them.
+//! In a large deployment not everything is sent to all boxes. Work at engines is sent at once to
+//! the boxes of the local data centre and of the engines' data centres, and to the others with the
+//! heartbeats that reach them.
 //!
-//! A dead relay is noticed after some heartbeats. Until then changes are lost that went through it;
-//! heartbeats go through another box each time, and mend that.
+//! A dead relay is detected after some heartbeats. Changes sent through it until then are lost.
+//! Heartbeats go through another box each time and make up for them.
 
 use std::collections::BTreeSet;
 
@@ -16,24 +16,25 @@
 use crate::message::{DataCentreKey, Message};
 
 impl Gateway {
-    /// Gives the short name of this box's data centre.
+    /// Returns the key of this box's data centre.
     pub(super) fn data_centre(&self) -> DataCentreKey {
         DataCentreKey::of(&self.settings.data_centre)
     }
 
-    /// Sends a datagram to all living boxes.
+    /// Sends a datagram to all live boxes.
     pub(super) fn send_to_all(&mut self, message: Message) {
         self.send_within(&Reach::All, message);
     }
 
-    /// Sends a datagram to the boxes whom the engines concern that it names: all of few boxes, of
-    /// many those of the engines' data centres and of the own, and all if memory is scarce there.
+    /// Sends a datagram to the boxes that are concerned by the engines in it: to all in a small
+    /// deployment, otherwise to those of the engines' data centres and of the local one, and to all
+    /// if memory is scarce there.
     pub(super) fn send_to_concerned(&mut self, message: Message) {
         let reach = self.concerned_reach(&message);
         self.send_within(&reach, message);
     }
 
-    /// Gives whom the engines concern that a datagram names.
+    /// Returns which boxes are concerned by the engines in a datagram.
     fn concerned_reach(&self, message: &Message) -> Reach {
         let is_scarce = message.loads.iter().any(|it| self.is_scarce(it.0));
         if is_scarce || self.quota.is_urgent() || !self.members.is_large() {
@@ -48,14 +49,14 @@
         Reach::DataCentres(self.data_centres_of(engines))
     }
 
-    /// Gives the data centres of engines.
+    /// Returns the data centres of the engines that are known.
     fn data_centres_of(&self, engines: impl Iterator<Item = EngineKey>) -> BTreeSet<DataCentreKey> {
         let known = engines.filter_map(|it| self.directory.get(it));
         known.map(|it| DataCentreKey::of(&it.engine.data_centre)).collect()
     }
 
-    /// Sends a datagram to living boxes. Changes of one box go one way, so that they arrive in
-    /// order.
+    /// Sends a datagram to the live boxes within a reach. All changes of this box take the same
+    /// relay, so that they arrive in order.
     pub(super) fn send_within(&mut self, reach: &Reach, message: Message) {
         let own = address_hash(&self.settings.peer);
         let subject = if message.is_whole { own.wrapping_add(message.sequence) } else { own };
@@ -67,7 +68,7 @@
         self.send_to(audience.direct, message);
     }
 
-    /// Passes a datagram on to the other boxes of this data centre.
+    /// Forwards a datagram to the other boxes of this data centre.
     pub(super) fn relay(&mut self, message: &Message) {
         let mut nodes = self.members.alive_in(self.data_centre());
         nodes.retain(|it| *it != message.sender);
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -1,9 +1,8 @@
-//! Orders to engines to change their stage, so that as many read and as many generate as the load
-//! asks for.
+//! Changes of engines' stages, which adapt the numbers of prefill and decode engines to the load.
 //!
-//! The first of the living boxes looks at the load with each heartbeat. It gives an order only
-//! while it holds the lease in the store, and takes the lease only while it has one to give. All
-//! boxes stop sending to an engine before it is ordered to change.
+//! The first of the live boxes checks the load with each heartbeat. It sends an order only while it
+//! holds the lease in the store, and acquires the lease only while it has an order to send. All
+//! boxes stop sending requests to an engine before it is ordered to change.
 
 mod orders;
 
@@ -28,45 +27,45 @@
 /// The name of the lease in the store.
 const LEASE: &str = "stages";
 
-/// The spans of the lease. It is held for single orders, which take milliseconds; the next box can
-/// have it after `ttl` and a `margin`.
+/// The timing of the lease. It is held for single orders, which take milliseconds. The next box can
+/// acquire it after `ttl` and `margin`.
 const TERMS: Terms = Terms {
     ttl: Duration::from_secs(4),
     margin: Duration::from_millis(500),
     renew: Duration::from_secs(1),
 };
 
-/// The requests of late below which the load is not known well enough: the mean length of a prompt
-/// is then known to about a tenth.
+/// The minimum number of recent requests for an estimate of the load. With this many, the mean
+/// prompt length is known to about 10 %.
 const MIN_REQUESTS: u32 = 16;
 
-/// The share of a service's engines that may change their stage at once.
+/// The maximum share of a service's engines that change their stage at the same time.
 const MAX_SWITCHING_SHARE: f64 = 0.25;
 
-/// How long the other direction has to wait, so that a load that swings moves nothing back and
-/// forth: a change costs an engine some 6 s on the users' sites.
+/// The delay before a change in the opposite direction, so that a fluctuating load doesn't move
+/// engines back and forth. A change costs an engine about 6 s.
 const REVERSAL_DELAY: Duration = Duration::from_secs(15);
 
-/// For how long the lease is wanted after a change was last seen to be worth it.
+/// The time for which the lease is wanted after a change was last worthwhile.
 const LEASE_WANTED_DURATION: Duration = Duration::from_millis(1500);
 
-/// For how long the boxes leave an engine out that is to be ordered, and not ordered yet.
+/// The time for which the boxes send nothing to an engine whose order is planned and not sent yet.
 const PLANNED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The share of what an engine could bear that one in need must take to count as an engine.
+/// The minimum share of its usual throughput that a rate-limited engine must accept to be counted.
 const MIN_COUNTED_SHARE: f64 = 0.5;
 
-/// The requests a second that one engine could bear.
+/// The requests per second that one engine can handle.
 #[derive(Debug, Clone, Copy)]
 struct Throughput {
-    /// One that reads.
+    /// The throughput of a prefill engine.
     prefill: f64,
-    /// One that generates.
+    /// The throughput of a decode engine.
     decode: f64,
 }
 
 impl Throughput {
-    /// Gives what engines could bear of requests such as those of late.
+    /// Returns the throughput for requests like the recent ones.
     fn of(demand: Demand, capacity: Capacity) -> Throughput {
         let asked = f64::from(demand.requests) / MEMORY.as_secs_f64();
         let borne = |by_one: f64, in_all: u32| by_one * asked / f64::from(in_all.max(1));
@@ -77,59 +76,59 @@
     }
 }
 
-/// How far an order is.
+/// The progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The boxes are told to leave the engine out.
+    /// The boxes have been told to send the engine nothing.
     Announced,
     /// The order was sent.
     Sent,
-    /// The engine carries it out, and is to be done by a time.
+    /// The engine carries the order out, until the given time at the latest.
     UnderWay(Time),
 }
 
-/// An engine's change of stage.
+/// A change of an engine's stage.
 #[derive(Debug, Clone, Copy)]
 struct StageChange {
     /// The engine.
     engine: EngineKey,
-    /// The stage that it is to have.
+    /// The stage that it changes to.
     stage: Stage,
-    /// When it was decided.
+    /// The time when the change was planned.
     planned_at: Time,
-    /// How many orders the engine has taken before, once it has told.
+    /// The number of orders that the engine has accepted before; none until it has reported it.
     order_count: Option<u64>,
-    /// How far it is.
+    /// The progress of the order.
     phase: Phase,
-    /// The orders sent for it.
+    /// The number of times that the order was sent.
     attempts: u32,
 }
 
-/// The changes that this box orders.
+/// The stage changes that this box orders.
 #[derive(Debug, Clone)]
 pub(super) struct Stages {
-    /// The lease.
+    /// The lease that permits sending orders.
     lease: Lease,
-    /// This box's name as a holder.
+    /// This box's name as the lease's holder.
     holder: Arc<str>,
-    /// The fencing token that was last logged as held.
+    /// The fencing token in the last log line on the lease; none if the lease was not held.
     logged_token: Option<u64>,
-    /// Until when the lease is wanted for changes that are not planned yet.
+    /// The time until which the lease is wanted for changes that are not planned yet.
     wanted_until: Time,
     /// The changes that are planned or under way.
     changes: Vec<StageChange>,
     /// The number of the last operation on the store.
     last_operation: u64,
-    /// When the next look at the moves is due.
+    /// The time when the changes are checked next.
     next_check: Option<Time>,
-    /// Until when nothing new is decided.
+    /// The time until which no change is planned.
     paused_until: Time,
-    /// The direction of the last change, and when it was decided.
+    /// The direction of the last change, and the time when it was planned.
     last_change: Option<(Change, Time)>,
 }
 
 impl Stages {
-    /// Makes the stages of a box that has ordered nothing.
+    /// Creates the state of a box that has ordered nothing.
     pub(super) fn new(settings: &Settings) -> Stages {
         let holder = format!("{}-{:016x}", settings.peer, settings.incarnation);
         Stages {
@@ -145,24 +144,24 @@
         }
     }
 
-    /// Notes the store's era: its lease may be lost.
+    /// Enters an era of the store, in which the lease may be lost.
     pub(super) fn enter_era(&mut self, now: Time, era: u64) {
         self.lease.enter_era(now, era);
     }
 
-    /// Gives when the moves are to be looked at.
+    /// Returns when the changes are to be checked.
     pub(super) fn next_check_at(&self) -> Option<Time> {
         self.next_check
     }
 
-    /// Finds the change of an engine.
+    /// Returns the change of an engine, if there is one.
     fn find(&mut self, engine: EngineKey) -> Option<&mut StageChange> {
         self.changes.iter_mut().find(|it| it.engine == engine)
     }
 }
 
 impl Gateway {
-    /// Counts what a request asks of a service with stages.
+    /// Records the demand of a request for a service with stages.
     pub(super) fn record_demand(&mut self, service: &Service, request: &Request) {
         if service.staged.is_some() {
             let meter = self.meters.entry(service.name.clone()).or_default();
@@ -170,25 +169,26 @@
         }
     }
 
-    /// Gives what clients ask of each service at this box.
+    /// Returns the demand of clients for each service at this box.
     pub(super) fn own_demand(&mut self) -> Vec<(u64, Demand)> {
         let (now, run) = (self.now, self.runs.mean(self.now));
         let meters = self.meters.iter_mut();
         meters.map(|(name, it)| (service_hash(name), it.demand(now, run))).collect()
     }
 
-    /// Gives the changes that this box orders, for the others.
+    /// Returns the changes that this box orders, as announced to other boxes.
     pub(super) fn own_stage_switches(&self) -> Vec<StageSwitch> {
         self.stages.changes.iter().map(|it| self.stage_switch(it)).collect()
     }
 
-    /// Takes word of an engine that is to change its stage.
+    /// Applies the announcement of a stage change: nothing new is sent to the engine for its
+    /// duration.
     pub(super) fn apply_stage_switch(&mut self, switching: &StageSwitch) {
         let span = Duration::from_millis(u64::from(switching.duration_ms));
         self.directory.switch(switching.engine, switching.stage, self.now + span);
     }
 
-    /// Looks whether the engines' stages fit the load, if that is this box's to decide.
+    /// Plans stage changes that the load requires, if this box is the leader.
     pub(super) fn balance_stages(&mut self) {
         if !self.is_leader() {
             return self.drop_planned();
@@ -206,20 +206,20 @@
         }
     }
 
-    /// Tells whether this box has engines change their stage.
+    /// Returns whether this box has stage changes planned or under way.
     pub(super) fn has_stage_changes(&self) -> bool {
         !self.stages.changes.is_empty()
     }
 
-    /// Tells whether this box is the one to give orders. The tokens of boxes that know no eras are
-    /// lower than those of this one, which must not go before them.
+    /// Returns whether this box is the one that sends orders. Boxes that don't support eras have
+    /// lower fencing tokens than this box, which must not send orders while they are alive.
     pub(super) fn is_leader(&self) -> bool {
         let keeps_tokens = self.store_era() == 0 || self.members.all_support_eras();
         let is_able = self.is_ready() && !self.store_view().has_lost_store && keeps_tokens;
         is_able && self.members.is_first(self.settings.peer)
     }
 
-    /// Plans the changes that a service's load asks for.
+    /// Plans the changes that a service's load requires.
     fn balance_service(&mut self, service: &Service, staged: &Staged) {
         let hash = service_hash(&service.name);
         let own = self.own_demand().into_iter().find(|it| it.0 == hash);
@@ -256,8 +256,9 @@
         }
     }
 
-    /// Gives the engines of a service by the stage that they have or will have, and those of them
-    /// that work now. One in need counts if it takes at least half of what it could bear.
+    /// Returns the number of a service's engines by their present or future stage, and the number
+    /// of those that work now. A rate-limited engine counts if it accepts at least
+    /// [`MIN_COUNTED_SHARE`] of its usual throughput.
     fn count_stages(&self, service: &str, demand: Demand, capacity: Capacity) -> (Split, Split) {
         let mut split = Split { readers: 0, generators: 0 };
         let mut working = split;
@@ -281,13 +282,14 @@
         (split, working)
     }
 
-    /// Goes over the engines of a service that do not leave.
+    /// Returns the engines of a service that are not shutting down.
     fn staying(&self, service: &str) -> impl Iterator<Item = &Known> {
         self.directory.staying(service, self.now).filter(|it| !self.terms.is_leaving(&it.engine))
     }
 
-    /// Chooses the engine that changes: of the data centre with the most readers to generate, of
-    /// the one with the fewest to read; there the one with the least work.
+    /// Chooses the engine that changes its stage: to decode in the data centre with the most
+    /// prefill engines, to prefill in the one with the fewest. There, it is the engine with the
+    /// least work.
     fn choose_engine(&self, service: &str, change: Change) -> Option<EngineKey> {
         let from = match change {
             Change::ToGenerating => Stage::Prefill,
@@ -301,7 +303,8 @@
         let readers_near =
             |it: &Known| readers_in.get(&*it.engine.data_centre).copied().unwrap_or_default();
         let open = self.directory.open(service, self.now);
-        // Orders are requests too, and one in need or about to leave is of little use in another stage.
+        // Orders are requests too, and an engine that is rate-limited or shutting down is of little
+        // use in another stage.
         let candidates = open.filter(|it| it.engine.stage == Some(from));
         let candidates = candidates.filter(|it| self.takes_aside(it.engine.key));
         let chosen = candidates.min_by_key(|it| {
@@ -312,7 +315,7 @@
         chosen.map(|it| it.engine.key)
     }
 
-    /// Plans a change, and has all boxes leave the engine out.
+    /// Plans a change, and has all boxes stop sending to the engine.
     fn plan(&mut self, engine: EngineKey, change: Change, engines: Split, demand: Demand) {
         let stage = match change {
             Change::ToGenerating => Stage::Decode,
@@ -337,18 +340,18 @@
         self.announce_change(&stage_change);
     }
 
-    /// Tells all boxes, this one too, how far a change is.
+    /// Announces the progress of a change to all boxes, including this one.
     fn announce_change(&mut self, change: &StageChange) {
         let stage_switch = self.stage_switch(change);
         self.announce_stage_switch(stage_switch);
     }
 
-    /// Tells all boxes that an engine stays as it is.
+    /// Announces to all boxes that an engine keeps its stage.
     fn announce_cancelled(&mut self, change: &StageChange) {
         self.announce_stage_switch(StageSwitch { duration_ms: 0, ..self.stage_switch(change) });
     }
 
-    /// Tells all boxes of a change.
+    /// Announces a stage change to all boxes, including this one.
     fn announce_stage_switch(&mut self, switching: StageSwitch) {
         self.apply_stage_switch(&switching);
         let mut message = self.message(false);
@@ -356,7 +359,7 @@
         self.send_to_all(message);
     }
 
-    /// Gives what the other boxes need to know of a change.
+    /// Returns the announcement of a change.
     fn stage_switch(&self, change: &StageChange) -> StageSwitch {
         let remaining = match change.phase {
             Phase::Announced | Phase::Sent => PLANNED_TIMEOUT,
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -1,5 +1,5 @@
-//! How planned changes of stages are ordered: the lease in the store, the orders, and what becomes of
-//! them.
+//! The orders for planned stage changes: the lease in the store, sending the orders, and their
+//! outcome.
 
 use std::time::Duration;
 
@@ -11,26 +11,27 @@
 use crate::engine::EngineKey;
 use crate::event::OrderAnswer;
 
-/// How often it is looked whether an order can be given.
+/// The interval between checks whether an order can be sent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often one order is sent that gets no answer.
+/// The maximum number of times that an order without an answer is sent.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// The pause after an order that was not taken.
+/// The pause after a cancelled change before another one is planned.
 const CANCEL_PAUSE: Duration = Duration::from_secs(4);
 
-/// How long what runs at an engine may take to end before it changes, beside the change itself.
+/// The maximum time for which requests that run at an engine delay its change, not including the
+/// change itself.
 const MAX_DRAIN: Duration = Duration::from_secs(16);
 
-/// The time in which all boxes hear that an engine is to change.
+/// The time in which an announced change reaches all boxes.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(40);
 
-/// The time after which an engine is ordered even if prompts wait there: it turns those away.
+/// The time after which an engine is ordered even if prompts are queued there. It rejects these.
 const MAX_PREFILL_WAIT: Duration = Duration::from_millis(600);
 
 impl Gateway {
-    /// Gives the orders that can be given now.
+    /// Advances the planned changes and sends the orders that can be sent now.
     pub(in crate::gateway) fn give_orders(&mut self) {
         if self.stages.changes.is_empty() && !self.wants_lease() {
             self.stages.next_check = None;
@@ -42,13 +43,13 @@
         self.stages.next_check = self.wants_lease().then_some(self.now + CHECK_INTERVAL);
     }
 
-    /// Tells whether there is an order to give, or a change worth one.
+    /// Returns whether there is an order to send, or a change worth one.
     fn wants_lease(&self) -> bool {
         let has_planned = self.stages.changes.iter().any(|it| it.phase == Phase::Announced);
         has_planned || self.now < self.stages.wanted_until
     }
 
-    /// Takes or renews the lease while there is an order to give.
+    /// Acquires or renews the lease while there is an order to send.
     fn tick_lease(&mut self) {
         let wanted = self.wants_lease();
         let (number, begun) = (self.stages.last_operation + 1, &mut None);
@@ -60,7 +61,7 @@
         self.log_lease();
     }
 
-    /// Takes the store's answer to an operation.
+    /// Handles the store's answer to an operation.
     pub(in crate::gateway) fn apply_store_answer(&mut self, number: u64, answer: &Answer) {
         if self.apply_census_answer(number, answer) || self.cases_stored(number, answer) {
             return;
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Begins an operation on the store and gives its number.
+    /// Starts an operation on the store and returns its number.
     pub(in crate::gateway) fn begin_operation(&mut self, operation: Operation) -> u64 {
         let number = self.stages.last_operation + 1;
         self.begin(number, Some(operation));
         number
     }
 
-    /// Begins an operation on the store, if there is one.
+    /// Starts an operation on the store, if there is one.
     fn begin(&mut self, number: u64, operation: Option<Operation>) {
         if let Some(operation) = operation {
             self.stages.last_operation = number;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Logs that the lease was gained or lost.
+    /// Logs when the lease is acquired or lost.
     fn log_lease(&mut self) {
         let token = self.stages.lease.held(self.now).map(|it| it.token);
         if token.is_some() != self.stages.logged_token.is_some() {
@@ -101,8 +102,8 @@
         self.stages.logged_token = token;
     }
 
-    /// Tells whether this box may give an order now: the lease lasts longer than the order may
-    /// take, and those of the holder before are long over.
+    /// Returns whether this box may send an order now: the lease lasts longer than an order may
+    /// take, and the orders of the previous holder have ended.
     pub(super) fn may_order(&self) -> bool {
         let now = self.now;
         let Some(held) = self.stages.lease.held(now) else { return false };
@@ -111,7 +112,8 @@
         !must_wait && now + LONGEST_ORDER <= held.until
     }
 
-    /// Sends the orders whose engines the boxes have left.
+    /// Sends the orders for announced changes once no prompt is queued at the engine, or
+    /// [`MAX_PREFILL_WAIT`] has passed.
     fn send_orders(&mut self) {
         let now = self.now;
         let Some(held) = self.stages.lease.held(now).filter(|_| self.may_order()) else { return };
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Takes word of how many orders an engine has taken. One that does not tell is not ordered.
+    /// Handles an engine's report of how many orders it has accepted. An engine without a report is
+    /// not ordered.
     pub(in crate::gateway) fn apply_order_count(&mut self, engine: EngineKey, count: Option<u64>) {
         let Some(change) = self.stages.find(engine) else { return };
         if change.order_count.is_some() {
@@ -150,10 +153,10 @@
         }
     }
 
-    /// Takes an engine's answer to an order.
+    /// Handles an engine's answer to an order.
     ///
-    /// An order without an answer is sent again with the same count: if the first was taken, or is
-    /// taken later, the engine refuses one of the two.
+    /// An order without an answer is sent again with the same count. If the engine accepted the
+    /// first one, or accepts it later, it refuses one of the two.
     pub(in crate::gateway) fn apply_order_answer(
         &mut self,
         engine: EngineKey,
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Notes that an engine carries its order out.
+    /// Records that an engine carries out its order.
     fn mark_under_way(&mut self, engine: EngineKey, how: &'static str) {
         let Some(known) = self.directory.get(engine) else { return };
         let id = known.engine.id.clone();
@@ -192,13 +195,13 @@
         self.announce_change(&change);
     }
 
-    /// Gives how long a service's engines take to change.
+    /// Returns how long a service's engines take to change their stage.
     fn switch_span(&self, service: &str) -> Duration {
         let service = self.configuration.as_ref().and_then(|it| it.service(service));
         service.and_then(|it| it.staged?.switch_span).unwrap_or_default()
     }
 
-    /// Gives a change up, and decides nothing new for a while.
+    /// Cancels a change, and plans no other one for a while.
     fn cancel_change(&mut self, engine: EngineKey, how: &'static str) {
         let Some(change) = self.stages.find(engine).copied() else { return };
         self.stages.changes.retain(|it| it.engine != engine);
@@ -210,21 +213,22 @@
         self.announce_cancelled(&change);
     }
 
-    /// Drops the change of an engine that has ended: it knows of no order any more.
+    /// Cancels the change of an engine that has ended. The engine's next incarnation knows of no
+    /// order.
     pub(in crate::gateway) fn drop_change(&mut self, engine: EngineKey) {
         if self.stages.find(engine).is_some() {
             self.cancel_change(engine, "engine ended");
         }
     }
 
-    /// Gives up the change of an engine that was not ordered yet.
+    /// Cancels the change of an engine that was not ordered yet.
     pub(in crate::gateway) fn drop_unordered(&mut self, engine: EngineKey, how: &'static str) {
         if self.stages.find(engine).is_some_and(|it| it.phase == Phase::Announced) {
             self.cancel_change(engine, how);
         }
     }
 
-    /// Gives up the changes that are not ordered yet: another box decides from now on.
+    /// Cancels the changes that are not ordered yet, since another box decides from now on.
     pub(super) fn drop_planned(&mut self) {
         let is_planned = |it: &&StageChange| it.phase == Phase::Announced;
         let planned: Vec<_> = self.stages.changes.iter().filter(is_planned).copied().collect();
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Drops the changes that are done, whose engine is gone, or that took too long.
+    /// Removes changes that are complete, whose engine is gone, or that took too long.
     fn drop_finished(&mut self) {
         let now = self.now;
         let directory = &self.directory;
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -1,7 +1,8 @@
-//! What is known of the platform's store, and which boxes follow it.
+//! The state read from the platform's store, and the choice of the boxes that follow the store.
 //!
-//! A few boxes follow the store and pass on what they see; the others read it once when they learn
-//! that they are behind. For each follower that gets no answers the next box follows too.
+//! A few boxes follow the store and forward the changes that they read. The others read it once
+//! when they learn that they are behind. For each follower that gets no answers, the next box
+//! follows as well.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,81 +19,84 @@
 use crate::message::{EngineUpdate, StoreView};
 use crate::route::Configuration;
 
-/// How many boxes follow the store, at least.
+/// The minimum number of boxes that follow the store.
 const MIN_FOLLOWERS: usize = 3;
 
-/// For how many boxes there is one more: where silence is noticed later, more may be lost at once.
+/// One more box follows the store per this many boxes. In larger deployments a failed box is
+/// detected later, so that more followers may be lost at once.
 const NODES_PER_FOLLOWER: usize = 100;
 
-/// How many more boxes may follow while others get no answers. If the store is away for all, a few
-/// are enough to notice its return.
+/// The maximum number of additional followers while others get no answers. If the store is
+/// unreachable for all boxes, a few are enough to detect its return.
 const MAX_CUT_OFF_FOLLOWERS: usize = 8;
 
-/// The time without an answer after which a follower is blind: a watch may take almost this long.
+/// The time without an answer after which a follower counts as cut off. A watch may take almost
+/// this long.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The time for which calls must fail for the same.
+/// The time for which calls must fail until a follower counts as cut off.
 const FAILURE_DURATION: Duration = Duration::from_millis(700);
 
-/// The least time without an answer after which entries may have lapsed that are not renewed.
+/// The minimum duration of an outage after which entries may have expired that are not renewed.
 const MIN_OUTAGE: Duration = Duration::from_millis(1500);
 
-/// How long after the store's return the engines that live are back in it.
+/// The time after the store's return within which all live engines have registered again.
 const RETURN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time after a box's start in which it hears the others, before it decides whether it follows
-/// the store: if all followed until then, each would read every change while engines enter
-/// themselves.
+/// The time after start before a box decides whether it follows the store. It receives the other
+/// boxes' heartbeats meanwhile. If all boxes followed from the start, each would read every change
+/// while the engines register.
 const FOLLOW_DECISION_DELAY: Duration = Duration::from_millis(800);
 
-/// The heartbeats in a row at which a box must be behind before it asks: at the first the word of
-/// what is new may still be on its way.
+/// The consecutive heartbeats for which a box must be behind before it asks for what it lacks. At
+/// the first one, the announcement of the change may still be on its way.
 const ASK_AFTER_HEARTBEATS: u32 = 2;
 
-/// The same before one of many boxes reads the engines from the store: by then several boxes that
-/// know more have not handed it over.
+/// Like [`ASK_AFTER_HEARTBEATS`], for reading the engines from the store in a large deployment. By
+/// then several boxes that know more have failed to hand the list over.
 const LARGE_READ_AFTER_HEARTBEATS: u32 = 8;
 
-/// The same before one of many boxes asks another for a newer configuration: those that read it from
-/// the store have it by then.
+/// Like [`ASK_AFTER_HEARTBEATS`], for asking another box for a newer configuration in a large
+/// deployment. The boxes that read it from the store have it by then.
 const LARGE_ASK_AFTER_HEARTBEATS: u32 = 1;
 
-/// The boxes from which on a new configuration is passed on and not read by each. It comes up to
-/// three heartbeats later so: 2.5 s at 300 boxes, measured, where some sites want it in force within
-/// 2 s; those that have so many boxes allow 5 s.
+/// The number of boxes from which on a new configuration is forwarded instead of read from the
+/// store by each box. Forwarding delays it by up to three heartbeats: 2.5 s at 300 boxes, where
+/// some sites require it within 2 s. Sites with this many boxes allow 5 s.
 const FORWARD_CONFIGURATION_MIN_BOXES: usize = 500;
 
-/// Of how many boxes one reads a new configuration from the store as soon as it is heard of, where
-/// it is passed on; the others get it from these. If all read, each version costs a call a box.
+/// Where configurations are forwarded, one box in this many reads a new one from the store at once,
+/// and the others get it from these. If all boxes read it, each version would cost one call per
+/// box.
 const BOXES_PER_READER: u64 = 8;
 
-/// The most changes that are passed on in one datagram: about 85 bytes each, so that one fits into
-/// a packet.
+/// The maximum number of changes in one datagram. At about 85 bytes each, the datagram fits into
+/// one packet.
 const MAX_CHANGES_PER_DATAGRAM: usize = 16;
 
-/// The most changes of engines between two heartbeats that get a line of their own in the log.
+/// The maximum number of engine changes between two heartbeats that are logged one by one.
 const MAX_LOGGED_CHANGES: usize = 4;
 
-/// The most changes of one revision that are passed on, which must go in one datagram of at most
+/// The maximum number of forwarded changes of one revision. They share one datagram of at most
 /// 8,192 bytes.
 const MAX_CHANGES_PER_REVISION: usize = 64;
 
-/// The most changes that are passed on at once; beyond, the others read for themselves. When a
-/// large site starts, its engines enter by tens between two answers of the store, and all boxes
-/// reading the list for that were most of the calls to the store (`docs/SCALE.md`).
+/// The maximum number of changes that are forwarded at once. Beyond it, the other boxes read the
+/// store themselves. When a large site starts, tens of engines register between two answers of the
+/// store. If all boxes read the list for that, it causes most of the calls to the store.
 const MAX_FORWARDED_CHANGES: usize = 512;
 
-/// How the store answers about one kind of object.
+/// The availability of the store for one kind of object.
 #[derive(Debug, Clone, Copy, Default)]
 struct Contact {
-    /// When it last answered.
+    /// The time of the last answer.
     last_answer: Option<Time>,
-    /// Since when calls have failed.
+    /// The time since which calls fail; none if the last one succeeded.
     failing_since: Option<Time>,
 }
 
 impl Contact {
-    /// Tells whether a box that has followed the store since a time gets no answers.
+    /// Returns whether a box that follows the store since `since` gets no answers.
     fn is_lost(&self, now: Time, since: Time) -> bool {
         let last = self.last_answer.map_or(since, |it| it.max(since));
         let is_failing =
@@ -101,41 +105,43 @@
     }
 }
 
-/// The changes of engines since the last heartbeat.
+/// The engine changes since the last heartbeat, for the log.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineChanges {
-    /// Those with a line of their own in the log.
+    /// Changes that were logged one by one.
     logged: usize,
-    /// Others that were added or changed.
+    /// Further engines that were added or changed.
     put: usize,
-    /// Others that left.
+    /// Further engines that were removed.
     left: usize,
 }
 
-/// What a box has from the store itself, and what it asked for.
+/// The state of following the store, and of reading what is missing.
 #[derive(Debug, Clone)]
 pub(super) struct StoreState {
-    /// The newest era of the store, once it was told.
+    /// The newest known era of the store; none before the first announcement.
     pub(super) era: Option<u64>,
     /// Whether this box follows the store.
     pub(super) follows: bool,
-    /// Since when it does, or does not.
+    /// The time since which `follows` has its value.
     since: Time,
-    /// How the store answers about the configuration.
+    /// The store's availability for the configuration.
     configuration: Contact,
-    /// How the store answers about engines.
+    /// The store's availability for engines.
     engines: Contact,
-    /// How the store answers about evacuations.
+    /// The store's availability for evacuations.
     evacuations: Contact,
-    /// When the store last answered about engines again after an outage, or came back.
+    /// The time when the store last answered about engines again after an outage, or entered a new
+    /// era.
     pub(super) engines_back: Option<Time>,
-    /// The newest version that another box was heard to have.
+    /// The newest configuration version that another box has announced.
     newest_known_version: u64,
-    /// The newest version for which the configuration was read as soon as it was heard of.
+    /// The newest configuration version that was read from the store because another box announced
+    /// it.
     requested_version: u64,
-    /// At how many heartbeats in a row the configuration was behind others'.
+    /// The consecutive heartbeats for which the configuration was older than another box's.
     configuration_lag: u32,
-    /// At how many heartbeats in a row the engines were behind others'.
+    /// The consecutive heartbeats for which the list of engines was older than another box's.
     engines_lag: u32,
 }
 
@@ -158,7 +164,7 @@
 }
 
 impl StoreState {
-    /// Gives how the store answers about a kind.
+    /// Returns the store's availability for a kind of object.
     fn contact(&mut self, kind: Kind) -> &mut Contact {
         match kind {
             Kind::Configuration => &mut self.configuration,
@@ -167,7 +173,7 @@
         }
     }
 
-    /// Tells whether the box follows the store and gets no answers.
+    /// Returns whether this box follows the store but gets no answers.
     fn is_blind(&self, now: Time) -> bool {
         let contacts = [self.configuration, self.engines, self.evacuations];
         self.follows && contacts.iter().any(|it| it.is_lost(now, self.since))
@@ -175,7 +181,8 @@
 }
 
 impl Gateway {
-    /// Takes a version of the configuration; an older one than that in force is ignored.
+    /// Applies a version of the configuration. Versions that aren't newer than the one in force are
+    /// ignored.
     pub(super) fn configure(&mut self, configuration: Arc<Configuration>) {
         if self.version().is_some_and(|it| it >= configuration.version) {
             return;
@@ -187,11 +194,11 @@
         self.schedule_heartbeat();
     }
 
-    /// Takes a whole list of engines.
+    /// Applies a complete list of engines.
     pub(super) fn apply_engine_list(&mut self, engines: Vec<Engine>, revision: Revision) {
         let known = self.directory.complete();
         let enters = self.is_listed && revision.era > known.era;
-        // Only what was known at the same revision adds up with the changes to a later era's list.
+        // Across eras, the changes apply only to boxes that know the same revision as this one.
         let since = if enters { known } else { self.directory.next_since() };
         let missing_until = self.missing_until();
         match self.directory.list(engines, revision, missing_until, self.now) {
@@ -212,8 +219,8 @@
         }
     }
 
-    /// Takes changes that this box read from the store. One that follows it passes them on; the
-    /// others have read what they had missed, which the rest knows.
+    /// Applies changes that this box read from the store. A follower forwards them. A box that
+    /// doesn't follow the store has read changes that it had missed, which the others know already.
     pub(super) fn apply_engine_changes(&mut self, changes: Vec<EngineChange>) {
         let since = self.directory.next_since();
         let own = self.directory.complete();
@@ -224,8 +231,8 @@
         }
     }
 
-    /// Passes changes on, in datagrams that build on each other, if they are not too many: then the
-    /// others read for themselves.
+    /// Forwards changes in datagrams that build on each other. If there are too many, the other
+    /// boxes read the store themselves.
     fn forward_changes(&mut self, since: Revision, changes: Vec<EngineChange>) {
         if changes.len() > MAX_FORWARDED_CHANGES {
             return;
@@ -242,12 +249,13 @@
         }
     }
 
-    /// Takes changes that another box passed on, if none between is missing.
+    /// Applies changes that another box forwarded, if none is missing between them and this box's
+    /// list.
     pub(super) fn apply_engine_update(&mut self, news: &EngineUpdate) {
         let own = self.directory.complete();
         let last = news.changes.last().map_or(news.since, EngineChange::revision);
         let enters = last.era > own.era;
-        // A box that knows more of the era before knows what is lost.
+        // A box at another revision may know changes of the previous era that the new one has lost.
         if enters && self.is_listed && own != news.since {
             return self.request_snapshot();
         }
@@ -258,8 +266,7 @@
         self.apply(&newer);
     }
 
-    /// Takes the changes that lead from what this box knew at a revision, or later, to another
-    /// revision.
+    /// Applies the changes that lead from this box's revision, or an earlier one, to `revision`.
     pub(super) fn catch_up(&mut self, changes: &[EngineChange], revision: Revision) {
         let own = self.directory.complete();
         let newer: Vec<_> = changes.iter().filter(|it| it.revision() > own).cloned().collect();
@@ -267,7 +274,7 @@
         self.directory.reach(revision, self.now);
     }
 
-    /// Applies changes.
+    /// Applies changes in order and logs them.
     fn apply(&mut self, changes: &[EngineChange]) {
         let mut notes = Vec::new();
         for change in changes {
@@ -279,8 +286,8 @@
         self.log_engine_changes(notes);
     }
 
-    /// Adds changes of engines to the log: the first between two heartbeats one by one, the others
-    /// by their number.
+    /// Logs engine changes: the first ones between two heartbeats one by one, the others as a
+    /// count.
     fn log_engine_changes(&mut self, notes: Vec<Note>) {
         for note in notes {
             let changes = &mut self.engine_changes;
@@ -295,7 +302,7 @@
         }
     }
 
-    /// Adds the number of changes to the log that have no line of their own.
+    /// Logs the count of the changes that were not logged one by one.
     pub(super) fn log_engine_change_counts(&mut self) {
         let EngineChanges { put, left, .. } = std::mem::take(&mut self.engine_changes);
         if put + left > 0 {
@@ -303,7 +310,7 @@
         }
     }
 
-    /// Takes one engine's change.
+    /// Applies an addition or change of an engine.
     fn apply_put(&mut self, engine: &Engine, revision: Revision) -> Option<Note> {
         let old = self.directory.get(engine.key).map(|it| it.engine.is_draining);
         let is_news = old != Some(engine.is_draining);
@@ -314,14 +321,14 @@
         })
     }
 
-    /// Takes one engine's leaving.
+    /// Applies the removal of an engine.
     fn apply_left(&mut self, id: &Arc<str>, revision: Revision) -> Option<Note> {
         let missing_until = self.missing_until();
         let has_left = self.directory.leave(id, revision, missing_until, self.now);
         (has_left && missing_until.is_none()).then(|| Note::EngineLeft { id: id.clone() })
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub(super) fn store_answered(&mut self, kind: Kind) {
         let now = self.now;
         let contact = self.store.contact(kind);
@@ -333,13 +340,14 @@
         }
     }
 
-    /// Notes that the store did not answer.
+    /// Records that the store did not answer.
     pub(super) fn store_failed(&mut self, kind: Kind) {
         self.store.contact(kind).failing_since.get_or_insert(self.now);
     }
 
-    /// Gives until when an engine stays whose entry is missing: entries lapse while the store is
-    /// away, and engines that live are back soon after its return. None if the store was there.
+    /// Returns how long an engine without an entry in the store is kept. Entries expire while the
+    /// store is unreachable, and live engines register soon after its return. None if there was no
+    /// outage.
     pub(super) fn missing_until(&self) -> Option<Time> {
         let is_away = |it: Time| self.now.since(it) >= MIN_OUTAGE;
         if self.store.engines.failing_since.is_some_and(is_away) {
@@ -349,19 +357,19 @@
         (self.now < end).then_some(end)
     }
 
-    /// Takes the engines as gone that did not come back after an outage of the store.
+    /// Removes the engines that have not registered again after an outage of the store.
     pub(super) fn remove_missing(&mut self) {
         for engine in self.directory.remove_missing(self.now) {
             self.note(Note::EngineLeft { id: engine.id.clone() });
         }
     }
 
-    /// Tells whether this box follows the store.
+    /// Returns whether this box follows the store.
     pub(super) fn follows_store(&self) -> bool {
         self.store.follows
     }
 
-    /// Tells what this box knows.
+    /// Returns what this box knows of the store.
     pub(super) fn store_view(&self) -> StoreView {
         StoreView {
             version: self.version().unwrap_or(0),
@@ -370,8 +378,8 @@
         }
     }
 
-    /// Decides whether this box follows the store, and reads what it has been behind with since
-    /// the last heartbeat.
+    /// Decides whether this box follows the store, and requests what it has lacked for several
+    /// heartbeats.
     pub(super) fn sync_with_store(&mut self) {
         let follows = self.should_follow() && self.now.since(Time::ZERO) >= FOLLOW_DECISION_DELAY;
         if follows != self.store.follows {
@@ -393,20 +401,20 @@
         if lacked_engines >= self.read_after_heartbeats() && self.is_listed {
             self.effects.push(Effect::Read(Kind::Engines));
         }
-        // Whatever it lacks for so long the store does not give it, or not soon.
+        // The store doesn't provide in time what is missing for this long.
         let lacks_configuration = lacked_configuration >= self.ask_after_heartbeats();
         if lacks_configuration || lacked_engines >= ASK_AFTER_HEARTBEATS || lacks_era {
             self.request_snapshot();
         }
     }
 
-    /// Tells whether there are so many boxes that not each reads a new configuration.
+    /// Returns whether new configurations are forwarded instead of read by each box.
     fn forwards_configurations(&self) -> bool {
         self.members.peak_count() >= FORWARD_CONFIGURATION_MIN_BOXES
     }
 
-    /// Gives the heartbeats in a row after which a box that is behind with the configuration asks
-    /// another.
+    /// Returns the consecutive heartbeats after which a box that lacks a configuration asks another
+    /// box.
     fn ask_after_heartbeats(&self) -> u32 {
         if self.forwards_configurations() {
             LARGE_ASK_AFTER_HEARTBEATS
@@ -415,20 +423,20 @@
         }
     }
 
-    /// Gives the heartbeats in a row after which a box that is behind with the engines reads the
-    /// store. Where boxes are many one of them is asked first, which costs the store nothing: a
-    /// datagram that is lost at a relay leaves hundreds behind.
+    /// Returns the consecutive heartbeats after which a box that lacks engine changes reads the
+    /// store. In a large deployment it asks another box first, which costs the store nothing: one
+    /// datagram lost at a relay can leave hundreds of boxes behind.
     fn read_after_heartbeats(&self) -> u32 {
         if self.members.is_large() { LARGE_READ_AFTER_HEARTBEATS } else { ASK_AFTER_HEARTBEATS }
     }
 
-    /// Tells whether another box is known to have a newer configuration.
+    /// Returns whether another box has announced a newer configuration.
     pub(super) fn is_behind(&self) -> bool {
         self.store.newest_known_version > self.version().unwrap_or(0)
     }
 
-    /// Has the configuration read as soon as another box knows a newer one. A box that follows
-    /// the store gets it from there.
+    /// Reads the configuration from the store as soon as another box announces a newer one. A
+    /// follower gets it from its watch.
     pub(super) fn read_newer_configuration(&mut self, version: u64) {
         self.store.newest_known_version = self.store.newest_known_version.max(version);
         let is_newer = version > self.version().unwrap_or(0);
@@ -443,7 +451,7 @@
         }
     }
 
-    /// Tells whether this box is to follow the store.
+    /// Returns whether this box should follow the store.
     fn should_follow(&self) -> bool {
         let count = MIN_FOLLOWERS + self.members.peak_count() / NODES_PER_FOLLOWER;
         self.members.is_follower(
@@ -455,14 +463,14 @@
     }
 }
 
-/// Counts for how many looks in a row something holds.
+/// Counts the consecutive checks at which a condition holds.
 fn count_consecutive(looks: &mut u32, holds: bool) -> u32 {
     *looks = if holds { looks.saturating_add(1) } else { 0 };
     *looks
 }
 
-/// Parts changes into datagrams. Changes of one revision, as the difference between two lists has
-/// them, stay together: a box that misses one datagram must not take the next.
+/// Splits changes into datagrams. Changes of one revision, which the difference between two lists
+/// consists of, stay together: a box that misses one datagram must not apply the next.
 fn split_into_datagrams(changes: Vec<EngineChange>) -> Vec<Vec<EngineChange>> {
     let mut parts: Vec<Vec<EngineChange>> = Vec::new();
     for change in changes {
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -1,8 +1,8 @@
-//! What the engines' memory holds when a box starts.
+//! The survey of the prompts that engines cache, at a box's start.
 //!
-//! If all boxes were lost at once, nobody knows any more where the prompts of the streams are that
-//! clients come back with. Each box that starts asks a part of the engines, and tells the others;
-//! requests that go on behind an event wait for that.
+//! If all boxes are lost at once, no box knows any more where the prompts of the streams are cached
+//! that clients resume. Each box that starts asks some of the engines and announces the answers to
+//! the others. Requests that resume after an event wait for them.
 
 use std::time::Duration;
 
@@ -17,44 +17,45 @@
 use crate::prompt::{Kept, PromptKey};
 use crate::request::FlightKey;
 
-/// The least time after a box can serve in which it hears which others have started.
+/// The minimum delay after a box is ready, in which it learns which others have started.
 const MIN_ASK_DELAY: Duration = Duration::from_millis(100);
 
-/// The time without a new box after which all are taken to be heard. While some are missing, each
+/// The time without a new box after which all boxes count as received. While some are missing, each
 /// box would ask their engines too.
 const QUIET_DURATION: Duration = Duration::from_millis(100);
 
-/// The time after a box can serve at which it asks even if new boxes are still heard.
+/// The delay after a box is ready at which it asks even if new boxes are still joining.
 const MAX_ASK_DELAY: Duration = Duration::from_millis(900);
 
-/// The time from the question by which the answers have come to all.
+/// The time after asking within which all boxes have the answers.
 const ANSWER_DURATION: Duration = Duration::from_millis(250);
 
-/// The most engines that one box asks. A box that has heard few others can't tell whether it is
-/// one of few or cut off: without a bound the questions of all grow with boxes times engines.
+/// The maximum number of engines that one box asks. A box that knows few others can't tell whether
+/// there are few or it is cut off. Without the limit, the number of requests of all boxes grows
+/// with boxes times engines.
 const MAX_ASKED_ENGINES: usize = 16;
 
-/// The most prompts that are noted of one engine.
+/// The maximum number of prompts recorded for one engine.
 const MAX_PROMPTS_PER_ENGINE: usize = 64;
 
-/// How far a box is with asking the engines.
+/// The progress of the survey.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Survey {
-    /// When the box could first serve.
+    /// The time when the box became ready.
     ready_at: Option<Time>,
-    /// When the engines are to be asked, if that is known yet and they were not asked.
+    /// The time when the engines are to be asked, until they have been.
     next_attempt: Option<Time>,
-    /// When the engines were asked.
+    /// The time when the engines were asked.
     asked_at: Option<Time>,
 }
 
 impl Survey {
-    /// Gives when it is to be looked whether the engines can be asked.
+    /// Returns when to check whether the engines can be asked.
     pub(super) fn due(&self) -> Option<Time> {
         self.next_attempt
     }
 
-    /// Gives when the answers have come to all, at the latest.
+    /// Returns the latest time at which all boxes have the answers.
     fn end(&self) -> Option<Time> {
         let asked = self.asked_at.or_else(|| self.ready_at.map(|it| it + MAX_ASK_DELAY))?;
         Some(asked + ANSWER_DURATION)
@@ -62,8 +63,8 @@
 }
 
 impl Gateway {
-    /// Asks this box's part of the engines which prompts they keep, once in its life and not
-    /// before it has heard the other boxes.
+    /// Asks this box's share of the engines which prompts they cache, once after its start and not
+    /// before it has received from the other boxes.
     pub(super) fn survey(&mut self) {
         if self.survey.ready_at.is_none() && self.is_ready() {
             self.survey.ready_at = Some(self.now);
@@ -88,7 +89,7 @@
         self.wake_waiting_requests();
     }
 
-    /// Asks the engines that fall to this box, as far as it knows the others.
+    /// Asks the engines that are assigned to this box among the live ones that it knows.
     fn ask_engines(&mut self) {
         let mut nodes = self.members.alive();
         nodes.push(self.settings.peer);
@@ -102,7 +103,7 @@
         self.effects.extend(chosen.into_iter().map(Effect::Survey));
     }
 
-    /// Has the requests that wait for the answers looked at when these have come.
+    /// Schedules the waiting requests for the time when the answers are there.
     fn wake_waiting_requests(&mut self) {
         let Some(end) = self.survey.end() else { return };
         for key in self.waiting.clone() {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Takes an engine's answer.
+    /// Records an engine's answer.
     pub(super) fn apply_survey_answer(&mut self, engine: EngineKey, prompts: Vec<PromptKey>) {
         for prompt in prompts.into_iter().take(MAX_PROMPTS_PER_ENGINE) {
             if self.prompts.keepers(prompt).next().is_none() {
@@ -119,8 +120,9 @@
         }
     }
 
-    /// Gives until when a request waits for word of its prompt: one that goes on behind an event
-    /// has run before, and is late already.
+    /// Returns until when a request waits for the survey. A request that resumes after an event has
+    /// run before and is late already, so that only its first attempt waits, and only while no
+    /// engine is known to cache its prompt.
     pub(super) fn survey_wait_until(&self, flight: &Flight) -> Option<Time> {
         flight.request.last_event?;
         let prompt = flight.request.prompt?;
@@ -130,7 +132,7 @@
         (is_first && !is_known && self.now < end).then_some(end)
     }
 
-    /// Has a request wait until the engines have been asked.
+    /// Lets a request wait for the answers of the engines.
     pub(super) fn wait_for_survey(&mut self, key: FlightKey, until: Time) {
         let Some(flight) = self.flights.get_mut(&key) else { return };
         if flight.waits_until.is_some() {
--- a/crates/hollyspoke-gateway/src/member.rs
+++ b/crates/hollyspoke-gateway/src/member.rs
@@ -1,4 +1,4 @@
-//! The other boxes: who lives, and which of them clients may use.
+//! The other boxes: which of them are alive, and which of them clients may use.
 
 mod duty;
 mod greeting;
@@ -17,28 +17,29 @@
 
 use peer::Peer;
 
-/// How long a silent box is still greeted.
+/// The time for which a box that has timed out is still greeted.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// The boxes of a data centre from which on one of them passes on what boxes of other data centres
-/// tell: below, too much is lost with it until its death is noticed.
+/// The minimum number of boxes in a data centre for one of them to relay the datagrams of other
+/// data centres. In smaller ones, too much is lost when it fails, until its failure is detected.
 const MIN_RELAYED_BOXES: usize = 6;
 
-/// The boxes of the own data centre that take requests from which on clients are told of these
-/// alone, in deployments of more than [`ALL_TO_ALL_MAX_BOXES`] boxes: a few may be dead and not noticed yet.
+/// The minimum number of ready boxes in the local data centre for clients to be sent the addresses
+/// of these only, in deployments of more than [`ALL_TO_ALL_MAX_BOXES`] boxes. A few of them may be
+/// dead without having been detected.
 const MIN_LOCAL_FRONTS: usize = 8;
 
-/// How far a datagram goes.
+/// The set of boxes that a datagram is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reach {
-    /// To all boxes.
+    /// All boxes.
     All,
-    /// To the boxes of the own data centre and of these.
+    /// The boxes of the local data centre and of these.
     DataCentres(BTreeSet<DataCentreKey>),
 }
 
 impl Reach {
-    /// Tells whether it includes another data centre than the own.
+    /// Returns whether it includes a remote data centre.
     fn includes(&self, data_centre: DataCentreKey) -> bool {
         match self {
             Reach::All => true,
@@ -47,69 +48,71 @@
     }
 }
 
-/// Whom a datagram goes to.
+/// The addresses that a datagram is sent to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recipients {
-    /// The boxes that it is sent to and no further.
+    /// The boxes that don't forward it.
     pub direct: Vec<SocketAddr>,
-    /// The boxes that pass it on to the others of their data centres.
+    /// The boxes that forward it to the others of their data centres.
     pub relays: Vec<SocketAddr>,
 }
 
-/// Where clients may connect.
+/// The addresses at which clients may connect.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fronts {
-    /// The addresses.
+    /// The addresses on which boxes serve clients.
     pub fronts: Vec<SocketAddr>,
-    /// Whether all of them lie in the data centres that were asked for.
+    /// Whether all of them are in the requested data centres.
     pub is_inside: bool,
 }
 
-/// Gives a box's number in orders that are the same on all boxes.
+/// Returns a hash of a box's address, by which all boxes rank boxes in the same order.
 pub fn address_hash(node: &SocketAddr) -> u64 {
     xxh3_64(node.to_string().as_bytes())
 }
 
-/// What a datagram told about its sender.
+/// What a datagram shows about its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Receipt {
-    /// An older datagram that came late; it is ignored.
+    /// The datagram is older than one that was received before; it is ignored.
     Stale,
-    /// A box that was not known or was taken for dead.
+    /// The sender was unknown or counted as dead.
     New,
-    /// A living box.
+    /// The sender was known to be alive.
     Known,
 }
 
-/// All other boxes.
+/// The membership: all other boxes that this box knows of.
 #[derive(Debug, Clone)]
 pub struct Members {
     /// The data centre of this box.
     own: DataCentreKey,
-    /// The boxes heard, by where they listen.
+    /// The boxes received from, by the address on which they receive datagrams.
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Boxes named by the settings or by others, and not heard yet, and when they were greeted.
+    /// The boxes listed by the settings or by peers and not received from yet, with the time of
+    /// their last greeting.
     unheard: BTreeMap<SocketAddr, Option<Time>>,
-    /// How many boxes of each data centre live.
+    /// The number of live boxes in each data centre.
     alive_counts: BTreeMap<DataCentreKey, usize>,
-    /// Since when some of them were not greeted.
+    /// The time since which some boxes have not been greeted at all.
     ungreeted_since: Option<Time>,
-    /// When greetings were last sent.
+    /// The time of the last greetings.
     last_greeting: Option<Time>,
-    /// When the first greetings were sent.
+    /// The time of the first greetings.
     first_greeting: Option<Time>,
-    /// When a box was last heard that was not known before.
+    /// The time when a new box was last received from.
     last_joined: Option<Time>,
-    /// The most boxes that lived at once, this one included.
+    /// The peak number of live boxes, including this one.
     peak_count: usize,
-    /// The same, of the own data centre.
+    /// The peak number of live boxes in the local data centre.
     local_peak_count: usize,
-    /// The most boxes that others have told of, which may have heard some before this one started.
+    /// The highest peak that other boxes have reported. They may have received from some boxes
+    /// before this one started.
     reported_peak_count: usize,
 }
 
 impl Members {
-    /// Makes the members as a box of a data centre knows them that has heard nobody.
+    /// Creates the membership of a box that has received from nobody.
     pub fn new(own: DataCentreKey) -> Members {
         Members {
             own,
@@ -126,23 +129,24 @@
         }
     }
 
-    /// Gives how often this box tells the others that it lives. One that is wide has a duty for
-    /// all of them.
+    /// Returns the intervals between this box's heartbeats. A box with a duty for all boxes sends
+    /// to all more often.
     pub fn cadence(&self, has_global_duty: bool) -> Cadence {
         Cadence::of(self.peak_count, self.local_peak_count, has_global_duty)
     }
 
-    /// Tells whether there are so many boxes that not all are told everything.
+    /// Returns whether there are so many boxes that not everything is sent to all.
     pub fn is_large(&self) -> bool {
         self.peak_count > ALL_TO_ALL_MAX_BOXES
     }
 
-    /// Gives how many boxes at most have heard at once what this box tells of an engine near by.
+    /// Returns the maximum number of boxes that receive what this box announces about a local
+    /// engine.
     pub fn max_receivers(&self) -> usize {
         if self.is_large() { self.local_peak_count } else { self.peak_count }
     }
 
-    /// Takes in a datagram.
+    /// Records a datagram.
     pub fn receive(&mut self, message: &Message, now: Time) -> Receipt {
         self.unheard.remove(&message.sender);
         let cadence = self.cadence(false);
@@ -167,7 +171,7 @@
         Receipt::New
     }
 
-    /// Gives the boxes that have just been found silent, and forgets those silent for long.
+    /// Marks boxes that have timed out and returns them. Forgets those that timed out long ago.
     pub fn sweep(&mut self, now: Time) -> Vec<SocketAddr> {
         self.forget(now);
         let (local, remote) = self.min_dead_after();
@@ -183,7 +187,7 @@
         silent
     }
 
-    /// Counts the living boxes of each data centre.
+    /// Counts the live boxes of each data centre.
     fn count_alive(&mut self) {
         self.alive_counts.clear();
         for peer in self.peers.values().filter(|it| !it.is_silent) {
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Forgets boxes that are silent for long. Those that were stopped are not counted any more.
+    /// Forgets boxes that timed out long ago. Those that were shut down no longer count.
     fn forget(&mut self, now: Time) {
         let is_old = |it: &Peer| now.since(it.last_received) >= FORGET_AFTER;
         let stopped = self.peers.values().filter(|it| is_old(it) && it.has_stopped()).count();
@@ -200,12 +204,12 @@
         self.reported_peak_count = self.reported_peak_count.saturating_sub(stopped).max(1);
     }
 
-    /// Gives the living boxes.
+    /// Returns the live boxes.
     pub fn alive(&self) -> Vec<SocketAddr> {
         self.peers.iter().filter(|(_, it)| !it.is_silent).map(|(&address, _)| address).collect()
     }
 
-    /// Gives the living boxes as others are told of them.
+    /// Returns the live boxes with their data centres, as listed in datagrams.
     pub fn peer_addresses(&self) -> Vec<PeerAddress> {
         let alive = self.peers.iter().filter(|(_, it)| !it.is_silent);
         alive
@@ -213,15 +217,16 @@
             .collect()
     }
 
-    /// Gives the living boxes of a data centre.
+    /// Returns the live boxes of a data centre.
     pub fn alive_in(&self, data_centre: DataCentreKey) -> Vec<SocketAddr> {
         let alive =
             self.peers.iter().filter(|(_, it)| !it.is_silent && it.data_centre == data_centre);
         alive.map(|(&address, _)| address).collect()
     }
 
-    /// Gives whom a datagram to living boxes goes to: those of the own data centre and of small
-    /// ones, and one of each larger data centre that it reaches, chosen by a subject.
+    /// Returns the recipients of a datagram to live boxes: all boxes of the local data centre and
+    /// of small ones, and one box of each larger data centre in its reach. The subject determines
+    /// which one.
     pub fn recipients(&self, reach: &Reach, subject: u64) -> Recipients {
         let mut data_centres: BTreeMap<DataCentreKey, Vec<(SocketAddr, u64)>> = BTreeMap::new();
         for (&address, peer) in self.peers.iter().filter(|(_, it)| !it.is_silent) {
@@ -245,22 +250,22 @@
         audience
     }
 
-    /// Tells whether all boxes that this one knows of were heard, and the last of them some time
-    /// ago: others then have the same picture of who lives.
+    /// Returns whether all boxes that this one knows of were received from, the last of them at
+    /// least `quiet_for` ago. Other boxes then see the same membership.
     pub fn is_settled(&self, now: Time, quiet_for: Duration) -> bool {
         let is_quiet = self.last_joined.is_none_or(|it| now.since(it) >= quiet_for);
         self.unheard.is_empty() && is_quiet
     }
 
-    /// Gives where clients may connect besides this box. Of many boxes those of the own data centre
-    /// are named, which are the nearest to the clients that ask here and know the engines near by
-    /// best.
+    /// Returns where clients may connect besides this box. In a large deployment, these are the
+    /// boxes of the local data centre, which are nearest to the clients that ask here and know its
+    /// engines best.
     ///
-    /// If most boxes fell silent, it is as likely that this box was cut off; all are then named,
-    /// since clients pass over addresses that fail.
+    /// If most boxes have timed out, it is as likely that this box was cut off. All are returned in
+    /// that case, since clients skip addresses that fail.
     ///
-    /// Boxes outside some data centres are named only if none inside takes requests; no data centre
-    /// stands for all.
+    /// Boxes outside of the given data centres are returned only if no box inside accepts requests.
+    /// An empty set stands for all data centres.
     pub fn fronts(&self, inside: &BTreeSet<DataCentreKey>) -> Fronts {
         let serving = |it: &&Peer| it.readiness == Readiness::Ready;
         let mut all: Vec<_> = self.peers.values().filter(serving).collect();
@@ -282,40 +287,40 @@
         Fronts { fronts, is_inside: has_inside }
     }
 
-    /// Gives what clients ask of a service at the living boxes beside this one.
+    /// Returns the demand for a service at the live boxes other than this one.
     pub fn demand(&self, service: u64) -> Demand {
         let alive = self.peers.values().filter(|it| !it.is_silent);
         let told = alive.flat_map(|it| &it.demand).filter(|it| it.0 == service);
         told.fold(Demand::default(), |sum, (_, it)| sum.plus(*it))
     }
 
-    /// Gives how many boxes were heard when their heartbeats were due, or a little later: sooner
-    /// than a box is taken for dead, since what it does unheard counts.
+    /// Returns the number of boxes whose heartbeat is not overdue. This is a stricter test than
+    /// whether a box counts as dead, since what a box admits unseen counts.
     pub fn on_time_count(&self, now: Time) -> usize {
         let is_punctual = |it: &&Peer| now.since(it.last_received) <= it.overdue_after(self.own);
         self.peers.values().filter(is_punctual).count()
     }
 
-    /// Gives the most boxes that lived at once, as this one and the others have heard, without those
-    /// that were stopped in order and have not come back; none if nobody was ever heard although
-    /// some are named. Others that are silent may have been cut off and go on serving.
+    /// Returns the peak number of live boxes that this box and the others know of, without those
+    /// that were shut down and have not come back. None if no box was ever received from although
+    /// some are listed. Boxes that have timed out otherwise may be cut off and still serve.
     pub fn peak_serving(&self) -> Option<usize> {
         let stopped = self.peers.values().filter(|it| it.has_stopped()).count();
         let most = self.peak_count.max(self.reported_peak_count);
         (!self.has_heard_nobody()).then_some(most.saturating_sub(stopped).max(1))
     }
 
-    /// Tells whether a box has been heard from an IP address.
+    /// Returns whether a box with an IP address was received from.
     pub fn knows_ip(&self, ip: IpAddr) -> bool {
         self.peers.keys().any(|it| it.ip() == ip)
     }
 
-    /// Tells whether no box was ever heard although some are named.
+    /// Returns whether no box was ever received from although some are listed.
     fn has_heard_nobody(&self) -> bool {
         self.peers.is_empty() && !self.unheard.is_empty()
     }
 
-    /// Gives the newest that any living box knows.
+    /// Returns the newest state of the store that any live box knows.
     pub fn newest_store_view(&self) -> StoreView {
         let alive = self.peers.values().filter(|it| !it.is_silent);
         alive.fold(StoreView::default(), |newest, peer| StoreView {
@@ -325,9 +330,9 @@
         })
     }
 
-    /// Gives the silence of boxes near by and elsewhere after which none is taken for dead sooner,
-    /// whatever cadence it has told: one that has just learnt that there are many boxes beats more
-    /// seldom from then on, and its next heartbeat is the first to tell so.
+    /// Returns the minimum times without a heartbeat after which local and remote boxes count as
+    /// dead, whatever cadence they report. A box that has just learnt that the deployment is large
+    /// sends heartbeats less often from then on, and its next one is the first to say so.
     fn min_dead_after(&self) -> (Duration, Duration) {
         let cadence = self.cadence(false);
         match self.is_large() {
@@ -336,12 +341,12 @@
         }
     }
 
-    /// Gives what a box can read of datagrams.
+    /// Returns the format that a box supports.
     pub fn format(&self, node: SocketAddr) -> Format {
         self.peers.get(&node).map_or(Format::First, |it| it.format)
     }
 
-    /// Gives how many boxes live, this one included.
+    /// Returns the number of live boxes, including this one.
     pub fn count(&self, now: Time) -> usize {
         let (local, remote) = self.min_dead_after();
         let lives = |it: &&Peer| {
@@ -351,7 +356,7 @@
         1 + self.peers.values().filter(lives).count()
     }
 
-    /// Gives the most boxes that have lived at once, this one included.
+    /// Returns the peak number of live boxes, including this one.
     pub fn peak_count(&self) -> usize {
         self.peak_count
     }
--- a/crates/hollyspoke-gateway/src/member/duty.rs
+++ b/crates/hollyspoke-gateway/src/member/duty.rs
@@ -1,4 +1,5 @@
-//! Which box has which duty for all: decided by each for itself, in orders that are the same on all.
+//! The assignment of duties to boxes. Each box decides for itself, by an order that is equal on
+//! all.
 
 use std::net::SocketAddr;
 
@@ -11,10 +12,10 @@
 use crate::message::{DataCentreKey, Format, Readiness};
 
 impl Members {
-    /// Tells whether this box is among those that follow the store: the first `count` of the living
-    /// boxes in an order that is the same on all boxes. Those that get no answers follow too and
-    /// are not counted; `most` bounds all together. If eras are told, boxes of an older version that
-    /// tell none do not count either.
+    /// Returns whether this box follows the store: whether it is among the first `count` live boxes
+    /// in an order that is equal on all boxes. Boxes without answers from the store follow too and
+    /// are not counted; `most` limits the number of all together. If `has_eras`, boxes of an older
+    /// version, which don't report eras, aren't counted either.
     pub fn is_follower(&self, own: SocketAddr, count: usize, most: usize, has_eras: bool) -> bool {
         let tells = |it: &Peer| !has_eras || it.format >= Format::Eras;
         let before: Vec<_> = self.alive_before(own).filter(|it| tells(it)).collect();
@@ -22,32 +23,32 @@
         before.len() < most && answered < count
     }
 
-    /// Tells whether this box comes first of the living ones that serve and have the store's
-    /// answers, in the order in which they follow it: it is the one to give orders.
+    /// Returns whether this box is the first of the live ones that are ready and get answers from
+    /// the store, in the order of the followers. The first one sends orders.
     pub fn is_first(&self, own: SocketAddr) -> bool {
         let is_able = |it: &Peer| it.readiness == Readiness::Ready && !it.store_view.has_lost_store;
         !self.alive_before(own).any(is_able)
     }
 
-    /// Tells whether all living boxes know eras of the store.
+    /// Returns whether all live boxes support eras of the store.
     pub fn all_support_eras(&self) -> bool {
         self.peers.values().all(|it| it.is_silent || it.format >= Format::Eras)
     }
 
-    /// Goes over the living boxes that come before this one in the order that is the same on all.
+    /// Returns the live boxes before this one in the order that is equal on all boxes.
     fn alive_before(&self, own: SocketAddr) -> impl Iterator<Item = &Peer> {
         let place = |number: u64| rank::place(0, number);
         let own = place(address_hash(&own));
         self.peers.values().filter(move |it| !it.is_silent && place(it.address_hash) < own)
     }
 
-    /// Chooses a living box that serves and knows the newest version of the configuration, at least
-    /// one that is given, by a number drawn from all of `u64`. One that knows of newer changes of
-    /// engines than a revision goes first, then one of the own data centre, since bytes between data
-    /// centres are dear.
+    /// Chooses a live, ready box with the newest version of the configuration, which is at least
+    /// `version`. Boxes with engine changes newer than `revision` take precedence, then those of
+    /// the local data centre, since traffic between data centres is expensive. `draw` is a random
+    /// number from all of `u64`.
     ///
-    /// It need not be the one that knows most: if hundreds are behind, all would ask the few that
-    /// follow the store, which then have no time for the store itself.
+    /// The chosen box isn't always the one that knows most. If hundreds of boxes are behind, all
+    /// would ask the few that follow the store, which then have no time for the store itself.
     pub fn choose_provider(
         &self,
         version: u64,
@@ -68,8 +69,9 @@
         best.get(chosen as usize).map(|it| *it.0)
     }
 
-    /// Gives the box that issues an engine's permits: the first for it of those that live, serve and
-    /// can, in the engine's data centre if there is one; this one too, if it serves.
+    /// Returns the box that issues an engine's permits: the first in the engine's order among the
+    /// live, ready boxes that support permits, in the engine's data centre if there is one there.
+    /// This box takes part if it serves.
     pub fn issuer(
         &self,
         own: SocketAddr,
@@ -90,8 +92,8 @@
         all.min_by_key(place).map_or(own, |it| it.0)
     }
 
-    /// Gives how many of the first boxes for an engine are heard, this one included, of all that are
-    /// known; none if fewer are known than there are.
+    /// Returns how many of the `first` boxes in an engine's order are alive, including this one.
+    /// The order is over all known boxes; 0 if fewer than `boxes` are known.
     pub fn alive_among_first(
         &self,
         own: SocketAddr,
--- a/crates/hollyspoke-gateway/src/member/greeting.rs
+++ b/crates/hollyspoke-gateway/src/member/greeting.rs
@@ -1,4 +1,4 @@
-//! Which boxes are greeted, that have not been heard yet or are silent.
+//! Greetings to boxes that were not received from yet, or have timed out.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,32 +9,34 @@
 use crate::cadence::ALL_TO_ALL_MAX_BOXES;
 use crate::message::{DataCentreKey, PeerAddress};
 
-/// The time in which a greeting arrives at a box that lives. One that greets this box later may have
-/// started after it.
+/// The time in which a greeting reaches a live box. A box that greets this one later may have
+/// started after the greeting.
 const GREETING_ARRIVAL_TIME: Duration = Duration::from_millis(100);
 
-/// The boxes of another data centre beyond which no more of it are greeted, where there are more
-/// than [`ALL_TO_ALL_MAX_BOXES`]: one of them passes on what this box tells, and the others may be dead. With all
-/// greeted and answered, 985 boxes that start at once send each other a fifth more datagrams.
+/// The number of known boxes of a remote data centre beyond which no more of it are greeted, with
+/// more than [`ALL_TO_ALL_MAX_BOXES`] boxes. One is enough to relay what this box sends, and the
+/// others may be dead. If all are greeted and answered, 985 boxes that start at once send each
+/// other a fifth more datagrams.
 const MAX_GREETED_REMOTE: usize = 8;
 
-/// How often boxes that have not answered are greeted.
+/// The interval between greetings to boxes that have not answered.
 const GREETING_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// How often the seeds are greeted while no box was ever heard: all boxes may start at once, in any
-/// order, and until this one hears the first it takes every duty for its own.
+/// The interval between greetings to the seeds while no box was received from. All boxes may start
+/// at once, in any order, and until the first one is received, this box assumes every duty.
 const SEED_GREETING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// For how long that goes on. On the users' sites all boxes start within 0.3 s of each other.
+/// The time for which seeds are greeted at that interval. Boxes that start together do so within
+/// about 0.3 s of each other.
 const SEED_GREETING_DURATION: Duration = Duration::from_millis(1000);
 
-/// The time in which names of boxes gather that were never greeted. Until a box has heard most of
-/// the others it takes duties for its own that are theirs: 295 boxes that started at once and knew
-/// three others at their second heartbeat all followed the store (`docs/SCALE.md`).
+/// The time for which newly listed boxes are collected before they are greeted. Until a box has
+/// received from most others, it assumes duties that are theirs: 295 boxes that started at once and
+/// knew three others at their second heartbeat all followed the store.
 const NEW_PEER_GREETING_DELAY: Duration = Duration::from_millis(50);
 
 impl Members {
-    /// Adds boxes to greet that the settings name.
+    /// Adds the boxes listed in the settings, to be greeted.
     pub fn add_seeds(
         &mut self,
         own: SocketAddr,
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Adds boxes to greet that another box names. Of many, a few of each other data centre are
-    /// enough: the rest is heard of with the heartbeats that these pass on.
+    /// Adds the boxes that another box lists, to be greeted. In a large deployment a few of each
+    /// remote data centre are enough: the heartbeats that these relay bring the rest.
     pub fn add_peers(&mut self, own: SocketAddr, named: &[PeerAddress], now: Time) {
         for &PeerAddress { address, data_centre } in named {
             let is_local = data_centre == self.own;
@@ -58,13 +60,13 @@
         }
     }
 
-    /// Tells whether one more box of another data centre is to be greeted.
+    /// Returns whether to greet one more box of a remote data centre.
     fn needs_remote_peer(&self, data_centre: DataCentreKey) -> bool {
         let is_many = self.peers.len() + self.unheard.len() >= ALL_TO_ALL_MAX_BOXES;
         !is_many || self.alive_counts.get(&data_centre).is_none_or(|&it| it < MAX_GREETED_REMOTE)
     }
 
-    /// Adds a box to greet.
+    /// Adds a box to be greeted, unless it is known.
     fn add_to_greet(&mut self, own: SocketAddr, address: SocketAddr, now: Time) {
         let is_known = self.peers.contains_key(&address) || self.unheard.contains_key(&address);
         if address != own && !is_known {
@@ -73,15 +75,15 @@
         }
     }
 
-    /// Tells whether a box that has not been heard yet was greeted just now, so that it knows this
-    /// one.
+    /// Returns whether a box that was not received from yet was greeted just now, and therefore
+    /// knows this one.
     pub fn was_greeted(&self, node: SocketAddr, now: Time) -> bool {
         let greeted = self.unheard.get(&node).copied().flatten();
         greeted.is_some_and(|it| now.since(it) < GREETING_ARRIVAL_TIME)
     }
 
-    /// Gives the boxes that are greeted now: those never greeted, and now and then those that are
-    /// silent or have not been heard yet.
+    /// Returns the boxes to greet now: those never greeted, and at every interval those that have
+    /// timed out or were not received from yet.
     pub fn due_greetings(&mut self, now: Time) -> Vec<SocketAddr> {
         let mut audience = Vec::new();
         let pause =
@@ -102,15 +104,15 @@
         audience
     }
 
-    /// Tells whether no box was ever heard, and the seeds are still asked often: the first second
-    /// after the start.
+    /// Returns whether no box was ever received from and the seeds are still greeted at the short
+    /// interval, which ends [`SEED_GREETING_DURATION`] after the first greetings.
     pub fn greets_seeds_often(&self, now: Time) -> bool {
         let is_early = self.first_greeting.is_none_or(|it| now.since(it) < SEED_GREETING_DURATION);
         is_early && self.peers.is_empty() && !self.unheard.is_empty()
     }
 
-    /// Gives when boxes are to be greeted before the next heartbeat: the seeds while no box was
-    /// ever heard, and those never greeted.
+    /// Returns when to greet boxes before the next heartbeat: the seeds while no box was ever
+    /// received from, and boxes never greeted.
     pub fn next_greeting_at(&self, now: Time) -> Option<Time> {
         let fresh = self.ungreeted_since.map(|it| it + NEW_PEER_GREETING_DELAY);
         let last = self.last_greeting.filter(|_| self.greets_seeds_often(now));
--- a/crates/hollyspoke-gateway/src/member/peer.rs
+++ b/crates/hollyspoke-gateway/src/member/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other box.
+//! The state of one other box.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 use crate::cadence::Cadence;
 use crate::message::{DataCentreKey, Demand, Format, Message, Readiness, StoreView};
 
-/// One other box.
+/// One other box, as last announced by it.
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
-    /// The number of its life.
+    /// The number that identifies the run of its process.
     pub(super) incarnation: u64,
-    /// The highest sequence heard in this life.
+    /// The highest sequence number received of this incarnation.
     pub(super) sequence: u64,
-    /// Its number in orders that are the same on all boxes.
+    /// A hash of its address, by which all boxes rank boxes in the same order.
     pub(super) address_hash: u64,
-    /// Where it listens for clients.
+    /// The address on which it serves clients.
     pub(super) front: SocketAddr,
     /// Its data centre.
     pub(super) data_centre: DataCentreKey,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub(super) readiness: Readiness,
-    /// What it knows of the store.
+    /// Its view of the store.
     pub(super) store_view: StoreView,
-    /// What clients ask of it, by service.
+    /// The demand of clients at it, by service.
     pub(super) demand: Vec<(u64, Demand)>,
-    /// How often its heartbeats come.
+    /// The intervals between its heartbeats.
     pub(super) cadence: Cadence,
-    /// The silence after which it is taken for dead.
+    /// The time without a datagram after which it counts as dead.
     pub(super) dead_after: Duration,
-    /// When it was last heard.
+    /// The time of its last datagram.
     pub(super) last_received: Time,
-    /// Whether its silence was noted.
+    /// Whether it has timed out.
     pub(super) is_silent: bool,
-    /// What it can read of datagrams.
+    /// The format that it supports.
     pub(super) format: Format,
 }
 
 impl Peer {
-    /// Makes a box that is just heard for the first time.
+    /// Creates the state of a box from its first datagram.
     pub(super) fn new(message: &Message, cadence: Cadence, own: DataCentreKey) -> Peer {
         Peer {
             incarnation: message.incarnation,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes what it tells of itself.
+    /// Applies a datagram from the box.
     pub(super) fn update(&mut self, message: &Message, own: DataCentreKey, now: Time) {
         if message.is_whole || self.incarnation != message.incarnation {
             self.format = message.format.unwrap_or_default();
@@ -81,12 +81,12 @@
         self.is_silent = false;
     }
 
-    /// Tells whether it was stopped in order, so that nobody waits for it.
+    /// Returns whether it was shut down, so that nobody waits for it.
     pub(super) fn has_stopped(&self) -> bool {
         self.is_silent && self.readiness == Readiness::Stopping
     }
 
-    /// Gives the silence after which its heartbeat is overdue.
+    /// Returns the time without a heartbeat after which the next one is overdue.
     pub(super) fn overdue_after(&self, own: DataCentreKey) -> Duration {
         self.cadence.overdue_after(self.data_centre == own)
     }
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other, in datagrams that may be lost, doubled or late.
+//! The datagrams between boxes, which may be lost, duplicated or delayed.
 
 use std::net::SocketAddr;
 
@@ -16,27 +16,27 @@
 use crate::quarantine::Word;
 use crate::{departure, intake};
 
-/// The short name of a data centre: a hash of its name, the same on all boxes.
+/// The short key of a data centre: a hash of its name, equal on all boxes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct DataCentreKey(pub u32);
 
 impl DataCentreKey {
-    /// Makes the key of a name.
+    /// Returns the key of a name.
     pub fn of(name: &str) -> DataCentreKey {
         DataCentreKey(xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// The work that one box has at one engine now.
+/// The work of one box at one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Tokens of prompts that the engine is reading, or has yet to read.
+    /// Prompt tokens that the engine has still to prefill.
     pub prefill_tokens: u32,
-    /// Calls under way.
+    /// Calls in progress.
     pub calls: u32,
-    /// Tokens that the calls hold, or will hold, in the engine's memory.
+    /// Tokens that the calls occupy, or will occupy, in the engine's memory.
     pub held_tokens: u32,
 }
 
@@ -48,79 +48,79 @@
         self.held_tokens = self.held_tokens.saturating_add(load.held_tokens);
     }
 
-    /// Takes work away.
+    /// Subtracts work.
     pub fn remove(&mut self, load: Load) {
         self.prefill_tokens = self.prefill_tokens.saturating_sub(load.prefill_tokens);
         self.calls = self.calls.saturating_sub(load.calls);
         self.held_tokens = self.held_tokens.saturating_sub(load.held_tokens);
     }
 
-    /// Tells whether there is no work.
+    /// Returns whether there is no work.
     pub fn is_empty(&self) -> bool {
         *self == Load::default()
     }
 }
 
-/// Whether a box takes requests from clients.
+/// Whether a box accepts requests from clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It knows no configuration yet.
+    /// The box doesn't know all that it needs to serve.
     Starting,
-    /// It serves.
+    /// The box accepts requests.
     Ready,
-    /// It is being stopped.
+    /// The box is shutting down.
     Stopping,
 }
 
-/// What a box knows of the store.
+/// A box's view of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
     /// The version of the configuration; 0 if none is known.
     pub version: u64,
-    /// The revision of the newest change of an engine.
+    /// The revision of the newest engine change.
     pub revision: Revision,
-    /// Whether the box follows the store and gets no answers.
+    /// Whether the box follows the store but gets no answers.
     pub has_lost_store: bool,
 }
 
-/// Changes of engines that the sender has just read from the store.
+/// Engine changes that the sender has just read from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineUpdate {
-    /// The revision that the sender knew before.
+    /// The revision that the changes build on.
     pub since: Revision,
     /// The changes, in order.
     pub changes: Vec<EngineChange>,
 }
 
-/// What the sender has let through for customers that have a limit.
+/// The requests that the sender has admitted for customers with a limit.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The accounts that have changed of late, or all.
+    /// The accounts that have changed recently, or all accounts.
     pub accounts: Vec<Account<CustomerKey>>,
-    /// Whether it is all accounts.
+    /// Whether all accounts are included.
     pub is_complete: bool,
-    /// The most boxes that lived at once, as the sender and those it heard know; 0 if it does not
-    /// say.
+    /// The peak number of live boxes, as known to the sender and the boxes that it received from; 0
+    /// if not reported.
     pub peak_boxes: u32,
 }
 
-/// An engine that turned a request away.
+/// An engine's rejection of a request for lack of memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The engine.
     pub engine: EngineKey,
-    /// The tokens that the request would have held in its memory.
+    /// The tokens that the request would have occupied in its memory.
     pub held_tokens: u32,
 }
 
-/// The work that clients ask of one service with stages, at one box or at all.
+/// The demand of clients for one service with stages, at one box or in total.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Tokens of prompts a second.
+    /// Prompt tokens per second.
     pub prefill_tokens_per_s: u32,
-    /// Tokens that the requests would hold in memory together, on the mean.
+    /// The mean number of tokens that the requests occupy in memory at the same time.
     pub held_tokens: u32,
-    /// Requests of late, by which the other figures can be trusted.
+    /// The number of recent requests, which tells how reliable the other figures are.
     pub requests: u32,
 }
 
@@ -138,123 +138,123 @@
     }
 }
 
-/// A box as others name it.
+/// The address and data centre of a box, as listed by other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAddress {
-    /// Where it listens for datagrams.
+    /// The address on which it receives datagrams.
     pub address: SocketAddr,
-    /// The short name of its data centre.
+    /// The key of its data centre.
     pub data_centre: DataCentreKey,
 }
 
-/// An engine that is to change its stage, and takes nothing new until it has.
+/// A stage change of an engine, which gets no new requests until it is done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageSwitch {
     /// The engine.
     pub engine: EngineKey,
     /// The stage that it changes to.
     pub stage: Stage,
-    /// For how long it takes nothing new, in milliseconds, unless the change is seen before; 0 if
-    /// it stays as it is.
+    /// The time in milliseconds for which it gets no new requests, unless the change is observed
+    /// before; 0 if the engine keeps its stage.
     pub duration_ms: u32,
 }
 
-/// What a box can read of datagrams and handovers.
+/// The format of datagrams and handovers that a box supports.
 ///
-/// The fields of [`Message`] up to `peers` are those of the first format, and stay as they are. Those
-/// of [`Extension`] are numbered and optional where they are written; a box that can't read them is
-/// sent the others alone.
+/// The fields of [`Message`] up to `peers` belong to the first format and don't change. Those of
+/// [`Extension`] are numbered and optional in their encoding. A box that doesn't support them is
+/// sent the other fields only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Format {
-    /// The first fields alone.
+    /// Only the fields of the first format.
     #[default]
     First,
-    /// Limits of engines, and permits, too.
+    /// Also limits of engines, and permits.
     Permits,
-    /// Handovers with numbered fields, too.
+    /// Also handovers with numbered fields.
     Handovers,
-    /// Eras of the store, too.
+    /// Also eras of the store.
     Eras,
 }
 
-/// One datagram. Loads are absolute, so that a lost datagram is mended by the next.
+/// One datagram. Loads are absolute, so that the next datagram makes up for a lost one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// A number drawn at the sender's start.
+    /// A random number that identifies this run of the sender's process.
     pub incarnation: u64,
-    /// Counts the sender's datagrams.
+    /// The sequence number of the datagram within the incarnation.
     pub sequence: u64,
-    /// Where the sender listens for datagrams.
+    /// The address on which the sender receives datagrams.
     pub sender: SocketAddr,
-    /// Where the sender listens for clients.
+    /// The address on which the sender serves clients.
     pub front: SocketAddr,
-    /// The short name of the sender's data centre.
+    /// The key of the sender's data centre.
     pub data_centre: DataCentreKey,
-    /// Whether the receiver passes the datagram on to the other boxes of its data centre.
+    /// Whether the receiver forwards the datagram to the other boxes of its data centre.
     pub is_relayed: bool,
-    /// Whether the sender takes requests.
+    /// Whether the sender accepts requests.
     pub readiness: Readiness,
-    /// The work that has changed, or all work if `is_whole`.
+    /// The changed work, or all work if `is_whole`.
     pub loads: Vec<(EngineKey, Load)>,
-    /// Whether engines that are not among `loads` have no work of the sender's.
+    /// Whether the sender has no work at engines that are not in `loads`.
     pub is_whole: bool,
-    /// How often such whole datagrams come, told with each of them.
+    /// The intervals between whole datagrams; present in each of them.
     pub cadence: Option<Cadence>,
-    /// What the sender knows of the store.
+    /// The sender's view of the store.
     pub store_view: StoreView,
-    /// The evacuated data centres, as far as the sender knows them.
+    /// The evacuated data centres known to the sender.
     pub evacuation: Evacuation,
-    /// What clients ask of each service with stages, by a hash of the service's name.
+    /// The demand of clients for each service with stages, by a hash of the service's name.
     pub demand: Vec<(u64, Demand)>,
-    /// What the sender has let through for customers that have a limit.
+    /// The requests that the sender has admitted for customers with a limit.
     pub usage: Usage,
-    /// Engines that the sender has change their stage.
+    /// Stage changes that the sender has ordered or plans to order.
     pub stage_switches: Vec<StageSwitch>,
-    /// Engines whose address the sender has just found taken by another incarnation.
+    /// Engines whose address the sender has just found to belong to another incarnation.
     pub replaced: Vec<EngineKey>,
-    /// Engines that the sender has just not reached, or that fell silent to it.
+    /// Engines that the sender has just failed to reach, or that timed out.
     pub unreachable: Vec<EngineKey>,
-    /// Requests under which engines have crashed.
+    /// Requests that have crashed engines.
     pub crashes: Vec<Word>,
-    /// Engines that had no room for a request of the sender's.
+    /// Engines that had no free capacity for a request of the sender's.
     pub rejections: Vec<Rejection>,
-    /// Changes that the sender has just read.
+    /// Engine changes that the sender has just read from the store.
     pub engine_update: Option<Box<EngineUpdate>>,
-    /// Prompts that engines have begun to generate from for the sender.
+    /// Prompts from which engines have started to decode for the sender.
     pub cached_prompts: Vec<Kept>,
-    /// Some boxes that the sender has heard from of late.
+    /// Some boxes that the sender has recently received from.
     pub peers: Vec<PeerAddress>,
-    /// The newest era of the store that the sender knows of; 0 if it does not tell.
+    /// The newest era of the store known to the sender; 0 if not reported.
     #[serde(skip)]
     pub era: u64,
-    /// What the sender can read, if the datagram tells.
+    /// The format that the sender supports, if it reports one.
     #[serde(skip)]
     pub format: Option<Format>,
-    /// What a box of the first format can't read.
+    /// The fields that boxes of the first format can't read.
     #[serde(skip)]
     pub extension: Option<Box<Extension>>,
 }
 
-/// What datagrams tell since the first format.
+/// The fields added to datagrams since the first format.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Extension {
-    /// What engines in need take.
+    /// The limits of rate-limited engines.
     pub limits: Vec<intake::Word>,
-    /// Questions for permits that the receiver issues.
+    /// Requests for permits that the receiver issues.
     pub asks: Vec<Ask>,
-    /// Answers to the receiver's questions for permits.
+    /// Answers to the receiver's requests for permits.
     pub replies: Vec<Reply>,
-    /// Engines that are about to leave.
+    /// Engines that are shutting down.
     pub departures: Vec<departure::Word>,
 }
 
 impl Message {
-    /// Tells whether it holds something that a box of the first format can't read.
+    /// Returns whether there are fields that a box of the first format can't read.
     pub fn is_extended(&self) -> bool {
         self.extension.is_some() || self.era > 0
     }
 
-    /// Gives the eras of what it tells.
+    /// Returns the eras of the revisions in the datagram.
     pub fn eras(&self) -> Eras {
         let news = self.engine_update.as_ref();
         Eras {
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Puts what it tells into eras.
+    /// Sets the eras of the revisions in the datagram.
     pub fn set_eras(&mut self, eras: Eras) {
         self.era = eras.store;
         self.store_view.revision.era = eras.engines;
@@ -279,23 +279,23 @@
     }
 }
 
-/// The eras of what a datagram tells, whose first format holds the numbers of revisions alone.
+/// The eras of the revisions in a datagram, whose first format has only the revisions' numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Eras {
-    /// The newest that the sender knows of.
+    /// The newest era known to the sender.
     pub store: u64,
-    /// That of the newest change of an engine.
+    /// The era of the newest engine change.
     pub engines: u64,
-    /// That which the sender knew before its news.
+    /// The era of the revision that the engine update builds on.
     pub since: u64,
-    /// That of all changes in its news.
+    /// The era of all changes in the engine update.
     pub changes: u64,
-    /// That of the evacuations.
+    /// The era of the evacuations.
     pub evacuation: u64,
 }
 
 impl Extension {
-    /// Gives it as a part of a datagram, if it tells anything.
+    /// Returns the extension, or none if it is empty.
     pub fn non_empty(self) -> Option<Box<Extension>> {
         (self != Extension::default()).then(|| Box::new(self))
     }
--- a/crates/hollyspoke-gateway/src/snapshot.rs
+++ b/crates/hollyspoke-gateway/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! What a box hands over whole to another that can't read it from the platform's store: the
-//! configuration in force, and the list of engines. Of customers' keys it holds the digests alone.
+//! The state that a box sends as a whole to another that can't read it from the platform's store:
+//! the configuration in force, and the list of engines. Of customers' keys it contains only the
+//! digests.
 
 use std::sync::Arc;
 
@@ -12,23 +13,23 @@
 use crate::evacuation::Evacuation;
 use crate::route::{Configuration, Limits, Route, Service};
 
-/// The parts of one version of the configuration.
+/// A version of the configuration, in a form that can be serialized.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationParts {
-    /// The version.
+    /// The version; higher is newer.
     pub version: u64,
-    /// What clients may send.
+    /// The limits of what clients may send.
     pub limits: Limits,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
-    /// The customers, if requests need their keys.
+    /// The customers, if requests need a key.
     pub customers: Option<Vec<Customer>>,
 }
 
 impl ConfigurationParts {
-    /// Takes a configuration apart.
+    /// Converts a configuration into its parts.
     pub fn of(configuration: &Configuration) -> ConfigurationParts {
         let customers = configuration.customers.as_ref();
         ConfigurationParts {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Puts the configuration together again.
+    /// Converts the parts back into a configuration.
     pub fn into_configuration(self) -> Arc<Configuration> {
         let ConfigurationParts { version, limits, routes, services, customers } = self;
         let configuration = Configuration::new(version, limits, routes, services);
@@ -51,34 +52,34 @@
     }
 }
 
-/// The list of engines at a revision of the store, or what leads to it.
+/// The list of engines at a revision of the store, or the changes that lead to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listing {
-    /// All engines.
+    /// A complete list.
     Whole {
-        /// The engines.
+        /// All engines at the revision.
         engines: Vec<Engine>,
-        /// The revision up to which nothing is missing.
+        /// The revision up to which the list is complete.
         revision: Revision,
     },
-    /// What has changed since the revision that the asking box knows.
+    /// The changes since the revision that the requesting box knows.
     Changes {
         /// The changes, in order.
         changes: Vec<EngineChange>,
-        /// The revision up to which nothing is missing with them.
+        /// The revision up to which the list is complete with the changes.
         revision: Revision,
     },
 }
 
 impl Listing {
-    /// Gives the revision up to which nothing is missing with it.
+    /// Returns the revision up to which the list is complete with it.
     pub fn revision(&self) -> Revision {
         match self {
             Listing::Whole { revision, .. } | Listing::Changes { revision, .. } => *revision,
         }
     }
 
-    /// Gives the same in an era.
+    /// Returns the listing with its revisions in an era.
     #[must_use]
     pub fn in_era(self, era: u64) -> Listing {
         match self {
@@ -93,25 +94,25 @@
     }
 }
 
-/// What a box that asks knows already.
+/// A request for a snapshot, with what the requesting box knows already.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRequest {
     /// The version of its configuration; 0 if it has none.
     pub version: u64,
-    /// The revision up to which no engine is missing at it; none if it has no list.
+    /// The revision up to which its list of engines is complete; none without a list.
     pub revision: Option<Revision>,
 }
 
-/// What a box hands over.
+/// A snapshot, without what the requesting box knows already.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The configuration, if the box knows a newer one.
+    /// The configuration, if it is newer.
     pub configuration: Option<ConfigurationParts>,
-    /// The engines, if the box has listed them and knows more.
+    /// The engines, if the answering box has a newer list.
     pub listing: Option<Listing>,
     /// The evacuated data centres.
     pub evacuation: Evacuation,
-    /// The engines that are about to leave; a box that reads the first format alone is not told.
+    /// The engines that are shutting down; omitted for a box that supports only the first format.
     #[serde(skip)]
     pub departures: Vec<departure::Word>,
 }
