--- a/crates/hollyspoke-gateway/src/gateway/census.rs
+++ b/crates/hollyspoke-gateway/src/gateway/census.rs
@@ -75,28 +75,28 @@
 
     /// Reads or writes the number if that is due.
     pub(super) fn update_census(&mut self) {
-        let heard = self.members.peak_serving().unwrap_or(0);
-        self.census.is_confirmed |= self.census.stored.is_some_and(|it| heard >= it.boxes);
+        let counted = self.members.peak_serving().unwrap_or(0);
+        self.census.is_confirmed |= self.census.stored.is_some_and(|it| counted >= it.boxes);
         let may_begin = self.census.under_way.is_none() && self.now >= self.census.paused_until;
         if !may_begin || !self.follows_store() || self.is_stopping() {
             return;
         }
         let Some(stored) = self.census.stored else { return self.read_census() };
-        if self.should_write(stored, heard) {
-            self.write_census(stored, heard);
+        if self.should_write(stored, counted) {
+            self.write_census(stored, counted);
         }
     }
 
     /// Returns whether the number in the store needs to be changed.
-    fn should_write(&mut self, stored: Stored, heard: usize) -> bool {
-        let fewer = (heard < stored.boxes).then_some(self.now);
+    fn should_write(&mut self, stored: Stored, counted: usize) -> bool {
+        let fewer = (counted < stored.boxes).then_some(self.now);
         self.census.fewer_since = fewer.map(|it| self.census.fewer_since.unwrap_or(it));
         let is_lower = self
             .census
             .fewer_since
             .is_some_and(|it| self.census.is_confirmed && self.now.since(it) >= LOWER_DELAY);
         let is_old = self.now.since(Time::ZERO) >= WRITE_DELAY;
-        (heard > stored.boxes || is_lower) && is_old && self.is_leader()
+        (counted > stored.boxes || is_lower) && is_old && self.is_leader()
     }
 
     /// Starts reading the number.
--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -20,11 +20,11 @@
     }
 
     /// Returns what the requesting box lacks to serve.
-    pub fn snapshot(&self, question: SnapshotRequest) -> Snapshot {
+    pub fn snapshot(&self, request: SnapshotRequest) -> Snapshot {
         let configuration = self.configuration.as_ref();
-        let newer = configuration.filter(|it| it.version > question.version);
+        let newer = configuration.filter(|it| it.version > request.version);
         let configuration = newer.map(|it| ConfigurationParts::of(it));
-        let listing = self.is_listed.then(|| self.engine_listing(question.revision)).flatten();
+        let listing = self.is_listed.then(|| self.engine_listing(request.revision)).flatten();
         let departures = self.all_departures();
         Snapshot {
             configuration,
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -197,9 +197,9 @@
     /// Applies a complete list of engines.
     pub(super) fn apply_engine_list(&mut self, engines: Vec<Engine>, revision: Revision) {
         let known = self.directory.complete();
-        let enters = self.is_listed && revision.era > known.era;
+        let enters_era = self.is_listed && revision.era > known.era;
         // Across eras, the changes apply only to boxes that know the same revision as this one.
-        let since = if enters { known } else { self.directory.next_since() };
+        let since = if enters_era { known } else { self.directory.next_since() };
         let missing_until = self.missing_until();
         match self.directory.list(engines, revision, missing_until, self.now) {
             Some(changes) => {
@@ -210,7 +210,7 @@
             }
             None => self.note(Note::ListDropped { revision, known }),
         }
-        if enters {
+        if enters_era {
             self.schedule_heartbeat();
         }
         if !self.is_listed {
@@ -254,9 +254,9 @@
     pub(super) fn apply_engine_update(&mut self, news: &EngineUpdate) {
         let own = self.directory.complete();
         let last = news.changes.last().map_or(news.since, EngineChange::revision);
-        let enters = last.era > own.era;
+        let enters_era = last.era > own.era;
         // A box at another revision may know changes of the previous era that the new one has lost.
-        if enters && self.is_listed && own != news.since {
+        if enters_era && self.is_listed && own != news.since {
             return self.request_snapshot();
         }
         if !self.is_listed || own < news.since {
@@ -464,9 +464,9 @@
 }
 
 /// Counts the consecutive checks at which a condition holds.
-fn count_consecutive(looks: &mut u32, holds: bool) -> u32 {
-    *looks = if holds { looks.saturating_add(1) } else { 0 };
-    *looks
+fn count_consecutive(checks: &mut u32, holds: bool) -> u32 {
+    *checks = if holds { checks.saturating_add(1) } else { 0 };
+    *checks
 }
 
 /// Splits changes into datagrams. Changes of one revision, which the difference between two lists
--- a/crates/hollyspoke-gateway/src/member/greeting.rs
+++ b/crates/hollyspoke-gateway/src/member/greeting.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns whether no box was ever received from and the seeds are still greeted at the short
-    /// interval, which ends [`SEED_GREETING_DURATION`] after the first greetings.
+    /// interval, in the first second after the start.
     pub fn greets_seeds_often(&self, now: Time) -> bool {
         let is_early = self.first_greeting.is_none_or(|it| now.since(it) < SEED_GREETING_DURATION);
         is_early && self.peers.is_empty() && !self.unheard.is_empty()
