--- a/crates/hollyspoke-gateway/src/gateway/handover.rs
+++ b/crates/hollyspoke-gateway/src/gateway/handover.rs
@@ -24,7 +24,8 @@
         let configuration = self.configuration.as_ref();
         let newer = configuration.filter(|it| it.version > request.version);
         let configuration = newer.map(|it| ConfigurationParts::of(it));
-        let listing = self.are_engines_listed.then(|| self.engine_listing(request.revision)).flatten();
+        let listing =
+            self.are_engines_listed.then(|| self.engine_listing(request.revision)).flatten();
         let departures = self.all_departures();
         Snapshot {
             configuration,
