--- a/tests/tests/gateway_census.rs
+++ b/tests/tests/gateway_census.rs
@@ -10,7 +10,7 @@
 use hollyspoke_tests::gateway::{World, configuration, engines, heartbeat};
 
 /// A box, the store, and other boxes that tell that they live.
-struct Site {
+struct Simulation {
     /// The box.
     world: World,
     /// The object: its version, 0 for none, and its value.
@@ -18,34 +18,34 @@
     /// Whether the store answers.
     has_store: bool,
     /// The other boxes, by their numbers.
-    others: Vec<u8>,
+    other_boxes: Vec<u8>,
     /// Counts their heartbeats.
     sequence: u64,
     /// The operations that the box began.
     operations: Vec<Operation>,
 }
 
-impl Site {
+impl Simulation {
     /// Makes a box that has just started among others.
-    fn new(others: &[u8]) -> Site {
-        Site::numbered(1, others)
+    fn new(other_boxes: &[u8]) -> Simulation {
+        Simulation::with_number(1, other_boxes)
     }
 
     /// Makes a box of a number.
-    fn numbered(own: u8, others: &[u8]) -> Site {
-        Site {
+    fn with_number(own: u8, other_boxes: &[u8]) -> Simulation {
+        Simulation {
             world: World::numbered(own),
             object: (0, String::new()),
             has_store: true,
-            others: others.to_vec(),
+            other_boxes: other_boxes.to_vec(),
             sequence: 0,
             operations: Vec::new(),
         }
     }
 
     /// Lets time pass.
-    fn pass(&mut self, span: Duration) {
-        let end = self.world.now + span;
+    fn pass(&mut self, duration: Duration) {
+        let end = self.world.now + duration;
         let configured = Event::Configured(Arc::new(configuration(1)));
         let mut effects = self.world.event(configured);
         effects.extend(self.world.event(Event::Listed(engines(), 10.into())));
@@ -53,7 +53,7 @@
         while self.world.now < end {
             self.sequence += 1;
             effects.clear();
-            for &number in &self.others {
+            for &number in &self.other_boxes {
                 let beat = heartbeat(number, self.sequence, StoreView::default());
                 effects.extend(self.world.event(Event::Received(beat)));
             }
@@ -70,13 +70,13 @@
         for effect in effects {
             let Effect::Store(number, operation) = effect else { continue };
             self.operations.push(operation.clone());
-            let answer = if self.has_store { self.carry_out(operation) } else { Answer::Away };
+            let answer = if self.has_store { self.apply(operation) } else { Answer::Away };
             self.world.event(Event::Stored(*number, answer));
         }
     }
 
     /// Carries an operation out.
-    fn carry_out(&mut self, operation: &Operation) -> Answer {
+    fn apply(&mut self, operation: &Operation) -> Answer {
         let (version, value) = self.object.clone();
         match operation {
             Operation::Get { .. } if version == 0 => Answer::Absent,
@@ -90,7 +90,7 @@
     }
 
     /// Gives how many boxes the box tells of.
-    fn told(&mut self) -> u32 {
+    fn announced_box_count(&mut self) -> u32 {
         let end = self.world.now + Duration::from_millis(400);
         let mut boxes = None;
         while self.world.now < end {
@@ -108,17 +108,17 @@
 /// The number is read once and written once, however long nothing changes: calls to the store are
 /// not free.
 #[test]
-fn written_once() {
-    let mut site = writing();
+fn repeated_store_writes() {
+    let mut site = writing_simulation();
     site.pass(Duration::from_secs(90));
     assert_eq!(site.object, (1, "3".to_owned()));
     assert_eq!(site.operations.len(), 2, "{:?}", site.operations);
 }
 
 /// Gives a site of three whose box is the first, so that it has written the number.
-fn writing() -> Site {
-    let sites = [(1, [2, 3]), (2, [1, 3]), (3, [1, 2])].map(|(own, others)| {
-        let mut site = Site::numbered(own, &others);
+fn writing_simulation() -> Simulation {
+    let sites = [(1, [2, 3]), (2, [1, 3]), (3, [1, 2])].map(|(own, other_boxes)| {
+        let mut site = Simulation::with_number(own, &other_boxes);
         site.pass(Duration::from_secs(10));
         site
     });
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn written_anew_when_more_live() {
-    let mut site = writing();
-    site.others.push(30);
+fn joined_box_not_counted() {
+    let mut site = writing_simulation();
+    site.other_boxes.push(30);
     site.pass(Duration::from_secs(5));
     site.pass(Duration::from_secs(5));
     assert_eq!(site.object, (2, "4".to_owned()));
@@ -136,34 +136,34 @@
 
 /// A box that starts in a part that is cut off learns of the others, and tells them.
 #[test]
-fn read_at_the_start() {
-    let mut site = Site::new(&[2, 3]);
+fn stored_count_ignored() {
+    let mut site = Simulation::new(&[2, 3]);
     site.object = (7, "78".to_owned());
     site.pass(Duration::from_secs(3));
-    assert_eq!(site.told(), 78);
+    assert_eq!(site.announced_box_count(), 78);
 }
 
 /// Once a box has heard as many itself, it goes by its hearing: those that were stopped in order
 /// since don't count.
 #[test]
-fn hearing_goes_first() {
-    let mut site = Site::new(&[2, 3]);
+fn stale_count_preferred() {
+    let mut site = Simulation::new(&[2, 3]);
     site.object = (7, "3".to_owned());
     site.pass(Duration::from_secs(3));
-    assert_eq!(site.told(), 3);
+    assert_eq!(site.announced_box_count(), 3);
     site.sequence += 1;
     let stopping = heartbeat(3, site.sequence, StoreView::default());
     site.world.event(Event::Received(Message { readiness: Readiness::Stopping, ..stopping }));
-    site.others = vec![2];
+    site.other_boxes = vec![2];
     site.pass(Duration::from_secs(3));
-    assert_eq!(site.told(), 2);
+    assert_eq!(site.announced_box_count(), 2);
 }
 
 /// Fewer boxes are written only after a minute: those that were stopped may be back.
 #[test]
-fn lowered_late() {
-    let mut site = writing();
-    let stopped = site.others.pop().expect("there are two");
+fn count_lowered_early() {
+    let mut site = writing_simulation();
+    let stopped = site.other_boxes.pop().expect("there are two");
     site.sequence += 1;
     let stopping = heartbeat(stopped, site.sequence, StoreView::default());
     site.world.event(Event::Received(Message { readiness: Readiness::Stopping, ..stopping }));
@@ -176,20 +176,20 @@
 /// A number that another box has written meanwhile is read before it is written again, and what is
 /// no number is replaced.
 #[test]
-fn conflicts_and_nonsense() {
-    let mut site = writing();
+fn conflicting_or_invalid_count() {
+    let mut site = writing_simulation();
     site.object = (9, "many".to_owned());
-    site.others.push(12);
+    site.other_boxes.push(12);
     site.pass(Duration::from_secs(20));
     assert_eq!(site.object, (10, "4".to_owned()));
 }
 
 /// While the store gives no answer the box asks again every two seconds, and goes by its hearing.
 #[test]
-fn store_away() {
-    let mut site = Site::new(&[2, 3]);
+fn unavailable_store_polled_often() {
+    let mut site = Simulation::new(&[2, 3]);
     site.has_store = false;
     site.pass(Duration::from_secs(10));
-    assert_eq!(site.told(), 3);
+    assert_eq!(site.announced_box_count(), 3);
     assert!((3..=6).contains(&site.operations.len()), "{:?}", site.operations);
 }
--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -20,14 +20,15 @@
 };
 
 /// The requests a second that a cold engine bears.
-const RATE: f64 = 9.9;
+const COLD_RATE_PER_S: f64 = 9.9;
 
 /// Gives a configuration whose plain service has engines that start cold.
 fn configuration() -> Configuration {
     let usual = configuration_of(1, Vec::new());
-    let services = usual
-        .services()
-        .map(|it| Service { cold_rate: (*it.name == *PLAIN).then_some(RATE), ..it.clone() });
+    let services = usual.services().map(|it| Service {
+        cold_rate: (*it.name == *PLAIN).then_some(COLD_RATE_PER_S),
+        ..it.clone()
+    });
     let routes = vec![route("safe", RouteKind::Safe, PLAIN)];
     Configuration::new(1, usual.limits, routes, services.collect())
 }
@@ -46,7 +47,7 @@
 }
 
 /// Gives the engine that a request goes to, and has it answered.
-fn sent_to(world: &mut World) -> Option<EngineKey> {
+fn serving_engine(world: &mut World) -> Option<EngineKey> {
     let (_, effects) = world.arrive(request("safe"));
     let send = effects.into_iter().find_map(|it| match it {
         Effect::Send(send) => Some(send),
@@ -57,12 +58,12 @@
 }
 
 #[test]
-fn warm_engines_take_what_a_cold_one_does_not_bear() {
+fn cold_engine_overloaded() {
     let mut world = world(vec![cold(1, 3000), engine(2, PLAIN, None)]);
     let cold = EngineKey::of("engine-1");
     let mut taken = 0;
     for _ in 0..50 {
-        let engine = sent_to(&mut world).expect("one engine is warm");
+        let engine = serving_engine(&mut world).expect("one engine is warm");
         taken += usize::from(engine == cold);
         world.pass(Duration::from_millis(20));
     }
@@ -70,9 +71,9 @@
 }
 
 #[test]
-fn warm_after_its_time_or_by_its_word() {
+fn cold_limit_kept_too_long() {
     let mut world = world(vec![cold(1, 3000)]);
-    let served = |world: &mut World| (0..5).filter_map(|_| sent_to(world)).count();
+    let served = |world: &mut World| (0..5).filter_map(|_| serving_engine(world)).count();
     assert!(served(&mut world) <= 1);
     world.pass(Duration::from_millis(3100));
     assert_eq!(served(&mut world), 5);
@@ -84,43 +85,43 @@
 }
 
 #[test]
-fn refused_at_once_where_all_are_cold() {
+fn refusal_delayed_while_cold() {
     let mut world = world(vec![cold(1, 3000)]);
-    while sent_to(&mut world).is_some() {}
+    while serving_engine(&mut world).is_some() {}
     let (_, effects) = world.arrive(request("safe"));
     only_refusal(&effects);
 }
 
 #[test]
-fn services_without_a_rate_are_not_bound() {
+fn rate_limited_without_setting() {
     let mut world = World::unconfigured();
     let routes = vec![route("safe", RouteKind::Safe, PLAIN)];
     world.event(Event::Configured(Arc::new(configuration_of(1, routes))));
     world.event(Event::Listed(vec![cold(1, 3000)], 10.into()));
-    assert_eq!((0..5).filter_map(|_| sent_to(&mut world)).count(), 5);
+    assert_eq!((0..5).filter_map(|_| serving_engine(&mut world)).count(), 5);
 }
 
 /// Gives the most requests that reach any of some cold engines within a second, where each box
 /// wants to send to each of them twenty times a second for some seconds, and takes `known`
 /// boxes to be there.
-fn most_in_a_second(boxes: u16, known: usize, engines: u64, rate: f64) -> usize {
+fn max_arrivals_per_second(boxes: u16, known: usize, engines: u64, rate: f64) -> usize {
     let mut arrivals: HashMap<EngineKey, Vec<Time>> = HashMap::new();
     for place in 0..boxes {
         let [high, low] = place.to_be_bytes();
         let address = ([10, 0, high, low], 7000).into();
         let part = Part { number: address_hash(&address), boxes: known };
-        let mut turns = SendTimes::default();
+        let mut send_times = SendTimes::default();
         for step in 0..50u64 {
             let now = Time::from_millis(1000 + step * 50 + u64::from(place) % 50);
             for key in (0..engines).map(EngineKey) {
-                if turns.may_send(key, rate, part, now) {
-                    turns.record(key, now);
+                if send_times.may_send(key, rate, part, now) {
+                    send_times.record(key, now);
                     arrivals.entry(key).or_default().push(now);
                 }
             }
         }
     }
-    let most_of = |mut times: Vec<Time>| {
+    let max_of = |mut times: Vec<Time>| {
         times.sort_unstable();
         let within = |first: &Time| {
             times
@@ -130,34 +131,35 @@
         };
         times.iter().map(within).max().unwrap_or(0)
     };
-    arrivals.into_values().map(most_of).max().unwrap_or(0)
+    arrivals.into_values().map(max_of).max().unwrap_or(0)
 }
 
 #[test]
-fn the_sum_of_all_boxes_is_borne() {
+fn box_count_overloads_engine() {
     // Boxes that hear each other and boxes that are all cut off from each other alike: none needs
     // a word of another, but for how many there are.
-    let mut most = BTreeMap::new();
+    let mut max_per_s = BTreeMap::new();
     for boxes in [1u16, 3, 6, 30, 66, 300, 985, 1500] {
-        most.insert(boxes, most_in_a_second(boxes, usize::from(boxes), 60, RATE));
+        max_per_s
+            .insert(boxes, max_arrivals_per_second(boxes, usize::from(boxes), 60, COLD_RATE_PER_S));
     }
-    let highest = most.values().max().copied().unwrap_or(0) as f64;
-    assert!(highest <= RATE * 1.5 + 5.0, "{most:?}");
-    assert!(most.values().all(|&it| it >= 3), "engines that nobody uses: {most:?}");
+    let highest = max_per_s.values().max().copied().unwrap_or(0) as f64;
+    assert!(highest <= COLD_RATE_PER_S * 1.5 + 5.0, "{max_per_s:?}");
+    assert!(max_per_s.values().all(|&it| it >= 3), "engines that nobody uses: {max_per_s:?}");
 }
 
 #[test]
-fn rates_large_and_small() {
+fn cold_rate_exceeded() {
     for rate in [1.0, 2.5, 20.0, 60.0] {
         for boxes in [6u16, 66] {
-            let most = most_in_a_second(boxes, usize::from(boxes), 30, rate);
-            assert!(most as f64 <= rate * 1.5 + 5.0, "{most} at {rate} by {boxes}");
+            let max_per_s = max_arrivals_per_second(boxes, usize::from(boxes), 30, rate);
+            assert!(max_per_s as f64 <= rate * 1.5 + 5.0, "{max_per_s} at {rate} by {boxes}");
         }
     }
 }
 
 #[test]
-fn a_box_that_knows_nobody_takes_many_to_be_there() {
+fn isolated_boxes_overload_engine() {
     let mut sum = 0;
     for box_number in 1..=66 {
         let mut world = World::numbered(box_number);
@@ -165,7 +167,7 @@
         world.event(Event::Seeds(vec![settings(200).peer]));
         world.event(Event::Configured(Arc::new(configuration())));
         world.event(Event::Listed(vec![cold(1, 3000)], 10.into()));
-        sum += (0..5).filter_map(|_| sent_to(&mut world)).count();
+        sum += (0..5).filter_map(|_| serving_engine(&mut world)).count();
     }
-    assert!(sum as f64 <= RATE, "{sum}");
+    assert!(sum as f64 <= COLD_RATE_PER_S, "{sum}");
 }
--- a/tests/tests/gateway_crashes.rs
+++ b/tests/tests/gateway_crashes.rs
@@ -9,20 +9,20 @@
 use hollyspoke_tests::fleet::Fleet;
 
 /// The time after the third crash in which all boxes come to know.
-const CONTACT: Duration = Duration::from_secs(3);
+const DETECTION_TIME: Duration = Duration::from_secs(3);
 
 /// The repeats that are allowed later, over the whole time and all boxes.
-const MOST_REPEATS: usize = 3;
+const MAX_REPEATS_COUNT: usize = 3;
 
 /// How long a harmful request goes on coming.
-const LASTS: Duration = Duration::from_secs(20);
+const TROUBLE_DURATION: Duration = Duration::from_secs(20);
 
 /// A stream that may be resumed, twice a second.
 const STREAM: Harmful =
     Harmful { route: "resumed", every: Duration::from_millis(500), when_read: false };
 
 /// The harmful requests that are played.
-const KINDS: [Harmful; 5] = [
+const HARMFUL_REQUESTS: [Harmful; 5] = [
     STREAM,
     Harmful { when_read: true, ..STREAM },
     Harmful { route: "once", ..STREAM },
@@ -39,28 +39,28 @@
 
 /// Plays a scenario with each kind of harmful request and some seeds, and checks that none of them
 /// comes to engines more often than is allowed.
-fn check_repeats(name: &str, play: impl Fn(&mut Fleet)) {
-    let mut broken = Vec::new();
-    for harmful in KINDS {
+fn check_repeats(name: &str, scenario: impl Fn(&mut Fleet)) {
+    let mut violations = Vec::new();
+    for harmful in HARMFUL_REQUESTS {
         for seed in 1..=3 {
             let mut fleet = troubled(harmful, seed);
-            play(&mut fleet);
-            let late = fleet.crashes.late_arrivals(CONTACT).unwrap_or(0);
+            scenario(&mut fleet);
+            let late = fleet.crashes.late_arrivals(DETECTION_TIME).unwrap_or(0);
             let crashes = fleet.crashes.caused.len();
             let refused = fleet.crashes.refused.len();
             let broken_off = fleet.crashes.broken_off.len();
             let asked = fleet.records.asked.len();
-            let what = format!(
+            let result = format!(
                 "{name}, {harmful:?}, seed {seed}: {late} late arrivals, {crashes} crashes; of \
                  {asked} requests {refused} refused, {broken_off} broken off"
             );
-            println!("{what}");
-            if late > MOST_REPEATS {
-                broken.push(what);
+            println!("{result}");
+            if late > MAX_REPEATS_COUNT {
+                violations.push(result);
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// A request came again and again, at any box, and each engine that began to run it ended; the boxes
@@ -70,13 +70,13 @@
 /// Here, with six boxes at the usual traffic, it came to engines 11 to 73 times more, and up to 643
 /// of 1,997 other requests were refused.
 #[test]
-fn harmful_request_is_held_back() {
-    check_repeats("six boxes", |fleet| fleet.run(LASTS));
+fn harmful_request_repeated() {
+    check_repeats("six boxes", |fleet| fleet.run(TROUBLE_DURATION));
 }
 
 /// What is known of a request outlives each box, and all of them.
 #[test]
-fn known_over_restarts() {
+fn quarantine_lost_on_restart() {
     check_repeats("one after the other", |fleet| {
         for number in 0..12 {
             fleet.run(Duration::from_millis(1700));
@@ -94,39 +94,39 @@
 /// Boxes that do not hear each other learn of it from the store, and those that miss datagrams from
 /// later ones.
 #[test]
-fn known_without_datagrams() {
+fn quarantine_lost_without_datagrams() {
     check_repeats("all cut off from each other", |fleet| {
         for number in 0..6 {
             fleet.part([number], number);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
         fleet.part(0..6, 0);
         fleet.run(Duration::from_secs(5));
     });
     check_repeats("halves", |fleet| {
         fleet.part(0..3, 1);
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_repeats("lost datagrams", |fleet| {
         fleet.lost = 0.6;
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
 /// A request that comes seldom is allowed no more than one that comes often.
 #[test]
-fn seldom_request_is_held_back() {
-    for harmful in KINDS {
+fn rare_harmful_request() {
+    for harmful in HARMFUL_REQUESTS {
         let seldom = Harmful { every: Duration::from_secs(5), ..harmful };
         let mut fleet = troubled(seldom, 1);
         fleet.run(Duration::from_secs(60));
-        let late = fleet.crashes.late_arrivals(CONTACT);
-        assert!(late.is_some_and(|it| it <= MOST_REPEATS), "{late:?} with {seldom:?}");
+        let late = fleet.crashes.late_arrivals(DETECTION_TIME);
+        assert!(late.is_some_and(|it| it <= MAX_REPEATS_COUNT), "{late:?} with {seldom:?}");
     }
 }
 
 /// Gives the generators of the usual engines.
-fn generators(fleet: &Fleet) -> Vec<EngineKey> {
+fn decode_engines(fleet: &Fleet) -> Vec<EngineKey> {
     let engines = fleet.engines().into_iter();
     engines.filter(|it| it.stage == Some(Stage::Decode)).map(|it| it.key).collect()
 }
@@ -134,11 +134,11 @@
 /// Engines crash by themselves, one after the other and all at once, under requests that come once
 /// and under one that many send: none of them is ever taken for harmful.
 #[test]
-fn harmless_requests_go_on() {
+fn harmless_request_quarantined() {
     for (seed, popular) in [(1, "resumed"), (2, "once"), (3, "resumed"), (4, "once")] {
         let mut fleet = Fleet::settled(6, seed);
         fleet.popular = Some((popular, Duration::from_millis(70)));
-        let engines = generators(&fleet);
+        let engines = decode_engines(&fleet);
         for round in 0..40 {
             fleet.run(Duration::from_millis(400));
             fleet.crash_all([engines[round % engines.len()]]);
@@ -153,11 +153,11 @@
 
 /// One harmful request comes beside the popular one: the one is held back, the other is not.
 #[test]
-fn harmless_beside_harmful() {
+fn popular_request_quarantined() {
     for seed in 1..=4 {
         let mut fleet = troubled(STREAM, seed);
         fleet.popular = Some(("resumed", Duration::from_millis(50)));
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
         assert_eq!(fleet.crashes.wrongly_held(), 0, "seed {seed}");
         assert_eq!(fleet.crashes.caused.len(), 3, "seed {seed}");
     }
@@ -166,10 +166,10 @@
 /// Connections to engines that go on living break again and again: no request is taken for harmful,
 /// not even one that never gets a whole answer.
 #[test]
-fn broken_connections_are_no_crashes() {
+fn broken_connection_counted() {
     let mut fleet = Fleet::settled(6, 1);
     fleet.popular = Some(("once", Duration::from_millis(70)));
-    let engines = generators(&fleet);
+    let engines = decode_engines(&fleet);
     for _ in 0..100 {
         fleet.run(Duration::from_millis(100));
         fleet.reset_all(engines.iter().copied());
@@ -180,12 +180,12 @@
 /// A request that is held back gets a final answer at once, at every box, and engines hear nothing
 /// of it any more.
 #[test]
-fn held_back_for_good() {
+fn quarantined_request_sent() {
     let mut fleet = troubled(STREAM, 1);
-    fleet.run(LASTS);
+    fleet.run(TROUBLE_DURATION);
     let arrivals = fleet.crashes.arrivals.len();
     fleet.crashes.answers.clear();
-    fleet.run(LASTS);
+    fleet.run(TROUBLE_DURATION);
     assert_eq!(fleet.crashes.arrivals.len(), arrivals);
     let answers = &fleet.crashes.answers;
     assert!(answers.len() >= 39, "{}", answers.len());
@@ -197,7 +197,7 @@
 /// the start of all 1,200 more. A sweep of the store's calls at 300 boxes showed it: 5,031 on a day
 /// that took 3,841 before.
 #[test]
-fn missing_boxes_cost_few_reads() {
+fn excessive_quarantine_reads() {
     let mut fleet = Fleet::new(24, 1);
     fleet.run(Duration::from_secs(5));
     assert_eq!(fleet.store.case_reads, 24);
@@ -213,7 +213,7 @@
 /// were in doubt, and after 10 s they let the request go; it crashed four more. Drawn by
 /// crashes_drawn.rs with more kinds of faults, and shrunk to this.
 #[test]
-fn proven_after_all_were_lost() {
+fn crash_proof_lost() {
     let every = Duration::from_millis(485);
     let mut fleet = Fleet::settled(6, 12);
     fleet.harmful = Some(Harmful { route: "resumed", every, when_read: true });
@@ -231,5 +231,5 @@
         fleet.run(Duration::from_millis(*pause));
     }
     fleet.run(Duration::from_secs(5));
-    assert_eq!(fleet.crashes.late_arrivals(CONTACT), Some(0));
+    assert_eq!(fleet.crashes.late_arrivals(DETECTION_TIME), Some(0));
 }
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn known_key() {
+fn known_key_rejected() {
     let mut world = world(0.0);
     let (_, send) = world.sent(keyed("safe", KEY));
     assert_eq!(send.caller, Caller::Customer("press".into()));
 }
 
 #[test]
-fn unknown_and_missing_keys() {
+fn unknown_key_accepted() {
     let mut world = world(0.0);
     for request in [request("safe"), keyed("safe", b"other"), keyed("once", b"")] {
         let (_, effects) = world.arrive(request);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn no_customers_no_keys() {
+fn key_required_without_customers() {
     let mut world = World::new();
     let (_, send) = world.sent(request("safe"));
     assert_eq!(send.caller, Caller::Unchecked);
@@ -94,7 +94,7 @@
 
 /// A configuration whose last customer has gone lets nobody in.
 #[test]
-fn last_customer_gone() {
+fn empty_customers_allow_access() {
     let mut world = world(0.0);
     world.event(with_customers(2, Vec::new()));
     let (_, effects) = world.arrive(keyed("safe", KEY));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn open_route() {
+fn exempt_route_rejected() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     let open = Route { is_auth_exempt: true, ..route("open", RouteKind::Safe, PLAIN) };
@@ -116,21 +116,21 @@
 }
 
 #[test]
-fn key_taken_away() {
+fn revoked_key_accepted() {
     let mut world = world(0.0);
-    let (_, under_way) = world.sent(keyed("safe", KEY));
+    let (_, in_flight) = world.sent(keyed("safe", KEY));
     world.event(with_customers(2, vec![customer("press", b"newer", 0.0)]));
     let (_, effects) = world.arrive(keyed("safe", KEY));
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
     only_send(&world.arrive(keyed("safe", b"newer")).1);
     // What was under way comes to its end.
-    let effects = world.call(under_way.call, CallEvent::Answered(ran(200)));
+    let effects = world.call(in_flight.call, CallEvent::Answered(ran(200)));
     assert!(effects.iter().any(|it| matches!(it, Effect::Deliver(..))));
 }
 
 /// A request that was turned away and whose key has gone meanwhile reaches no second engine.
 #[test]
-fn key_taken_away_before_a_second_engine() {
+fn revoked_key_retried() {
     let mut world = world(0.0);
     let (_, first) = world.sent(keyed("safe", KEY));
     world.event(with_customers(2, Vec::new()));
@@ -141,12 +141,12 @@
 
 /// A request that waits for room when its key goes is told so at once.
 #[test]
-fn key_taken_away_while_waiting() {
+fn revoked_key_keeps_waiting() {
     let mut world = world(0.0);
-    let filling = || Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", KEY) };
+    let filling_request = || Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", KEY) };
     let mut last = Vec::new();
     for _ in 0..6 {
-        last = world.arrive(filling()).1;
+        last = world.arrive(filling_request()).1;
     }
     assert!(last.is_empty(), "the last waits: {last:?}");
     let effects = world.event(with_customers(2, Vec::new()));
@@ -157,19 +157,20 @@
 
 /// Of those that wait for room, the customer of the higher rank goes first.
 #[test]
-fn rank_goes_first() {
+fn waiting_priority_ignored() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     let first = Customer { priority: Some(0), ..customer("first", b"first-key", 0.0) };
     let customers = vec![customer("press", KEY, 0.0), first];
     world.event(with_customers(1, customers));
     world.pass(Duration::from_secs(2));
-    let filling = |key| Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", key) };
-    let (_, running) = world.sent(filling(KEY));
-    world.sent(filling(KEY));
-    let (low, effects) = world.arrive(filling(KEY));
+    let filling_request =
+        |key| Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", key) };
+    let (_, running) = world.sent(filling_request(KEY));
+    world.sent(filling_request(KEY));
+    let (low, effects) = world.arrive(filling_request(KEY));
     assert!(effects.is_empty(), "it waits: {effects:?}");
-    let (high, effects) = world.arrive(filling(b"first-key"));
+    let (high, effects) = world.arrive(filling_request(b"first-key"));
     assert!(effects.is_empty(), "it waits: {effects:?}");
     let effects = world.event(Event::ClientDisconnected(running.request));
     assert!(only_send(&effects).request == high && high != low, "{effects:?}");
@@ -177,17 +178,17 @@
 
 /// A box that has heard of a newer configuration can't say that a key is unknown.
 #[test]
-fn behind() {
+fn stale_configuration_rejects_key() {
     let mut world = world(0.0);
-    let knowledge = StoreView { version: 2, ..StoreView::default() };
-    world.event(Event::Received(heartbeat(2, 1, knowledge)));
+    let store_view = StoreView { version: 2, ..StoreView::default() };
+    world.event(Event::Received(heartbeat(2, 1, store_view)));
     let (_, effects) = world.arrive(keyed("safe", b"newer"));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::StaleConfiguration);
 }
 
 #[test]
-fn limit_in_tokens() {
+fn token_limit_ignored() {
     let mut world = world(6000.0);
     // The prompt and the most of the answer are 6,000 tokens.
     world.sent(keyed("once", KEY));
@@ -199,7 +200,7 @@
 
 /// Requests that tell no tokens count as many as the configuration says.
 #[test]
-fn plain_tokens() {
+fn plain_requests_uncounted() {
     let mut world = world(1000.0);
     let plain = || Request { prompt_tokens: None, max_answer_tokens: None, ..keyed("safe", KEY) };
     for _ in 0..5 {
@@ -210,7 +211,7 @@
 
 /// A retry at a second engine is the same request.
 #[test]
-fn retry_is_counted_once() {
+fn retry_counted_twice() {
     let mut world = world(12_000.0);
     let (_, first) = world.sent(keyed("safe", KEY));
     let effects = world.call(first.call, CallEvent::Broken);
@@ -223,17 +224,17 @@
 
 /// What was taken for a request that never ran is given back.
 #[test]
-fn not_run_is_given_back() {
+fn unrun_request_charged() {
     let mut world = world(6000.0);
-    let (flight, _) = world.sent(keyed("once", KEY));
+    let (request_key, _) = world.sent(keyed("once", KEY));
     // Its prompt is being read, which is no run.
-    world.event(Event::ClientDisconnected(flight));
+    world.event(Event::ClientDisconnected(request_key));
     world.sent(keyed("once", KEY));
 }
 
 /// One customer's flood leaves another's requests alone.
 #[test]
-fn flood_of_one() {
+fn customer_limit_shared() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     let customers = vec![customer("press", KEY, 1000.0), customer("town", b"town-key", 1000.0)];
@@ -259,7 +260,7 @@
 }
 
 /// Gives what another box has let through for the customer `press`.
-fn told(number: u8, sequence: u64, total: u32, is_complete: bool) -> Message {
+fn usage_announcement(number: u8, sequence: u64, total: u32, is_complete: bool) -> Message {
     let account = Account { customer: CustomerKey::of("press"), total, level: Some(0) };
     let usage = Usage { accounts: vec![account], is_complete, peak_boxes: 0 };
     Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
@@ -267,13 +268,13 @@
 
 /// What another box lets through counts here, however often it is told.
 #[test]
-fn others_count() {
+fn other_usage_counted_twice() {
     let mut world = world(6000.0);
-    world.event(Event::Received(told(2, 1, 0, true)));
+    world.event(Event::Received(usage_announcement(2, 1, 0, true)));
     world.pass(Duration::from_secs(3));
-    world.event(Event::Received(told(2, 2, 0, false)));
-    world.event(Event::Received(told(2, 3, 9000, false)));
-    world.event(Event::Received(told(2, 4, 9000, false)));
+    world.event(Event::Received(usage_announcement(2, 2, 0, false)));
+    world.event(Event::Received(usage_announcement(2, 3, 9000, false)));
+    world.event(Event::Received(usage_announcement(2, 4, 9000, false)));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
     // 3,000 tokens of debt at 6,000 a second, and a spread.
     assert!((500..=800).contains(&wait.as_millis()), "{wait:?}");
@@ -281,26 +282,26 @@
 
 /// What a silent box may have let through by its own part was left to it, and isn't counted again.
 #[test]
-fn part_of_the_silent() {
+fn silent_usage_counted() {
     let mut world = world(6000.0);
-    world.event(Event::Received(told(2, 1, 0, true)));
+    world.event(Event::Received(usage_announcement(2, 1, 0, true)));
     world.pass(Duration::from_secs(3));
-    world.event(Event::Received(told(2, 2, 9000, false)));
+    world.event(Event::Received(usage_announcement(2, 2, 9000, false)));
     world.sent(keyed("once", KEY));
 }
 
 /// The total of a box that was not known before tells nothing of late.
 #[test]
-fn first_total_is_no_change() {
+fn first_total_counted() {
     let mut world = world(6000.0);
     world.pass(Duration::from_secs(5));
-    world.event(Event::Received(told(2, 900, 4_000_000, false)));
+    world.event(Event::Received(usage_announcement(2, 900, 4_000_000, false)));
     world.sent(keyed("once", KEY));
 }
 
 /// A limit that is lowered binds at once what it leaves, and one that is raised lets more through.
 #[test]
-fn limit_changes() {
+fn limit_change_ignored() {
     let mut world = world(60_000.0);
     world.event(with_customers(2, vec![customer("press", KEY, 6000.0)]));
     world.sent(keyed("once", KEY));
@@ -312,7 +313,7 @@
 
 /// Keys stay out of everything that is printed.
 #[test]
-fn keys_are_not_printed() {
+fn key_printed() {
     let printed = format!("{:?} {:?}", keyed("safe", KEY), customer("press", KEY, 1.0));
     assert!(!printed.contains("press-key"), "{printed}");
     let digest = format!("{:?}", KeyDigest::of(KEY));
@@ -321,7 +322,7 @@
 
 /// Refusals name the customer and not the key in the log.
 #[test]
-fn refusals_are_logged() {
+fn refusal_not_logged() {
     let mut world = world(6000.0);
     world.sent(keyed("once", KEY));
     let now = world.now;
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -31,14 +31,14 @@
         let data_centre = if number.is_multiple_of(2) { "south" } else { "north" };
         engine_in(number, service, stage, data_centre)
     };
-    let (reads, generates) = (Some(Stage::Prefill), Some(Stage::Decode));
+    let (prefill, decode) = (Some(Stage::Prefill), Some(Stage::Decode));
     vec![
         of(1, PLAIN, None),
         of(2, PLAIN, None),
-        of(11, MODEL, reads),
-        of(12, MODEL, reads),
-        of(21, MODEL, generates),
-        of(22, MODEL, generates),
+        of(11, MODEL, prefill),
+        of(12, MODEL, prefill),
+        of(21, MODEL, decode),
+        of(22, MODEL, decode),
     ]
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// Gives the data centres of the engines that a box sends to, asks or orders.
-fn reached(effects: &[Effect]) -> BTreeSet<String> {
+fn contacted_data_centres(effects: &[Effect]) -> BTreeSet<String> {
     let engines = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(&send.engine),
         Effect::QueryCachedPrompts(engine)
@@ -70,39 +70,39 @@
 }
 
 /// Has plain requests arrive and gives the data centres that they go to.
-fn plain_go_to(world: &mut World) -> BTreeSet<String> {
-    (0..8).flat_map(|_| reached(&world.arrive(request("safe")).1)).collect()
+fn plain_data_centres(world: &mut World) -> BTreeSet<String> {
+    (0..8).flat_map(|_| contacted_data_centres(&world.arrive(request("safe")).1)).collect()
 }
 
 /// Gives a datagram of another box with a state.
-fn heard(sequence: u64, evacuation: Evacuation) -> Message {
+fn evacuation_announcement(sequence: u64, evacuation: Evacuation) -> Message {
     Message { evacuation, ..heartbeat(2, sequence, StoreView::default()) }
 }
 
 #[test]
-fn calls_go_elsewhere_and_back() {
+fn calls_sent_to_evacuated() {
     let mut world = world();
-    assert_eq!(plain_go_to(&mut world).len(), 2);
+    assert_eq!(plain_data_centres(&mut world).len(), 2);
     world.event(Event::Evacuated(evacuated(20, &["north"])));
-    assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
+    assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
     let (_, send) = world.sent(request("resumed"));
     assert_eq!(*send.engine.data_centre, *"south");
     world.event(Event::EvacuationChanged(vec![Change::Lifted("north".into())], 30.into()));
-    assert!(plain_go_to(&mut world).contains("north"));
+    assert!(plain_data_centres(&mut world).contains("north"));
 }
 
 #[test]
-fn engines_that_come_later_are_left_out_too() {
+fn late_engine_used() {
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["north"])));
     let mut all = engines();
     all.push(engine_in(3, PLAIN, None, "north"));
     world.event(Event::Listed(all, 30.into()));
-    assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
+    assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
 }
 
 #[test]
-fn a_retry_goes_elsewhere() {
+fn retry_sent_to_evacuated() {
     let mut world = world();
     let (_, send) = world.sent(request("safe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
@@ -111,35 +111,35 @@
 }
 
 #[test]
-fn a_stream_goes_on_elsewhere() {
+fn stream_resumed_in_evacuated() {
     let mut world = world();
-    let (_, generating) = world.streaming(request("resumed"));
-    let from = generating.engine.data_centre.clone();
+    let (_, decode_call) = world.streaming(request("resumed"));
+    let from = decode_call.engine.data_centre.clone();
     world.event(Event::Evacuated(evacuated(20, &[&*from])));
     // What runs goes on; only when it breaks the stream moves.
-    let effects = world.call(generating.call, CallEvent::Forwarded(Some(3)));
+    let effects = world.call(decode_call.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty(), "{effects:?}");
-    let effects = world.call(generating.call, CallEvent::Broken);
-    assert_eq!(reached(&effects).len(), 1, "{effects:?}");
-    assert!(!reached(&effects).contains(&*from), "{effects:?}");
+    let effects = world.call(decode_call.call, CallEvent::Broken);
+    assert_eq!(contacted_data_centres(&effects).len(), 1, "{effects:?}");
+    assert!(!contacted_data_centres(&effects).contains(&*from), "{effects:?}");
 }
 
 #[test]
-fn a_prompt_read_there_is_not_freed_there() {
+fn evacuated_prompt_freed() {
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["south"])));
-    let (flight, reading) = world.sent(request("once"));
-    assert_eq!((&*reading.engine.data_centre, &reading.task), ("north", &Task::Prefill));
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
-    let generating = only_send(&effects);
+    let (request_key, prefill_call) = world.sent(request("once"));
+    assert_eq!((&*prefill_call.engine.data_centre, &prefill_call.task), ("north", &Task::Prefill));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let decode_call = only_send(&effects);
     world.event(Event::Evacuated(evacuated(30, &["north", "south"])));
-    let mut effects = world.call(generating.call, CallEvent::Answered(turned_away()));
-    effects.extend(world.event(Event::ClientDisconnected(flight)));
+    let mut effects = world.call(decode_call.call, CallEvent::Answered(turned_away()));
+    effects.extend(world.event(Event::ClientDisconnected(request_key)));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
 
 #[test]
-fn refused_at_once_where_nothing_is_left() {
+fn refusal_delayed_after_evacuation() {
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["north", "south"])));
     for route in ["safe", "unsafe", "once", "resumed"] {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn no_question_to_a_broken_engine() {
+fn evacuated_engine_probed() {
     let mut world = world();
     let (_, send) = world.sent(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
@@ -163,29 +163,29 @@
 }
 
 #[test]
-fn told_to_a_box_without_the_store() {
+fn evacuation_missed_without_store() {
     let mut world = world();
     world.event(Event::StoreFailed(Kind::Evacuations));
-    world.event(Event::Received(heard(1, evacuated(20, &["north"]))));
-    assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
-    world.event(Event::Received(heard(2, evacuated(40, &[]))));
-    assert!(plain_go_to(&mut world).contains("north"));
+    world.event(Event::Received(evacuation_announcement(1, evacuated(20, &["north"]))));
+    assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
+    world.event(Event::Received(evacuation_announcement(2, evacuated(40, &[]))));
+    assert!(plain_data_centres(&mut world).contains("north"));
     // A box that is behind brings nothing back.
-    world.event(Event::Received(heard(3, evacuated(20, &["south"]))));
-    assert!(plain_go_to(&mut world).contains("south"));
+    world.event(Event::Received(evacuation_announcement(3, evacuated(20, &["south"]))));
+    assert!(plain_data_centres(&mut world).contains("south"));
 }
 
 #[test]
-fn a_change_is_told_to_all_at_once() {
+fn evacuation_announced_late() {
     let mut world = world();
-    world.event(Event::Received(heard(1, Evacuation::default())));
+    world.event(Event::Received(evacuation_announcement(1, Evacuation::default())));
     let effects = world.gateway.step(world.now, Event::Evacuated(evacuated(20, &["north"])));
-    let is_told = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.evacuation == evacuated(20, &["north"]));
-    assert!(effects.iter().any(is_told), "{effects:?}");
+    let is_announced = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.evacuation == evacuated(20, &["north"]));
+    assert!(effects.iter().any(is_announced), "{effects:?}");
 }
 
 #[test]
-fn a_box_that_starts_gets_it_from_another() {
+fn evacuation_missing_in_snapshot() {
     let mut provider = world();
     provider.event(Event::Evacuated(evacuated(20, &["north"])));
     let mut world = World::numbered(2);
@@ -193,11 +193,11 @@
         settings(2).peer,
         Box::new(provider.gateway.snapshot(SnapshotRequest::default())),
     ));
-    assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
+    assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
 }
 
 #[test]
-fn not_ready_before_it_is_known() {
+fn ready_before_evacuations() {
     let mut world = World::unconfigured();
     world.now = hollyspoke::time::Time::from_millis(100);
     world.event(Event::Configured(Arc::new(configuration(1))));
@@ -208,22 +208,22 @@
     assert!(world.gateway.is_ready());
     // An answer that came after all is taken.
     world.event(Event::Evacuated(evacuated(20, &["north"])));
-    assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
+    assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
 }
 
 #[test]
-fn a_call_ends_as_ever() {
+fn running_call_stopped() {
     let mut world = world();
-    let (flight, send) = world.sent(request("unsafe"));
+    let (request_key, send) = world.sent(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &["north", "south"])));
     let effects = world.call(send.call, CallEvent::Answered(ran(200)));
-    assert_eq!(effects, [Effect::Deliver(flight, send.call)]);
+    assert_eq!(effects, [Effect::Deliver(request_key, send.call)]);
 }
 
 proptest! {
     /// States that come in any order leave the one of the latest revision.
     #[test]
-    fn the_latest_state_holds(states in prop::collection::vec((1u64..40, any::<bool>()), 1..24)) {
+    fn older_evacuation_applied(states in prop::collection::vec((1u64..40, any::<bool>()), 1..24)) {
         let sets: [&[&str]; 4] = [&[], &["north"], &["south"], &["north", "south"]];
         // One revision has one state.
         let state = |revision: u64| evacuated(revision, sets[(revision as usize * 7) % 4]);
@@ -233,7 +233,7 @@
             let event = if is_read {
                 Event::Evacuated(state)
             } else {
-                Event::Received(heard(1 + place as u64, state))
+                Event::Received(evacuation_announcement(1 + place as u64, state))
             };
             world.event(event);
         }
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -10,7 +10,7 @@
 use hollyspoke_tests::gateway::{World, heartbeat, only_send, read, request, turned_away};
 
 /// Gives the word of another box that both engines that generate had no room.
-fn both_full(held_tokens: u32) -> Event {
+fn rejections_from_peer(held_tokens: u32) -> Event {
     let full =
         ["engine-21", "engine-22"].map(|it| Rejection { engine: EngineKey::of(it), held_tokens });
     Event::Received(Message { rejections: full.to_vec(), ..heartbeat(2, 1, StoreView::default()) })
@@ -23,9 +23,9 @@
 
 /// No prompt is read for engines that have just turned another box's request away.
 #[test]
-fn full_for_another_node() {
+fn peer_rejection_ignored() {
     let mut world = World::new();
-    world.event(both_full(4000));
+    world.event(rejections_from_peer(4000));
     let (_, effects) = world.arrive(sized(5000));
     assert_eq!(effects, []);
     let effects = world.pass(Duration::from_millis(250));
@@ -33,27 +33,27 @@
 }
 
 #[test]
-fn smaller_one_may_fit() {
+fn small_request_blocked() {
     let mut world = World::new();
-    world.event(both_full(9000));
+    world.event(rejections_from_peer(9000));
     let (_, send) = world.sent(sized(2000));
     assert_eq!(send.task, Task::Prefill);
 }
 
 #[test]
-fn own_refusal_is_told() {
+fn rejection_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, reading) = world.sent(sized(5000));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    let refused = Event::Call(generating.call, CallEvent::Answered(turned_away()));
+    let (_, prefill_call) = world.sent(sized(5000));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let refused = Event::Call(decode_call.call, CallEvent::Answered(turned_away()));
     let effects = world.gateway.step(world.now, refused);
-    let is_told = effects.iter().any(|it| match it {
+    let is_announced = effects.iter().any(|it| match it {
         Effect::Announce(_, message) => message
             .rejections
             .iter()
-            .any(|it| it.engine == generating.engine.key && it.held_tokens > 5000),
+            .any(|it| it.engine == decode_call.engine.key && it.held_tokens > 5000),
         _ => false,
     });
-    assert!(is_told, "{effects:?}");
+    assert!(is_announced, "{effects:?}");
 }
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -21,7 +21,7 @@
 };
 
 /// What a box knows that follows the store.
-const NEWEST: StoreView =
+const NEWEST_VIEW: StoreView =
     StoreView { version: 2, revision: Revision::new(0, 12), has_lost_store: false };
 
 /// Gives the usual configuration with the customer `press` and its keys.
@@ -40,12 +40,12 @@
 }
 
 /// Gives a request with a key.
-fn keyed(key: &[u8]) -> Request {
+fn request_with_key(key: &[u8]) -> Request {
     Request { credential: Some(KeyDigest::of(key)), ..request("safe") }
 }
 
 /// Gives what a box hands over that knows the newest version, as it arrives at another.
-fn handed_over() -> Event {
+fn snapshot_event() -> Event {
     let mut provider = World::numbered(2);
     provider.event(Event::Listed(engines(), 12.into()));
     provider.event(with_keys(2, &[b"newer"]));
@@ -57,90 +57,90 @@
 }
 
 /// Lets time pass while another box tells with each heartbeat what it knows; gives the boxes asked.
-fn asked(world: &mut World, knowledge: StoreView, beats: u64) -> usize {
-    let mut asked = 0;
+fn fetch_count(world: &mut World, store_view: StoreView, beats: u64) -> usize {
+    let mut fetch_count = 0;
     for beat in 0..beats {
-        world.event(Event::Received(heartbeat(2, 1000 + beat, knowledge)));
+        world.event(Event::Received(heartbeat(2, 1000 + beat, store_view)));
         let effects = world.pass(Duration::from_millis(350));
         let provider = settings(2).peer;
-        asked += effects.iter().filter(|it| **it == Effect::Fetch(provider)).count();
+        fetch_count += effects.iter().filter(|it| **it == Effect::Fetch(provider)).count();
     }
-    asked
+    fetch_count
 }
 
 /// A box that stays behind asks another, and goes on by what it gets: a key taken away is refused.
 #[test]
-fn behind_for_long() {
+fn stale_box_keeps_key() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     world.event(with_keys(1, &[b"older"]));
     world.event(Event::StoreFailed(Kind::Configuration));
-    assert!(asked(&mut world, NEWEST, 4) >= 1);
-    only_send(&world.arrive(keyed(b"older")).1);
-    world.event(handed_over());
+    assert!(fetch_count(&mut world, NEWEST_VIEW, 4) >= 1);
+    only_send(&world.arrive(request_with_key(b"older")).1);
+    world.event(snapshot_event());
     assert_eq!(world.gateway.version(), Some(2));
-    let (_, effects) = world.arrive(keyed(b"older"));
+    let (_, effects) = world.arrive(request_with_key(b"older"));
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
-    only_send(&world.arrive(keyed(b"newer")).1);
+    only_send(&world.arrive(request_with_key(b"newer")).1);
 }
 
 /// A box that keeps up asks nobody.
 #[test]
-fn not_behind() {
+fn current_box_fetches() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 12.into()));
     world.event(with_keys(2, &[b"newer"]));
-    assert_eq!(asked(&mut world, NEWEST, 8), 0);
+    assert_eq!(fetch_count(&mut world, NEWEST_VIEW, 8), 0);
 }
 
 /// A box that starts without the store serves by what another box hands over.
 #[test]
-fn start_without_store() {
+fn start_fails_without_store() {
     let mut world = World::unconfigured();
     world.event(Event::StoreFailed(Kind::Configuration));
     world.event(Event::StoreFailed(Kind::Engines));
-    assert!(asked(&mut world, NEWEST, 4) >= 1);
+    assert!(fetch_count(&mut world, NEWEST_VIEW, 4) >= 1);
     assert!(!world.gateway.is_ready());
-    world.event(handed_over());
+    world.event(snapshot_event());
     assert!(world.gateway.is_ready());
-    only_send(&world.arrive(keyed(b"newer")).1);
+    only_send(&world.arrive(request_with_key(b"newer")).1);
 }
 
 /// What is handed over late, and older than what is known, changes nothing.
 #[test]
-fn older_is_ignored() {
+fn older_snapshot_applied() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(Vec::new(), 20.into()));
     world.event(with_keys(3, &[b"newest"]));
-    world.event(handed_over());
+    world.event(snapshot_event());
     assert_eq!(world.gateway.version(), Some(3));
-    let (_, effects) = world.arrive(keyed(b"newest"));
+    let (_, effects) = world.arrive(request_with_key(b"newest"));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Send(_))), "no engine is listed");
 }
 
 /// A box of the own data centre is asked before those of others.
 #[test]
-fn near_is_asked() {
+fn remote_box_preferred() {
     let mut world = World::unconfigured();
-    let mut asked = Vec::new();
+    let mut fetch_count = Vec::new();
     for beat in 0..12 {
         for number in 2..8 {
-            let mut message = heartbeat(number, 1000 + beat, NEWEST);
+            let mut message = heartbeat(number, 1000 + beat, NEWEST_VIEW);
             if number != 5 {
                 message.data_centre = DataCentreKey::of("south");
             }
             world.event(Event::Received(message));
         }
         let effects = world.pass(Duration::from_millis(350));
-        asked.extend(effects.into_iter().filter(|it| matches!(it, Effect::Fetch(_))));
+        fetch_count.extend(effects.into_iter().filter(|it| matches!(it, Effect::Fetch(_))));
     }
-    assert!(!asked.is_empty());
-    assert!(asked.iter().all(|it| *it == Effect::Fetch(settings(5).peer)), "{asked:?}");
+    assert!(!fetch_count.is_empty());
+    assert!(fetch_count.iter().all(|it| *it == Effect::Fetch(settings(5).peer)), "{fetch_count:?}");
 }
 
 /// A box that knows less is not asked.
 #[test]
-fn nobody_to_ask() {
+fn uninformed_box_asked() {
     let mut world = World::unconfigured();
     world.event(Event::StoreFailed(Kind::Engines));
     let starting = StoreView::default();
@@ -152,7 +152,7 @@
 }
 
 /// Has an engine enter at a box.
-fn enter(world: &mut World, number: u8, revision: u64) {
+fn put_engine(world: &mut World, number: u8, revision: u64) {
     let change = EngineChange::Put(engine(number, PLAIN, None), revision.into());
     world.event(Event::Changed(vec![change]));
 }
@@ -160,17 +160,17 @@
 /// Boxes that had missed one datagram were handed the whole list, 10,000 engines each time: in the
 /// logs of 102 boxes 1,567 lines `snapshot fetched`, evenly to the end. They get what they lack.
 #[test]
-fn only_what_is_new() {
+fn whole_list_sent() {
     let (mut provider, mut behind) = (World::new(), World::numbered(2));
     behind.event(Event::Configured(Arc::new(configuration(1))));
     behind.event(Event::Listed(engines(), 10.into()));
     for number in 31..=35 {
-        enter(&mut provider, number, 20 + u64::from(number));
+        put_engine(&mut provider, number, 20 + u64::from(number));
     }
-    enter(&mut behind, 31, 51);
-    let question = behind.gateway.snapshot_request();
-    assert_eq!(question, SnapshotRequest { version: 1, revision: Some(51.into()) });
-    let snapshot = provider.gateway.snapshot(question);
+    put_engine(&mut behind, 31, 51);
+    let snapshot_request = behind.gateway.snapshot_request();
+    assert_eq!(snapshot_request, SnapshotRequest { version: 1, revision: Some(51.into()) });
+    let snapshot = provider.gateway.snapshot(snapshot_request);
     assert_eq!(snapshot.configuration, None);
     let Some(Listing::Changes { changes, revision: Revision { era: 0, number: 55 } }) =
         &snapshot.listing
@@ -187,7 +187,7 @@
 
 /// What a list has changed is handed on as changes too, also an engine that has left.
 #[test]
-fn changes_by_a_list() {
+fn list_changes_lost() {
     let (mut provider, mut behind) = (World::new(), World::numbered(2));
     behind.event(Event::Configured(Arc::new(configuration(1))));
     behind.event(Event::Listed(engines(), 10.into()));
@@ -210,13 +210,13 @@
 
 /// Changes that are forgotten are not passed over: the whole list is handed over then.
 #[test]
-fn all_where_changes_are_forgotten() {
+fn forgotten_changes_skipped() {
     let mut provider = World::new();
-    let question = SnapshotRequest { version: 1, revision: Some(11.into()) };
+    let snapshot_request = SnapshotRequest { version: 1, revision: Some(11.into()) };
     for revision in 11..5_011 {
-        enter(&mut provider, 31 + (revision % 200) as u8, revision);
+        put_engine(&mut provider, 31 + (revision % 200) as u8, revision);
     }
-    let snapshot = provider.gateway.snapshot(question);
+    let snapshot = provider.gateway.snapshot(snapshot_request);
     assert!(matches!(snapshot.listing, Some(Listing::Whole { .. })));
     let recent = SnapshotRequest { version: 1, revision: Some(5_000.into()) };
     let snapshot = provider.gateway.snapshot(recent);
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -24,7 +24,7 @@
 };
 
 /// The key of the customer whose requests stay in the region `cold`.
-const KEY: &[u8] = b"museum-key";
+const CUSTOMER_KEY: &[u8] = b"museum-key";
 
 /// Gives the regions: `north` and `south` lie in `cold` and `warm`, `south-2` in `warm` too.
 fn regions() -> Regions {
@@ -75,7 +75,7 @@
         unit: Unit::Request,
         limit: None,
         homes: homes(&["cold"]),
-        credentials: vec![KeyDigest::of(KEY)],
+        credentials: vec![KeyDigest::of(CUSTOMER_KEY)],
     };
     let configuration = configuration_of(1, routes).with_customers(Customers::new(vec![customer]));
     world.event(Event::Configured(Arc::new(configuration)));
@@ -85,58 +85,58 @@
 
 /// Gives a request of the customer.
 fn of_customer(route: &str) -> Request {
-    Request { credential: Some(KeyDigest::of(KEY)), ..request(route) }
+    Request { credential: Some(KeyDigest::of(CUSTOMER_KEY)), ..request(route) }
 }
 
 /// Gives the data centre of the only call.
-fn goes_to(effects: &[Effect]) -> String {
+fn called_data_centre(effects: &[Effect]) -> String {
     only_send(effects).engine.data_centre.to_string()
 }
 
 #[test]
-fn the_route_binds_although_others_are_nearer() {
+fn route_region_ignored() {
     let mut world = world();
     for name in ["warm", "warm-stream"] {
         for _ in 0..4 {
             let (_, effects) = world.arrive(request(name));
-            assert!(goes_to(&effects).starts_with("south"), "{name}: {effects:?}");
+            assert!(called_data_centre(&effects).starts_with("south"), "{name}: {effects:?}");
         }
     }
 }
 
 #[test]
-fn all_calls_of_a_stream_are_bound() {
+fn stream_leaves_region() {
     let mut world = world();
-    let (_, generating) = world.streaming(request("warm-stream"));
-    assert!(generating.engine.data_centre.starts_with("south"));
-    let effects = world.call(generating.call, CallEvent::Forwarded(Some(3)));
+    let (_, decode_call) = world.streaming(request("warm-stream"));
+    assert!(decode_call.engine.data_centre.starts_with("south"));
+    let effects = world.call(decode_call.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty());
-    let effects = world.call(generating.call, CallEvent::Broken);
-    assert!(goes_to(&effects).starts_with("south"), "{effects:?}");
+    let effects = world.call(decode_call.call, CallEvent::Broken);
+    assert!(called_data_centre(&effects).starts_with("south"), "{effects:?}");
 }
 
 #[test]
-fn the_customer_binds_too() {
+fn customer_region_ignored() {
     let mut world = world();
     for _ in 0..4 {
         let (_, effects) = world.arrive(of_customer("both"));
-        assert_eq!(goes_to(&effects), "north");
+        assert_eq!(called_data_centre(&effects), "north");
     }
 }
 
 #[test]
-fn refused_with_the_reason_where_both_leave_nothing() {
+fn missing_region_reason() {
     let mut world = world();
     for request in [of_customer("warm"), of_customer("warm-stream"), request("nowhere")] {
         let (_, effects) = world.arrive(request);
         let refusal = only_refusal(&effects);
-        let is_told = matches!(refusal, Refusal::NotRun(_, NotRunReason::NoEngineInRegion, _));
-        assert!(is_told, "{refusal:?}");
+        let is_announced = matches!(refusal, Refusal::NotRun(_, NotRunReason::NoEngineInRegion, _));
+        assert!(is_announced, "{refusal:?}");
     }
 }
 
 #[test]
-fn no_retry_elsewhere() {
+fn retry_leaves_region() {
     let mut world = world();
     let (_, send) = world.sent(of_customer("both"));
     let effects = world.call(send.call, CallEvent::Answered(turned_away()));
@@ -157,7 +157,7 @@
 }
 
 /// Gives the boxes that a client of a region is told of, by their last byte.
-fn told(world: &World, region: Option<&str>) -> Vec<u8> {
+fn listed_boxes(world: &World, region: Option<&str>) -> Vec<u8> {
     let last_byte = |it: SocketAddr| match it {
         SocketAddr::V4(it) => it.ip().octets()[3],
         SocketAddr::V6(_) => 0,
@@ -166,25 +166,25 @@
 }
 
 #[test]
-fn clients_are_told_of_boxes_in_their_region() {
+fn wrong_region_listed() {
     let mut world = world();
     for (number, data_centre) in [(2, "north"), (3, "south"), (4, "south-2")] {
         world.event(Event::Received(heartbeat_in(number, data_centre)));
     }
-    assert_eq!(told(&world, Some("cold")), [1, 2]);
-    assert_eq!(told(&world, Some("warm")), [3, 4]);
-    assert_eq!(told(&world, None), [1, 2]);
+    assert_eq!(listed_boxes(&world, Some("cold")), [1, 2]);
+    assert_eq!(listed_boxes(&world, Some("warm")), [3, 4]);
+    assert_eq!(listed_boxes(&world, None), [1, 2]);
     // With no box in their region they are told of any that serves.
-    assert_eq!(told(&world, Some("moon")), [1, 2, 3, 4]);
+    assert_eq!(listed_boxes(&world, Some("moon")), [1, 2, 3, 4]);
     world.pass(Duration::from_secs(10));
     // Nor are boxes elsewhere named when all others have fallen silent.
-    assert_eq!(told(&world, Some("cold")), [1, 2]);
+    assert_eq!(listed_boxes(&world, Some("cold")), [1, 2]);
 }
 
 /// Of many engines a choice looks at a part: 2 of 402 were in no such part most of the time, and the
 /// request was refused.
 #[test]
-fn few_engines_in_the_homes_are_found_among_many() {
+fn rare_region_engine_missed() {
     let mut world = world();
     let many = (0..400u16).map(|number| {
         let id = format!("many-{number}");
--- a/tests/tests/gateway_outages.rs
+++ b/tests/tests/gateway_outages.rs
@@ -7,10 +7,10 @@
 use hollyspoke_tests::gateway::{World, engines, request};
 
 /// Has the store be away for a time and answer again.
-fn outage(world: &mut World, span: Duration) {
+fn outage(world: &mut World, duration: Duration) {
     world.event(Event::StoreAnswered(Kind::Engines));
     world.event(Event::StoreFailed(Kind::Engines));
-    world.pass(span);
+    world.pass(duration);
     world.event(Event::StoreAnswered(Kind::Engines));
 }
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn lapsed_entries_stay_for_two_seconds() {
+fn expired_entry_removed_early() {
     let mut world = World::new();
     outage(&mut world, Duration::from_secs(5));
     world.event(Event::Listed(Vec::new(), 20.into()));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn entries_that_come_back_stay() {
+fn returning_entry_removed() {
     let mut world = World::new();
     outage(&mut world, Duration::from_secs(5));
     world.event(Event::Listed(Vec::new(), 20.into()));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn change_after_an_outage() {
+fn removal_applied_immediately() {
     let mut world = World::new();
     outage(&mut world, Duration::from_secs(5));
     let gone = ["engine-1", "engine-2"].map(|it| EngineChange::Left(it.into(), 21.into()));
@@ -55,7 +55,7 @@
 
 /// A box that is still away learns of the lapse from one that sees the store again.
 #[test]
-fn change_heard_while_away() {
+fn removal_applied_during_outage() {
     let mut world = World::new();
     world.event(Event::StoreFailed(Kind::Engines));
     world.pass(Duration::from_secs(5));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn gone_without_an_outage() {
+fn removed_engine_used() {
     let mut world = World::new();
     outage(&mut world, Duration::from_millis(300));
     world.event(Event::Listed(Vec::new(), 20.into()));
@@ -74,7 +74,7 @@
 
 /// An engine that has said that it leaves needs no second word.
 #[test]
-fn draining_is_gone_at_once() {
+fn removed_draining_engine_used() {
     let mut world = World::new();
     let draining = engines().into_iter().map(|mut it| {
         it.is_draining = true;
--- a/tests/tests/gateway_peers.rs
+++ b/tests/tests/gateway_peers.rs
@@ -17,21 +17,21 @@
 }
 
 /// Gives where a box listens for clients.
-fn front(number: u8) -> SocketAddr {
+fn caller_address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 8000))
 }
 
 #[test]
-fn greeted_seed_answers() {
+fn greeting_unanswered() {
     let mut first = Gateway::new(settings(1));
     let mut second = Gateway::new(settings(2));
     let now = Time::from_millis(1000);
     let seeds = vec![settings(2).peer];
     let effects = first.step(now, Event::Seeds(seeds));
-    let told = told(&effects);
+    let told = last_announcement(&effects);
     assert_eq!(told.0, [settings(2).peer]);
     let effects = second.step(now, Event::Received(told.1));
-    let (to, answer) = self::told(&effects);
+    let (to, answer) = self::last_announcement(&effects);
     assert!(to.contains(&settings(1).peer));
     first.step(now, Event::Received(answer));
     assert!(first.fronts(None).is_empty(), "neither knows a configuration");
@@ -39,7 +39,7 @@
 
 /// All boxes may start at once, the seeds last: until one answers they are greeted often.
 #[test]
-fn seeds_are_sought() {
+fn seed_greeted_rarely() {
     let mut node = Gateway::new(settings(1));
     let seed = settings(2).peer;
     node.step(Time::from_millis(1000), Event::Seeds(vec![seed]));
@@ -56,7 +56,7 @@
 
 /// Two boxes that greet each other at once need no answers; one that starts after it was greeted does.
 #[test]
-fn greetings_cross() {
+fn crossed_greetings_answered() {
     let other = settings(2).peer;
     let answers = |pause: u64| {
         let mut node = Gateway::new(settings(1));
@@ -70,19 +70,19 @@
 
 /// A new box learns many others from the first that it greets.
 #[test]
-fn new_node_is_told_of_many() {
+fn new_box_learns_few() {
     let mut world = World::new();
     for number in 2..=80 {
         world.event(Event::Received(heartbeat(number, 1)));
     }
     let effects = world.gateway.step(world.now, Event::Received(heartbeat(99, 1)));
-    let (to, answer) = told(&effects);
+    let (to, answer) = last_announcement(&effects);
     assert_eq!(to, [settings(99).peer]);
     assert!(answer.peers.len() >= 60, "{} named", answer.peers.len());
 }
 
 #[test]
-fn fronts_follow_heartbeats() {
+fn dead_box_listed() {
     let mut world = World::new();
     for number in [2, 3, 4] {
         world.event(Event::Received(heartbeat(number, 1)));
@@ -93,21 +93,24 @@
         world.event(Event::Received(heartbeat(number, 2)));
     }
     world.pass(Duration::from_millis(1000));
-    assert_eq!(world.gateway.fronts(None), [front(1), front(3), front(4)]);
+    assert_eq!(
+        world.gateway.fronts(None),
+        [caller_address(1), caller_address(3), caller_address(4)]
+    );
 }
 
 #[test]
-fn stopping_peer_leaves_the_answer() {
+fn stopping_box_listed() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1)));
     let stopping = Message { readiness: Readiness::Stopping, ..heartbeat(2, 2) };
     world.event(Event::Received(stopping));
-    assert_eq!(world.gateway.fronts(None), [front(1)]);
+    assert_eq!(world.gateway.fronts(None), [caller_address(1)]);
 }
 
 /// If most boxes fall silent at once, it may be this one that is cut off.
 #[test]
-fn silence_of_most() {
+fn isolated_box_drops_peers() {
     let mut world = World::new();
     for number in [2, 3, 4, 5] {
         world.event(Event::Received(heartbeat(number, 1)));
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn late_datagram_is_ignored() {
+fn late_datagram_applied() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 5)));
     let stale = Message { readiness: Readiness::Stopping, ..heartbeat(2, 4) };
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn peers_work_takes_room() {
+fn peer_load_ignored() {
     let mut world = World::new();
     let full = Load { prefill_tokens: 0, calls: 9, held_tokens: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn dead_peers_work_is_forgotten() {
+fn dead_peer_load_kept() {
     let mut world = World::new();
     let full = Load { prefill_tokens: 0, calls: 9, held_tokens: MEMORY as u32 };
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
@@ -152,19 +155,19 @@
 }
 
 #[test]
-fn stream_is_told_at_once() {
+fn stream_announced_late() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1)));
     let now = world.now;
     let arrived = Event::Arrived(hollyspoke_gateway::request::RequestKey(900), request("once"));
     let effects = world.gateway.step(now, arrived);
-    let (to, message) = told(&effects);
+    let (to, message) = last_announcement(&effects);
     assert_eq!(to, [SocketAddr::from(([10, 0, 0, 2], 7000))]);
     assert!(message.loads.iter().any(|(_, load)| load.prefill_tokens == 5000));
 }
 
 /// Gives the last datagram among effects and whom it goes to.
-fn told(effects: &[Effect]) -> (Vec<SocketAddr>, Message) {
+fn last_announcement(effects: &[Effect]) -> (Vec<SocketAddr>, Message) {
     let mut found = effects.iter().filter_map(|it| match it {
         Effect::Announce(to, message) => Some((to.clone(), (**message).clone())),
         _ => None,
@@ -174,7 +177,7 @@
 
 /// With many boxes heartbeats come less often, and silence is borne for longer.
 #[test]
-fn many_nodes() {
+fn large_site_peer_dropped() {
     let mut world = World::new();
     for number in 0..=255 {
         let message = Message {
@@ -185,8 +188,8 @@
         world.event(Event::Received(message));
     }
     assert_eq!(world.gateway.fronts(None).len(), 257);
-    let beats = |world: &mut World, span: u64| {
-        let end = world.now + Duration::from_millis(span);
+    let beats = |world: &mut World, duration: u64| {
+        let end = world.now + Duration::from_millis(duration);
         let mut beats = 0;
         while world.now < end {
             world.now = world.now + Duration::from_millis(10);
@@ -197,9 +200,9 @@
     };
     assert!(beats(&mut world, 2700) <= 4, "900 ms each");
     let mut live = heartbeat(3, 2);
-    live.front = front(3);
+    live.front = caller_address(3);
     world.event(Event::Received(live));
-    assert!(world.gateway.fronts(None).contains(&front(3)));
+    assert!(world.gateway.fronts(None).contains(&caller_address(3)));
 }
 
 /// Gives the number of datagrams among effects that tell of changed work.
@@ -209,8 +212,8 @@
 }
 
 /// Lets time pass, and counts the datagrams that tell of changed work.
-fn changes_told_within(world: &mut World, span: Duration) -> usize {
-    let end = world.now + span;
+fn change_count_within(world: &mut World, duration: Duration) -> usize {
+    let end = world.now + duration;
     let mut count = 0;
     while world.now < end {
         world.now = world.gateway.next_due().max(world.now + Duration::from_micros(1)).min(end);
@@ -221,7 +224,7 @@
 
 /// A plain call costs a datagram to each box, and engines tell their calls themselves.
 #[test]
-fn plain_calls_gather() {
+fn plain_calls_sent_separately() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1)));
     world.pass(Duration::from_millis(360));
@@ -231,7 +234,7 @@
         let effects = world.gateway.step(world.now, Event::Arrived(key, request));
         assert_eq!(change_count(&effects), 0);
     }
-    assert_eq!(changes_told_within(&mut world, Duration::from_millis(7)), 0);
-    assert_eq!(changes_told_within(&mut world, Duration::from_millis(2)), 1);
-    assert_eq!(changes_told_within(&mut world, Duration::from_millis(100)), 0);
+    assert_eq!(change_count_within(&mut world, Duration::from_millis(7)), 0);
+    assert_eq!(change_count_within(&mut world, Duration::from_millis(2)), 1);
+    assert_eq!(change_count_within(&mut world, Duration::from_millis(100)), 0);
 }
--- a/tests/tests/gateway_plain.rs
+++ b/tests/tests/gateway_plain.rs
@@ -12,15 +12,15 @@
 };
 
 #[test]
-fn answer_is_delivered() {
+fn answer_lost() {
     let mut world = World::new();
-    let (flight, send) = world.sent(request("unsafe"));
+    let (request_key, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Answered(ran(200)));
-    assert_eq!(effects, [Effect::Deliver(flight, send.call)]);
+    assert_eq!(effects, [Effect::Deliver(request_key, send.call)]);
 }
 
 #[test]
-fn unsafe_broken() {
+fn unsafe_request_retried() {
     let mut world = World::new();
     let (_, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Broken);
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn unsafe_failure_is_passed_on() {
+fn unsafe_failure_hidden() {
     let mut world = World::new();
-    let (flight, send) = world.sent(request("unsafe"));
+    let (request_key, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Answered(ran(500)));
-    assert_eq!(effects, [Effect::Deliver(flight, send.call)]);
+    assert_eq!(effects, [Effect::Deliver(request_key, send.call)]);
 }
 
 #[test]
-fn unproven_promise_is_not_passed_on() {
+fn unproven_refusal_forwarded() {
     let mut world = World::new();
     let (_, send) = world.sent(request("unsafe"));
     let effects = world.call(send.call, CallEvent::Answered(ran(503)));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn not_reached_goes_elsewhere() {
+fn unreachable_engine_retried() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
     let effects = world.call(first.call, CallEvent::NotConnected);
@@ -54,7 +54,7 @@
 
 /// An engine that can't be reached runs nothing, and seemed to have the most room.
 #[test]
-fn unreachable_gets_nothing() {
+fn unreachable_engine_preferred() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
     let second = only_send(&world.call(first.call, CallEvent::NotConnected));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn turned_away_everywhere() {
+fn rejected_everywhere() {
     let mut world = World::new();
     let (_, send) = world.sent(request("unsafe"));
     let mut effects = world.call(send.call, CallEvent::Answered(turned_away()));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn moved_engine_is_not_asked_again() {
+fn replaced_engine_retried() {
     let mut world = World::new();
     let (_, first) = world.sent(request("unsafe"));
     let moved = Answer { execution: Execution::Replaced, ..ran(421) };
@@ -90,17 +90,17 @@
 }
 
 #[test]
-fn safe_is_repeated_once() {
+fn safe_request_repeated_twice() {
     let mut world = World::new();
-    let (flight, first) = world.sent(request("safe"));
+    let (request_key, first) = world.sent(request("safe"));
     let second = only_send(&world.call(first.call, CallEvent::Answered(ran(500))));
     assert_ne!(first.engine.id, second.engine.id);
     let effects = world.call(second.call, CallEvent::Answered(ran(500)));
-    assert_eq!(effects, [Effect::Deliver(flight, second.call)]);
+    assert_eq!(effects, [Effect::Deliver(request_key, second.call)]);
 }
 
 #[test]
-fn silence_of_a_safe_one() {
+fn silent_call_not_retried() {
     let mut world = World::new();
     let (_, first) = world.sent(request("safe"));
     let effects = world.pass(Duration::from_secs(8));
@@ -110,7 +110,7 @@
 
 /// Silence gives no reason to end an answer where the request can't go elsewhere.
 #[test]
-fn silence_without_another_attempt() {
+fn silent_call_cancelled_early() {
     let single = Route { max_attempts: 1, ..route("safe", RouteKind::Safe, PLAIN) };
     let routes = vec![single, route("unsafe", RouteKind::Unsafe, PLAIN)];
     let mut world = World::new();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn client_deadline_ends_it() {
+fn client_deadline_ignored() {
     let mut world = World::new();
     let mut request = request("unsafe");
     request.deadline = Some(Duration::from_millis(700));
@@ -137,21 +137,21 @@
 }
 
 #[test]
-fn client_left() {
+fn disconnected_request_kept() {
     let mut world = World::new();
-    let (flight, send) = world.sent(request("safe"));
-    let effects = world.event(Event::ClientDisconnected(flight));
+    let (request_key, send) = world.sent(request("safe"));
+    let effects = world.event(Event::ClientDisconnected(request_key));
     assert_eq!(effects, [Effect::Cancel(send.call)]);
     assert_eq!(world.gateway.in_flight_count(), 0);
     assert_eq!(world.call(send.call, CallEvent::Answered(ran(200))), []);
 }
 
 #[test]
-fn draining_gets_nothing_new() {
+fn draining_engine_used() {
     let mut world = World::new();
-    let mut leaving = engine(1, PLAIN, None);
-    leaving.is_draining = true;
-    world.event(Event::Changed(vec![EngineChange::Put(leaving, 11.into())]));
+    let mut draining = engine(1, PLAIN, None);
+    draining.is_draining = true;
+    world.event(Event::Changed(vec![EngineChange::Put(draining, 11.into())]));
     for _ in 0..8 {
         let (_, send) = world.sent(request("safe"));
         assert_eq!(&*send.engine.id, "engine-2");
@@ -163,7 +163,7 @@
 
 /// An engine that answers well and late is avoided like one that fails.
 #[test]
-fn slow_engine_is_avoided() {
+fn slow_engine_preferred() {
     let mut world = World::new();
     let mut to_slow = 0;
     for _ in 0..30 {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn budget_bounds_repeats() {
+fn retry_budget_exceeded() {
     let mut world = World::new();
     let mut repeats = 0;
     for _ in 0..400 {
@@ -196,7 +196,7 @@
 /// A stream taken late in a planned stop outlived the process and was cut (hunt of apre-reventa,
 /// mix, seed 558146447575: taken 4.7 s after SIGTERM, cut at 7.6 s of 8).
 #[test]
-fn stopping_takes_only_what_fits() {
+fn late_stream_cut() {
     let mut world = World::new();
     world.event(Event::Stop);
     world.pass(Duration::from_millis(2000));
@@ -211,9 +211,9 @@
 }
 
 #[test]
-fn stopping_serves_then_refuses() {
+fn stopping_box_refuses_early() {
     let mut world = World::new();
-    let (flight, before) = world.sent(request("unsafe"));
+    let (request_key, before) = world.sent(request("unsafe"));
     world.event(Event::Stop);
     assert!(!world.gateway.is_ready());
     assert!(world.gateway.fronts(None).is_empty());
@@ -224,5 +224,5 @@
     assert_eq!(reason, NotRunReason::Stopping);
     assert!(!world.gateway.is_done(world.now));
     let effects = world.call(before.call, CallEvent::Answered(ran(200)));
-    assert_eq!(effects, [Effect::Deliver(flight, before.call)]);
+    assert_eq!(effects, [Effect::Deliver(request_key, before.call)]);
 }
--- a/tests/tests/gateway_promises.rs
+++ b/tests/tests/gateway_promises.rs
@@ -17,118 +17,121 @@
     /// A request arrives on a route.
     Arrive(&'static str),
     /// Something happens to one of the calls under way.
-    Call(prop::sample::Index, Fate),
+    Call(prop::sample::Index, CallOutcome),
     /// A client leaves.
-    Leave(prop::sample::Index),
+    Disconnect(prop::sample::Index),
     /// Time passes, in milliseconds.
-    Pass(u64),
+    Wait(u64),
 }
 
 /// What happens to a call.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum CallOutcome {
     /// The connection does not open.
-    Unsent,
+    NotConnected,
     /// The engine turns it away.
-    TurnedAway,
+    Rejected,
     /// Another incarnation has the address.
-    Moved,
+    Replaced,
     /// It goes on as asked: read, begun, an event passed, or answered whole.
-    Good,
+    Succeeded,
     /// The engine fails it.
     Failed,
     /// The connection breaks after it was sent.
-    Broken,
+    ConnectionBroken,
 }
 
 /// What the engines and the client have seen of one request.
 #[derive(Debug, Default)]
-struct Seen {
+struct RequestRecord {
     /// The route.
     route: &'static str,
     /// Calls through which an engine has run it, or may have.
     runs: u32,
     /// Final answers.
-    ends: u32,
+    final_answers: u32,
     /// Whether the client left.
-    is_left: bool,
+    is_disconnected: bool,
 }
 
 /// The world and what was seen of it.
 #[derive(Default)]
-struct Watch {
+struct Checker {
     /// The reducer.
     world: World,
     /// The calls under way, in the order in which they were sent, and the events passed.
     calls: Vec<(Send, u64)>,
     /// The requests.
-    seen: HashMap<RequestKey, Seen>,
+    records: HashMap<RequestKey, RequestRecord>,
 }
 
 /// Draws a step.
 fn step() -> impl Strategy<Value = Step> {
     let route = prop::sample::select(vec!["safe", "unsafe", "once", "resumed"]);
-    let fate = prop::sample::select(vec![
-        Fate::Good,
-        Fate::Good,
-        Fate::Good,
-        Fate::Unsent,
-        Fate::TurnedAway,
-        Fate::Moved,
-        Fate::Failed,
-        Fate::Broken,
+    let outcome = prop::sample::select(vec![
+        CallOutcome::Succeeded,
+        CallOutcome::Succeeded,
+        CallOutcome::Succeeded,
+        CallOutcome::NotConnected,
+        CallOutcome::Rejected,
+        CallOutcome::Replaced,
+        CallOutcome::Failed,
+        CallOutcome::ConnectionBroken,
     ]);
     prop_oneof![
         3 => route.prop_map(Step::Arrive),
-        8 => (any::<prop::sample::Index>(), fate).prop_map(|(index, fate)| Step::Call(index, fate)),
-        1 => any::<prop::sample::Index>().prop_map(Step::Leave),
-        2 => (1u64..3000).prop_map(Step::Pass),
+        8 => (any::<prop::sample::Index>(), outcome).prop_map(|(index, outcome)| Step::Call(index, outcome)),
+        1 => any::<prop::sample::Index>().prop_map(Step::Disconnect),
+        2 => (1u64..3000).prop_map(Step::Wait),
     ]
 }
 
-impl Watch {
+impl Checker {
     /// Takes a step.
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Arrive(route) => {
-                let (flight, effects) = self.world.arrive(request(route));
-                self.seen.insert(flight, Seen { route, ..Seen::default() });
-                self.watch(effects);
+                let (request_key, effects) = self.world.arrive(request(route));
+                self.records
+                    .insert(request_key, RequestRecord { route, ..RequestRecord::default() });
+                self.checker(effects);
             }
-            Step::Call(index, fate) if !self.calls.is_empty() => {
+            Step::Call(index, outcome) if !self.calls.is_empty() => {
                 let index = index.index(self.calls.len());
-                self.call(index, fate);
+                self.call(index, outcome);
             }
-            Step::Leave(index) if !self.calls.is_empty() => {
-                let flight = self.calls[index.index(self.calls.len())].0.request;
-                self.seen.get_mut(&flight).expect("it arrived").is_left = true;
-                let effects = self.world.event(Event::ClientDisconnected(flight));
-                self.watch(effects);
+            Step::Disconnect(index) if !self.calls.is_empty() => {
+                let request_key = self.calls[index.index(self.calls.len())].0.request;
+                self.records.get_mut(&request_key).expect("it arrived").is_disconnected = true;
+                let effects = self.world.event(Event::ClientDisconnected(request_key));
+                self.checker(effects);
             }
-            Step::Call(..) | Step::Leave(_) => {}
-            Step::Pass(millis) => {
+            Step::Call(..) | Step::Disconnect(_) => {}
+            Step::Wait(millis) => {
                 let effects = self.world.pass(Duration::from_millis(millis));
-                self.watch(effects);
+                self.checker(effects);
             }
         }
     }
 
     /// Has something happen to a call.
-    fn call(&mut self, index: usize, fate: Fate) {
-        let (send, passed) = self.calls[index].clone();
+    fn call(&mut self, index: usize, outcome: CallOutcome) {
+        let (send, forwarded_count) = self.calls[index].clone();
         let moved = Answer { execution: Execution::Replaced, ..ran(421) };
-        let event = match (fate, passed, &send.task) {
-            (Fate::Unsent, 0, _) => CallEvent::NotConnected,
-            (Fate::TurnedAway, 0, _) => CallEvent::Answered(turned_away()),
-            (Fate::Moved, 0, _) => CallEvent::Answered(moved),
-            (Fate::Good, _, Task::Prefill) => CallEvent::Answered(read("h")),
-            (Fate::Failed, 0, _) => CallEvent::Answered(ran(500)),
-            (Fate::Good, 0, Task::Decode(_)) => CallEvent::Began(ran(200)),
-            (Fate::Good, 1..=2, Task::Decode(_)) => CallEvent::Forwarded(Some(passed)),
-            (Fate::Good, _, _) => CallEvent::Answered(ran(200)),
+        let event = match (outcome, forwarded_count, &send.task) {
+            (CallOutcome::NotConnected, 0, _) => CallEvent::NotConnected,
+            (CallOutcome::Rejected, 0, _) => CallEvent::Answered(turned_away()),
+            (CallOutcome::Replaced, 0, _) => CallEvent::Answered(moved),
+            (CallOutcome::Succeeded, _, Task::Prefill) => CallEvent::Answered(read("h")),
+            (CallOutcome::Failed, 0, _) => CallEvent::Answered(ran(500)),
+            (CallOutcome::Succeeded, 0, Task::Decode(_)) => CallEvent::Began(ran(200)),
+            (CallOutcome::Succeeded, 1..=2, Task::Decode(_)) => {
+                CallEvent::Forwarded(Some(forwarded_count))
+            }
+            (CallOutcome::Succeeded, _, _) => CallEvent::Answered(ran(200)),
             (_, _, _) => CallEvent::Broken,
         };
-        let is_first = passed == 0;
+        let is_first = forwarded_count == 0;
         let may_have_run = !matches!(
             &event,
             CallEvent::NotConnected
@@ -138,7 +141,7 @@
                 })
         );
         if is_first && may_have_run && send.task != Task::Prefill {
-            self.seen.get_mut(&send.request).expect("it arrived").runs += 1;
+            self.records.get_mut(&send.request).expect("it arrived").runs += 1;
         }
         let goes_on = matches!(event, CallEvent::Began(_) | CallEvent::Forwarded(_));
         if goes_on {
@@ -147,34 +150,34 @@
             self.calls.remove(index);
         }
         let effects = self.world.call(send.call, event);
-        self.watch(effects);
+        self.checker(effects);
     }
 
     /// Takes note of effects, and checks what they promise.
-    fn watch(&mut self, effects: Vec<Effect>) {
+    fn checker(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(send) => self.sent(send),
                 Effect::Cancel(call) => self.cancelled(call),
-                Effect::Deliver(flight, call) => {
+                Effect::Deliver(request_key, call) => {
                     let is_stream = self.calls.iter().any(|it| it.0.call == call);
                     if !is_stream {
-                        self.ended(flight);
+                        self.ended(request_key);
                     }
                 }
-                Effect::Refuse(flight, refusal) => {
-                    let seen = &self.seen[&flight];
+                Effect::Refuse(request_key, refusal) => {
+                    let records = &self.records[&request_key];
                     if matches!(refusal, Refusal::NotRun(..)) {
-                        assert_eq!(seen.runs, 0, "it ran: {seen:?}");
+                        assert_eq!(records.runs, 0, "it ran: {records:?}");
                         let is_under_way = self
                             .calls
                             .iter()
-                            .any(|it| it.0.request == flight && it.0.task != Task::Prefill);
-                        assert!(!is_under_way, "it may run yet: {seen:?}");
+                            .any(|it| it.0.request == request_key && it.0.task != Task::Prefill);
+                        assert!(!is_under_way, "it may run yet: {records:?}");
                     }
-                    self.ended(flight);
+                    self.ended(request_key);
                 }
-                Effect::Abort(flight) | Effect::Finish(flight) => self.ended(flight),
+                Effect::Abort(request_key) | Effect::Finish(request_key) => self.ended(request_key),
                 _ => {}
             }
         }
@@ -182,9 +185,9 @@
 
     /// Takes note of a call that was sent.
     fn sent(&mut self, send: Send) {
-        let seen = &self.seen[&send.request];
-        if send.task != Task::Prefill && matches!(seen.route, "unsafe" | "once") {
-            assert_eq!(seen.runs, 0, "it runs again: {seen:?}");
+        let records = &self.records[&send.request];
+        if send.task != Task::Prefill && matches!(records.route, "unsafe" | "once") {
+            assert_eq!(records.runs, 0, "it runs again: {records:?}");
         }
         let is_doubled = self.calls.iter().any(|it| it.0.request == send.request);
         assert!(!is_doubled, "two calls at once: {send:?}");
@@ -194,17 +197,17 @@
     /// Takes note of a call that was dropped: what was sent may have run.
     fn cancelled(&mut self, call: CallKey) {
         let Some(index) = self.calls.iter().position(|it| it.0.call == call) else { return };
-        let (send, passed) = self.calls.remove(index);
-        if passed == 0 && send.task != Task::Prefill {
-            self.seen.get_mut(&send.request).expect("it arrived").runs += 1;
+        let (send, forwarded_count) = self.calls.remove(index);
+        if forwarded_count == 0 && send.task != Task::Prefill {
+            self.records.get_mut(&send.request).expect("it arrived").runs += 1;
         }
     }
 
     /// Takes note of a final answer.
-    fn ended(&mut self, flight: RequestKey) {
-        let seen = self.seen.get_mut(&flight).expect("it arrived");
-        seen.ends += 1;
-        assert_eq!(seen.ends, 1, "it ends again: {seen:?}");
+    fn ended(&mut self, request_key: RequestKey) {
+        let records = self.records.get_mut(&request_key).expect("it arrived");
+        records.final_answers += 1;
+        assert_eq!(records.final_answers, 1, "it ends again: {records:?}");
     }
 }
 
@@ -217,17 +220,17 @@
     })]
 
     #[test]
-    fn promises_hold(steps in prop::collection::vec(step(), 1..120)) {
-        let mut watch = Watch::default();
+    fn request_guarantees_broken(steps in prop::collection::vec(step(), 1..120)) {
+        let mut checker = Checker::default();
         for step in steps {
-            watch.take(step);
+            checker.apply(step);
         }
-        watch.take(Step::Pass(30_000));
-        for seen in watch.seen.values() {
-            prop_assert!(seen.ends == 1 || seen.is_left, "it never ended: {seen:?}");
+        checker.apply(Step::Wait(30_000));
+        for records in checker.records.values() {
+            prop_assert!(records.final_answers == 1 || records.is_disconnected, "it never ended: {records:?}");
         }
-        prop_assert_eq!(watch.world.gateway.in_flight_count(), 0);
-        prop_assert!(watch.calls.is_empty());
-        prop_assert!(watch.world.gateway.own_work().is_empty());
+        prop_assert_eq!(checker.world.gateway.in_flight_count(), 0);
+        prop_assert!(checker.calls.is_empty());
+        prop_assert!(checker.world.gateway.own_work().is_empty());
     }
 }
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -13,28 +13,32 @@
 };
 
 /// Gives a request with a named prompt.
-fn named(route: &str) -> Request {
+fn request_with_prompt(route: &str) -> Request {
     Request { prompt: Some(PromptKey(7)), ..request(route) }
 }
 
 /// Gives a request of a client that goes on behind an event.
 fn resuming() -> Request {
-    Request { last_event: Some(4), deadline: Some(Duration::from_secs(9)), ..named("resumed") }
+    Request {
+        last_event: Some(4),
+        deadline: Some(Duration::from_secs(9)),
+        ..request_with_prompt("resumed")
+    }
 }
 
 /// Gives the word of another box that an engine keeps the prompt.
-fn told(sequence: u64, engine: EngineKey) -> Event {
+fn cached_prompt_announcement(sequence: u64, engine: EngineKey) -> Event {
     let cached_prompts = vec![CachedPrompt { prompt: PromptKey(7), engine }];
     Event::Received(Message { cached_prompts, ..heartbeat(2, sequence, StoreView::default()) })
 }
 
 /// Has a stream begin whose client then leaves; gives its engines, the reading one first.
-fn abandoned(world: &mut World) -> (Send, Send) {
-    let (flight, reading) = world.sent(named("resumed"));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    world.call(generating.call, CallEvent::Began(ran(200)));
-    world.event(Event::ClientDisconnected(flight));
-    (reading, generating)
+fn abandoned_stream(world: &mut World) -> (Send, Send) {
+    let (request_key, prefill_call) = world.sent(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    world.call(decode_call.call, CallEvent::Began(ran(200)));
+    world.event(Event::ClientDisconnected(request_key));
+    (prefill_call, decode_call)
 }
 
 /// Gives the engine of a number.
@@ -44,9 +48,9 @@
 }
 
 #[test]
-fn resumed_where_it_ran() {
+fn cached_prompt_unused() {
     let mut world = World::new();
-    let (_, first) = abandoned(&mut world);
+    let (_, first) = abandoned_stream(&mut world);
     let (_, again) = world.sent(resuming());
     assert_eq!(again.task, Task::Decode(Prompt::Cached));
     assert_eq!(again.engine.id, first.engine.id);
@@ -54,10 +58,10 @@
 }
 
 #[test]
-fn learned_from_another_node() {
+fn peer_cache_ignored() {
     for number in [21, 22] {
         let mut world = World::new();
-        world.event(told(1, numbered(number).key));
+        world.event(cached_prompt_announcement(1, numbered(number).key));
         let (_, again) = world.sent(resuming());
         assert_eq!(again.task, Task::Decode(Prompt::Cached));
         assert_eq!(again.engine.id, numbered(number).id);
@@ -65,22 +69,22 @@
 }
 
 #[test]
-fn told_to_other_nodes() {
+fn cache_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, reading) = world.sent(named("resumed"));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    let began = Event::Call(generating.call, CallEvent::Began(ran(200)));
+    let (_, prefill_call) = world.sent(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let began = Event::Call(decode_call.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
-    let kept = CachedPrompt { prompt: PromptKey(7), engine: generating.engine.key };
-    let is_told = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.cached_prompts == [kept]);
-    assert!(effects.iter().any(is_told), "{effects:?}");
+    let cached = CachedPrompt { prompt: PromptKey(7), engine: decode_call.engine.key };
+    let is_announced = |it: &Effect| matches!(it, Effect::Announce(_, message) if message.cached_prompts == [cached]);
+    assert!(effects.iter().any(is_announced), "{effects:?}");
 }
 
 #[test]
-fn full_keeper_hands_it_over() {
+fn full_cache_not_transferred() {
     let mut world = World::new();
-    world.event(told(1, numbered(21).key));
+    world.event(cached_prompt_announcement(1, numbered(21).key));
     let (_, again) = world.sent(resuming());
     let effects = world.call(again.call, CallEvent::Answered(turned_away()));
     let other = only_send(&effects);
@@ -89,43 +93,43 @@
 }
 
 #[test]
-fn leaving_keeper_hands_it_over() {
+fn draining_cache_not_transferred() {
     let mut world = World::new();
     let mut all = engines();
     for engine in &mut all {
         engine.is_draining = engine.key == numbered(21).key;
     }
     world.event(Event::Listed(all, 20.into()));
-    world.event(told(1, numbered(21).key));
+    world.event(cached_prompt_announcement(1, numbered(21).key));
     let (_, again) = world.sent(resuming());
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
 }
 
 /// The engine that generated has crashed; the one that read still has the prompt.
 #[test]
-fn broken_stream_takes_it_from_the_reader() {
+fn prefill_cache_ignored() {
     let mut world = World::new();
-    let (_, reading) = world.sent(named("resumed"));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    world.call(generating.call, CallEvent::Began(ran(200)));
-    let second = only_send(&world.call(generating.call, CallEvent::Broken));
-    assert_eq!(second.task, Task::Decode(Prompt::CachedAt(reading.engine.address)));
-    assert_ne!(second.engine.id, generating.engine.id);
+    let (_, prefill_call) = world.sent(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    world.call(decode_call.call, CallEvent::Began(ran(200)));
+    let second = only_send(&world.call(decode_call.call, CallEvent::Broken));
+    assert_eq!(second.task, Task::Decode(Prompt::CachedAt(prefill_call.engine.address)));
+    assert_ne!(second.engine.id, decode_call.engine.id);
 }
 
 #[test]
-fn unreachable_keeper_is_passed_over() {
+fn unreachable_cache_awaited() {
     let mut world = World::new();
-    world.event(told(1, numbered(21).key));
+    world.event(cached_prompt_announcement(1, numbered(21).key));
     let (_, again) = world.sent(resuming());
     let effects = world.call(again.call, CallEvent::NotConnected);
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 #[test]
-fn old_word_is_forgotten() {
+fn stale_cache_used() {
     let mut world = World::new();
-    world.event(told(1, numbered(21).key));
+    world.event(cached_prompt_announcement(1, numbered(21).key));
     world.pass(Duration::from_secs(13));
     world.event(Event::Received(Message {
         cached_prompts: vec![CachedPrompt { prompt: PromptKey(8), engine: numbered(21).key }],
@@ -137,9 +141,9 @@
 
 /// Many clients may come back at once; an engine without room for them takes no more.
 #[test]
-fn keeper_without_room() {
+fn full_cache_overloaded() {
     let mut world = World::new();
-    world.event(told(1, numbered(21).key));
+    world.event(cached_prompt_announcement(1, numbered(21).key));
     let large = Request { prompt_tokens: Some(MEMORY * 9 / 10), ..resuming() };
     let (_, first) = world.sent(large.clone());
     let (_, second) = world.sent(large);
--- a/tests/tests/gateway_reach.rs
+++ b/tests/tests/gateway_reach.rs
@@ -9,13 +9,13 @@
 use hollyspoke_tests::gateway::{World, heartbeat, ran, request};
 
 /// Gives the word of a box that it has not reached engines.
-fn missed(node: u8, sequence: u64, engines: &[u8]) -> Event {
+fn unreachable_announcement(node: u8, sequence: u64, engines: &[u8]) -> Event {
     let unreachable = engines.iter().map(|it| EngineKey::of(&format!("engine-{it}"))).collect();
     Event::Received(Message { unreachable, ..heartbeat(node, sequence, StoreView::default()) })
 }
 
 /// Sends some plain requests; gives how many went to engine 1.
-fn sent_to_first(world: &mut World) -> usize {
+fn first_engine_count(world: &mut World) -> usize {
     let mut count = 0;
     for _ in 0..8 {
         let (_, send) = world.sent(request("safe"));
@@ -27,48 +27,48 @@
 
 /// A dead engine must not be found out by every box for itself.
 #[test]
-fn word_of_two_nodes_counts() {
+fn peer_failures_ignored() {
     let mut world = World::new();
-    world.event(missed(2, 1, &[1]));
-    world.event(missed(3, 1, &[1]));
-    assert_eq!(sent_to_first(&mut world), 0);
+    world.event(unreachable_announcement(2, 1, &[1]));
+    world.event(unreachable_announcement(3, 1, &[1]));
+    assert_eq!(first_engine_count(&mut world), 0);
 }
 
 /// One box alone may be cut off itself.
 #[test]
-fn word_of_one_node_does_not() {
+fn single_report_trusted() {
     let mut world = World::new();
-    world.event(missed(2, 1, &[1]));
-    world.event(missed(2, 2, &[1]));
-    assert!(sent_to_first(&mut world) > 0);
+    world.event(unreachable_announcement(2, 1, &[1]));
+    world.event(unreachable_announcement(2, 2, &[1]));
+    assert!(first_engine_count(&mut world) > 0);
 }
 
 #[test]
-fn word_fades() {
+fn stale_report_kept() {
     let mut world = World::new();
-    world.event(missed(2, 1, &[1]));
-    world.event(missed(3, 1, &[1]));
+    world.event(unreachable_announcement(2, 1, &[1]));
+    world.event(unreachable_announcement(3, 1, &[1]));
     world.pass(Duration::from_millis(1600));
-    assert!(sent_to_first(&mut world) > 0);
+    assert!(first_engine_count(&mut world) > 0);
 }
 
 /// If others have reached no engine of a service, this box tries all the same.
 #[test]
-fn last_engines_are_tried() {
+fn last_engines_abandoned() {
     let mut world = World::new();
-    world.event(missed(2, 1, &[1, 2]));
-    world.event(missed(3, 1, &[1, 2]));
+    world.event(unreachable_announcement(2, 1, &[1, 2]));
+    world.event(unreachable_announcement(3, 1, &[1, 2]));
     world.sent(request("safe"));
 }
 
 #[test]
-fn own_miss_is_told() {
+fn failure_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
     let (_, send) = world.sent(request("safe"));
     let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::NotConnected));
     let key = send.engine.key;
-    let is_told =
+    let is_announced =
         |it: &Effect| matches!(it, Effect::Announce(_, message) if message.unreachable == [key]);
-    assert!(effects.iter().any(is_told), "{effects:?}");
+    assert!(effects.iter().any(is_announced), "{effects:?}");
 }
--- a/tests/tests/gateway_relay.rs
+++ b/tests/tests/gateway_relay.rs
@@ -11,7 +11,7 @@
 use hollyspoke_tests::gateway::{World, heartbeat, request, settings};
 
 /// Gives a heartbeat of a box in a data centre.
-fn beat_from(number: u8, sequence: u64, data_centre: &str) -> Message {
+fn heartbeat_from(number: u8, sequence: u64, data_centre: &str) -> Message {
     Message {
         data_centre: DataCentreKey::of(data_centre),
         ..heartbeat(number, sequence, StoreView::default())
@@ -29,62 +29,62 @@
     let mut world = World::new();
     for (numbers, data_centre) in [(2..=3, "north"), (11..=18, "south"), (21..=21, "east")] {
         for number in numbers {
-            world.event(Event::Received(beat_from(number, 1, data_centre)));
+            world.event(Event::Received(heartbeat_from(number, 1, data_centre)));
         }
     }
     world
 }
 
 /// Gives the datagrams of a step: to whom, and whether they are to be passed on.
-fn told(world: &mut World, event: Event) -> Vec<(Vec<SocketAddr>, Message)> {
+fn announcements(world: &mut World, event: Event) -> Vec<(Vec<SocketAddr>, Message)> {
     let effects = world.gateway.step(world.now, event);
-    let told = effects.into_iter().filter_map(|it| match it {
+    let announcements = effects.into_iter().filter_map(|it| match it {
         Effect::Announce(nodes, message) => Some((nodes, *message)),
         _ => None,
     });
-    told.collect()
+    announcements.collect()
 }
 
 #[test]
-fn one_of_a_large_zone() {
+fn redundant_remote_datagrams() {
     let mut world = world();
     let arrival = Event::Arrived(hollyspoke_gateway::request::RequestKey(0), request("once"));
-    let told = told(&mut world, arrival);
-    let direct: Vec<_> = told.iter().filter(|it| !it.1.is_relayed).collect();
+    let announcements = announcements(&mut world, arrival);
+    let direct: Vec<_> = announcements.iter().filter(|it| !it.1.is_relayed).collect();
     assert_eq!(direct.len(), 1);
     let nodes: BTreeSet<_> = direct[0].0.iter().copied().collect();
     assert_eq!(nodes, BTreeSet::from([peer(2), peer(3), peer(21)]));
-    let relayed: Vec<_> = told.iter().filter(|it| it.1.is_relayed).collect();
+    let relayed: Vec<_> = announcements.iter().filter(|it| it.1.is_relayed).collect();
     assert_eq!(relayed.len(), 1);
     assert_eq!(relayed[0].0.len(), 1, "one of the eight: {relayed:?}");
     assert_eq!(relayed[0].1.loads, direct[0].1.loads);
 }
 
 #[test]
-fn passed_on_once() {
+fn datagram_relayed_twice() {
     let mut world = world();
-    let message = Message { is_relayed: true, ..beat_from(11, 2, "south") };
-    let told = told(&mut world, Event::Received(message));
-    let passed: Vec<_> = told.iter().filter(|it| it.1.sender == peer(11)).collect();
-    assert_eq!(passed.len(), 1);
-    assert_eq!(passed[0].0, [peer(2), peer(3)]);
-    assert!(!passed[0].1.is_relayed, "nobody passes it on again");
+    let message = Message { is_relayed: true, ..heartbeat_from(11, 2, "south") };
+    let announcements = announcements(&mut world, Event::Received(message));
+    let relayed: Vec<_> = announcements.iter().filter(|it| it.1.sender == peer(11)).collect();
+    assert_eq!(relayed.len(), 1);
+    assert_eq!(relayed[0].0, [peer(2), peer(3)]);
+    assert!(!relayed[0].1.is_relayed, "nobody passes it on again");
 }
 
 /// Changes of one box go one way and arrive in order; its heartbeats try them all, so that a dead
 /// relay does not make it look dead.
 #[test]
-fn heartbeats_take_turns() {
+fn single_relay_dependency() {
     let mut world = world();
     let mut relays = BTreeSet::new();
     for sequence in 2..40 {
         for (numbers, data_centre) in [(2..=3, "north"), (11..=18, "south"), (21..=21, "east")] {
             for number in numbers {
-                world.event(Event::Received(beat_from(number, sequence, data_centre)));
+                world.event(Event::Received(heartbeat_from(number, sequence, data_centre)));
             }
         }
         world.now = world.now + Duration::from_millis(350);
-        for (nodes, message) in told(&mut world, Event::Tick) {
+        for (nodes, message) in announcements(&mut world, Event::Tick) {
             if message.is_relayed && message.is_whole {
                 relays.extend(nodes);
             }
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -20,7 +20,7 @@
 
 /// Has a safe request fail at its first engine and succeed at the next, if there is one; gives
 /// whether it was sent to another one, as the log tells.
-fn repeat_noted(world: &mut World) -> Option<bool> {
+fn logged_repeat(world: &mut World) -> Option<bool> {
     let (_, first) = world.sent(request("safe"));
     let event = Event::Call(first.call, CallEvent::Answered(ran(500)));
     let effects = world.gateway.step(world.now, event);
@@ -37,21 +37,21 @@
 
 /// An operator sees each repeat, and each that the budget did not allow.
 #[test]
-fn repeats_are_logged() {
+fn repeat_not_logged() {
     let mut world = World::new();
-    let noted: Vec<_> = (0..200).map(|_| repeat_noted(&mut world)).collect();
-    assert_eq!(noted[0], Some(true));
-    assert_eq!(noted[199], Some(false));
+    let logged: Vec<_> = (0..200).map(|_| logged_repeat(&mut world)).collect();
+    assert_eq!(logged[0], Some(true));
+    assert_eq!(logged[199], Some(false));
 }
 
 /// The engines fail nearly all runs, as they did in the second record of the incident.
 const FAILING: Behaviour = Behaviour { turns_away: 0.0, fails: 0.95 };
 
 /// They turn nearly all calls away, as in the first record, and fail the rest.
-const REFUSING: Behaviour = Behaviour { turns_away: 0.95, fails: 1.0 };
+const REJECTING: Behaviour = Behaviour { turns_away: 0.95, fails: 1.0 };
 
 /// How long the engines go on so: two windows of the bound.
-const LASTS: Duration = Duration::from_secs(20);
+const TROUBLE_DURATION: Duration = Duration::from_secs(20);
 
 /// Gives six boxes that have served for a while, and whose engines have just begun to misbehave.
 fn troubled(behaviour: Behaviour, seed: u64) -> Fleet {
@@ -62,26 +62,26 @@
 
 /// Plays a scenario with some seeds and both kinds of misbehaviour, and checks that no service gets
 /// more repeats in any window than is allowed.
-fn check_bound(name: &str, play: impl Fn(&mut Fleet)) {
-    let mut broken = Vec::new();
-    for (behaviour, seed) in [(FAILING, 1), (FAILING, 2), (REFUSING, 1), (REFUSING, 2)] {
+fn check_bound(name: &str, scenario: impl Fn(&mut Fleet)) {
+    let mut violations = Vec::new();
+    for (behaviour, seed) in [(FAILING, 1), (FAILING, 2), (REJECTING, 1), (REJECTING, 2)] {
         let mut fleet = troubled(behaviour, seed);
-        play(&mut fleet);
+        scenario(&mut fleet);
         for service in [PLAIN, MODEL] {
             let used = fleet.records.bound_used(service, &BOUND);
             let (with_room, refused) = fleet.records.refused_with_room(service, &BOUND);
             let sent = fleet.records.repeat_count(service);
-            let what = format!(
+            let result = format!(
                 "{name}, {behaviour:?}, seed {seed}, {service}: {used:.3} of the bound used, {sent} \
                  repeats sent, {refused} refused, {with_room} of them with room"
             );
-            println!("{what}");
+            println!("{result}");
             if used > 1.0 {
-                broken.push(what);
+                violations.push(result);
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// All engines of a service failed at once, and six boxes sent more repeats than is allowed for all
@@ -91,19 +91,19 @@
 /// are enough for that at the usual traffic: 1.16 of the bound at engines that fail, 2.08 at those
 /// that refuse.
 #[test]
-fn repeats_bounded_with_late_sums() {
+fn bound_exceeded_by_delay() {
     check_bound("three times the traffic", |fleet| {
         fleet.traffic.plain *= 3.0;
         fleet.traffic.streams *= 3.0;
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("late datagrams", |fleet| {
         fleet.delay_ms = 1200..=1500;
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("lost datagrams", |fleet| {
         fleet.lost = 0.6;
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
@@ -114,25 +114,25 @@
 /// ten seconds, and 291 were allowed. Here one loss of all boxes leads to 1.25 of the bound, two to
 /// 1.56, one box killed each half second to 1.62, all at the usual traffic.
 #[test]
-fn repeats_bounded_over_restarts() {
+fn bound_exceeded_by_restart() {
     check_bound("all killed once", |fleet| {
         fleet.run(Duration::from_secs(2));
         fleet.restart(0..6);
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("all killed twice", |fleet| {
         fleet.run(Duration::from_secs(2));
         fleet.restart(0..6);
         fleet.run(Duration::from_secs(3));
         fleet.restart(0..6);
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("killed in turn", |fleet| {
         for number in 0..12 {
             fleet.run(Duration::from_millis(500));
             fleet.restart([number % 6]);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("stopped in turn", |fleet| {
         for number in 0..12 {
@@ -140,7 +140,7 @@
             fleet.run(Duration::from_millis(500));
             fleet.start([number % 6]);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
@@ -148,19 +148,19 @@
 /// which is for all boxes together, for its own: six that were cut off from each other and started
 /// used 2.31 of the bound at engines that fail, and 3.06 at engines that refuse.
 #[test]
-fn repeats_bounded_when_cut_off() {
+fn bound_exceeded_by_partition() {
     check_bound("all cut off", |fleet| {
         for number in 0..6 {
             fleet.part([number], number);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("all cut off and started", |fleet| {
         for number in 0..6 {
             fleet.part([number], number);
         }
         fleet.restart(0..6);
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("half cut off, one after the other started", |fleet| {
         fleet.part(0..3, 1);
@@ -168,7 +168,7 @@
             fleet.restart([number]);
             fleet.run(Duration::from_secs(1));
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
@@ -176,27 +176,27 @@
 /// heard only each other, noted `repeat sent` with `boxes=3`, and divided the allowance by three; the
 /// other three divided it by six. When all engines failed 20 s later they used 1.08 of the bound.
 #[test]
-fn repeats_bounded_where_a_part_starts_at_once() {
+fn bound_exceeded_by_restarted_part() {
     check_bound("half cut off and started at once", |fleet| {
         fleet.part(0..3, 1);
         fleet.restart(0..3);
         let behaviour = std::mem::take(&mut fleet.behaviour);
         fleet.run(Duration::from_secs(20));
         fleet.behaviour = behaviour;
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
 /// A repeat counts when it arrives. Calls that are held up on the way for a second arrive with those
 /// that are sent later: 3 s of that used 1.01 of the bound before boxes left a margin for it.
 #[test]
-fn repeats_bounded_with_held_calls() {
+fn bound_exceeded_by_delayed_calls() {
     let held = Duration::from_secs(1);
     check_bound("calls held up at the start", |fleet| {
         for number in 0..6 {
             fleet.hold_calls(number, held);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
     check_bound("calls held up later, while boxes stand still", |fleet| {
         fleet.run(Duration::from_secs(9));
@@ -205,7 +205,7 @@
             fleet.run(Duration::from_millis(100));
             fleet.hold(number, held);
         }
-        fleet.run(LASTS);
+        fleet.run(TROUBLE_DURATION);
     });
 }
 
@@ -214,7 +214,7 @@
 /// `before=1`, then `call failed how="turned away"`, and no `repeat sent` between them. Forty
 /// requests in a window were repeated sixteen times so, and thirteen were allowed.
 #[test]
-fn readings_turned_away_count() {
+fn rejected_prefill_uncounted() {
     let retry_bound = Bound { allowance: 5.0, ..BOUND };
     let mut world = World::new();
     world.gateway = Gateway::new(Settings { retry_bound, ..settings(1) });
@@ -223,14 +223,14 @@
     let mut records = Records::default();
     for number in 0..80 {
         world.pass(Duration::from_millis(250));
-        world.event(keeper_told(number));
+        world.event(cached_prompt_announcement(number));
         let request = Request { prompt: Some(PromptKey(7)), ..request("resumed") };
         records.asked.push(Asked { service: MODEL, at: world.now });
-        let (flight, mut effects) = world.arrive(request);
+        let (request_key, mut effects) = world.arrive(request);
         while effects.iter().any(|it| matches!(it, Effect::Send(_))) {
             records.arrivals.push(Arrival {
                 service: MODEL,
-                flight: (0, 0, flight.0),
+                flight: (0, 0, request_key.0),
                 at: world.now,
                 is_free: false,
             });
@@ -244,7 +244,7 @@
 }
 
 /// Gives the word of another box that an engine keeps the prompt.
-fn keeper_told(number: u64) -> Event {
+fn cached_prompt_announcement(number: u64) -> Event {
     let cached_prompts =
         vec![CachedPrompt { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
     Event::Received(Message { cached_prompts, ..heartbeat(2, number + 1, StoreView::default()) })
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -24,57 +24,63 @@
 use hollyspoke_tests::terms::{MOST_WHILE_RESTING, Rests};
 
 /// Three seconds of each six.
-const HALF: Rests = Rests { span: Duration::from_secs(3), every: Duration::from_secs(6) };
+const ALTERNATING: Rests = Rests { span: Duration::from_secs(3), every: Duration::from_secs(6) };
 
 /// The longest that a box stays away longer than it was asked for.
-const SPREAD: f64 = 1.2;
+const MAX_DELAY_RATIO: f64 = 1.2;
 
 /// A second.
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn resting_engine_is_left_alone() {
+fn back_off_ignored() {
     let mut fleet = Fleet::settled(6, 1);
-    let resting = fleet.engines_of(PLAIN)[0];
-    fleet.rest([resting], Some(HALF));
+    let backing_off = fleet.engines_of(PLAIN)[0];
+    fleet.rest([backing_off], Some(ALTERNATING));
     fleet.run(Duration::from_secs(18));
-    let most = fleet.terms.most_while_resting();
+    let max_while_backing_off = fleet.terms.most_while_resting();
     assert!(fleet.terms.rest_count() > 0);
-    assert!(most <= MOST_WHILE_RESTING, "{most} from one box while it rests");
+    assert!(
+        max_while_backing_off <= MOST_WHILE_RESTING,
+        "{max_while_backing_off} from one box while it rests"
+    );
 }
 
 /// All engines of a service rest together: what comes is refused as not run, with a time.
 #[test]
-fn all_engines_rest() {
+fn service_back_off_ignored() {
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
         let mut fleet = Fleet::settled(6, seed);
-        let resting = fleet.engines_of(service);
-        fleet.rest(resting, Some(HALF));
+        let backing_off = fleet.engines_of(service);
+        fleet.rest(backing_off, Some(ALTERNATING));
         fleet.run(Duration::from_secs(18));
-        let most = fleet.terms.most_while_resting();
-        assert!(most <= MOST_WHILE_RESTING, "{most} of {service} from one box while all rest");
+        let max_while_backing_off = fleet.terms.most_while_resting();
+        assert!(
+            max_while_backing_off <= MOST_WHILE_RESTING,
+            "{max_while_backing_off} of {service} from one box while all rest"
+        );
     }
 }
 
 /// Once its rest is over an engine gets its share again.
 #[test]
-fn used_again_after_its_rest() {
+fn engine_unused_after_backoff() {
     let mut fleet = Fleet::settled(6, 4);
-    let resting = fleet.engines_of(PLAIN)[0];
-    fleet.rest([resting], Some(Rests { span: SECOND * 3, every: SECOND * 600 }));
+    let backing_off = fleet.engines_of(PLAIN)[0];
+    fleet.rest([backing_off], Some(Rests { span: SECOND * 3, every: SECOND * 600 }));
     fleet.run(Duration::from_secs(5));
     let from = fleet.now();
     fleet.run(Duration::from_secs(10));
-    let got = fleet.terms.got(resting, from, fleet.now());
+    let got = fleet.terms.got(backing_off, from, fleet.now());
     // A third of 41 a second, less what chance takes.
     assert!(got >= 80, "{got} in 10 s");
 }
 
 /// Boxes that start again, are cut off or miss datagrams keep what each was told.
 #[test]
-fn boxes_in_trouble() {
+fn back_off_lost() {
     let mut fleet = Fleet::settled(6, 5);
-    fleet.rest(fleet.engines_of(PLAIN), Some(HALF));
+    fleet.rest(fleet.engines_of(PLAIN), Some(ALTERNATING));
     fleet.lost = 0.3;
     for number in 0..6 {
         fleet.restart([number]);
@@ -83,44 +89,47 @@
         fleet.part(0..6, 0);
         fleet.run(Duration::from_secs(1));
     }
-    let most = fleet.terms.most_while_resting();
-    assert!(most <= MOST_WHILE_RESTING, "{most} from one box while it rests");
+    let max_while_backing_off = fleet.terms.most_while_resting();
+    assert!(
+        max_while_backing_off <= MOST_WHILE_RESTING,
+        "{max_while_backing_off} from one box while it rests"
+    );
 }
 
 /// An engine that goes on turning away when its rest is over is asked by one request a time.
 #[test]
-fn an_engine_that_never_recovers() {
+fn rejecting_engine_flooded() {
     let mut fleet = Fleet::settled(6, 6);
-    let resting = fleet.engines_of(PLAIN)[0];
-    fleet.rest([resting], Some(Rests { span: SECOND * 600, every: SECOND * 600 }));
+    let backing_off = fleet.engines_of(PLAIN)[0];
+    fleet.rest([backing_off], Some(Rests { span: SECOND * 600, every: SECOND * 600 }));
     fleet.terms.says_at_most(SECOND);
     let from = fleet.now();
     fleet.run(Duration::from_secs(20));
-    let got = fleet.terms.got(resting, from, fleet.now());
+    let got = fleet.terms.got(backing_off, from, fleet.now());
     // Each of six boxes asks once a second and the spread.
     assert!((60..=130).contains(&got), "{got} in 20 s");
 }
 
 /// Says for how long an engine wants nothing.
-fn rests(span: Duration) -> Statement {
-    Statement { back_off: Reported::Duration(span), ..Statement::default() }
+fn back_off_statement(duration: Duration) -> Statement {
+    Statement { back_off: Reported::Duration(duration), ..Statement::default() }
 }
 
 /// Gives an answer that turns a request away and asks for rest.
-fn turned_away_for(span: Duration) -> Answer {
-    Answer { statement: rests(span), ..turned_away() }
+fn rejected_for(duration: Duration) -> Answer {
+    Answer { statement: back_off_statement(duration), ..turned_away() }
 }
 
 /// Has plain requests arrive, each answered at once; gives the engines that they were sent to.
-fn plain_go_to(world: &mut World) -> Vec<EngineKey> {
+fn plain_serving_engines(world: &mut World) -> Vec<EngineKey> {
     let sends = (0..12).filter_map(|_| {
-        let (flight, effects) = world.arrive(request("safe"));
+        let (request_key, effects) = world.arrive(request("safe"));
         let send = effects.iter().find_map(|it| match it {
             Effect::Send(send) => Some(send.clone()),
             _ => None,
         });
         let Some(send) = send else {
-            world.event(Event::ClientDisconnected(flight));
+            world.event(Event::ClientDisconnected(request_key));
             return None;
         };
         world.call(send.call, CallEvent::Answered(ran(200)));
@@ -130,32 +139,32 @@
 }
 
 /// Gives the first plain engine, born at a time.
-fn first(born: Option<u64>) -> Engine {
-    Engine { started_at: born, ..engine(1, PLAIN, None) }
+fn first(start: Option<u64>) -> Engine {
+    Engine { started_at: start, ..engine(1, PLAIN, None) }
 }
 
 /// Makes a box before the first plain engine alone.
-fn only_first(born: Option<u64>) -> World {
+fn world_with_first_engine(start: Option<u64>) -> World {
     let mut world = World::new();
-    world.event(Event::Listed(vec![first(born)], 20.into()));
+    world.event(Event::Listed(vec![first(start)], 20.into()));
     world
 }
 
 /// Has the first engine ask for rest; tells whether it gets nothing then.
-fn is_left_alone(world: &mut World, says: Statement) -> bool {
-    world.event(Event::Statement(first(None).key, says));
-    !plain_go_to(world).contains(&first(None).key)
+fn is_unused_after(world: &mut World, statement: Statement) -> bool {
+    world.event(Event::Statement(first(None).key, statement));
+    !plain_serving_engines(world).contains(&first(None).key)
 }
 
 /// All answers tell: those to runs, to readings, to orders and questions; 429 and 503, and a 503 that
 /// does not say that nothing was run.
 #[test]
-fn all_answers_tell() {
-    let span = SECOND * 3;
+fn back_off_answer_ignored() {
+    let duration = SECOND * 3;
     let kinds = [
-        turned_away_for(span),
-        Answer { status: 429, ..turned_away_for(span) },
-        Answer { execution: Execution::Ran, ..turned_away_for(span) },
+        rejected_for(duration),
+        Answer { status: 429, ..rejected_for(duration) },
+        Answer { execution: Execution::Ran, ..rejected_for(duration) },
     ];
     for answer in kinds {
         for route in ["safe", "resumed"] {
@@ -165,91 +174,93 @@
             for number in 0..8 {
                 let id = format!("request-{number}");
                 let (_, effects) = world.arrive(Request { id: id.into(), ..request(route) });
-                assert!(!sent_to(&effects, send.engine.key), "{route} {answer:?}");
+                assert!(!is_sent_to(&effects, send.engine.key), "{route} {answer:?}");
             }
         }
     }
-    assert!(is_left_alone(&mut only_first(None), rests(span)));
-    let (mut world, moved) =
-        (only_first(None), Answer { execution: Execution::Replaced, ..turned_away_for(span) });
+    assert!(is_unused_after(&mut world_with_first_engine(None), back_off_statement(duration)));
+    let (mut world, moved) = (
+        world_with_first_engine(None),
+        Answer { execution: Execution::Replaced, ..rejected_for(duration) },
+    );
     world.event(Event::Listed(vec![first(None), engine(2, PLAIN, None)], 21.into()));
     let (_, send) = world.sent(request("safe"));
     world.call(send.call, CallEvent::Answered(moved));
-    let back =
+    let return_time =
         EngineChange::Put(Engine { started_at: Some(9), ..(*send.engine).clone() }, 22.into());
-    world.event(Event::Changed(vec![back]));
-    assert!(plain_go_to(&mut world).len() == 12);
+    world.event(Event::Changed(vec![return_time]));
+    assert!(plain_serving_engines(&mut world).len() == 12);
 }
 
 /// Tells whether a call is sent to an engine.
-fn sent_to(effects: &[Effect], engine: EngineKey) -> bool {
+fn is_sent_to(effects: &[Effect], engine: EngineKey) -> bool {
     effects.iter().any(|it| matches!(it, Effect::Send(send) if send.engine.key == engine))
 }
 
 /// Nothing and what can't be read change nothing; the longest that is kept is an hour.
 #[test]
-fn spans_of_all_kinds() {
-    for told in [Reported::Nothing, Reported::Unreadable, Reported::Duration(Duration::ZERO)] {
-        let says = Statement { back_off: told, ..Statement::default() };
-        assert!(!is_left_alone(&mut only_first(None), says), "{told:?}");
+fn invalid_duration_applied() {
+    for announced in [Reported::Nothing, Reported::Unreadable, Reported::Duration(Duration::ZERO)] {
+        let statement = Statement { back_off: announced, ..Statement::default() };
+        assert!(!is_unused_after(&mut world_with_first_engine(None), statement), "{announced:?}");
     }
-    let mut world = only_first(None);
-    assert!(is_left_alone(&mut world, rests(Duration::MAX)));
+    let mut world = world_with_first_engine(None);
+    assert!(is_unused_after(&mut world, back_off_statement(Duration::MAX)));
     world.pass(MAX_DURATION - SECOND);
-    assert!(plain_go_to(&mut world).is_empty());
-    world.pass(MAX_DURATION.mul_f64(SPREAD - 1.0) + SECOND);
-    assert!(!plain_go_to(&mut world).is_empty());
+    assert!(plain_serving_engines(&mut world).is_empty());
+    world.pass(MAX_DURATION.mul_f64(MAX_DELAY_RATIO - 1.0) + SECOND);
+    assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
 /// A shorter word does not end a longer one: the engine may have said it before, or of another call. A
 /// longer one holds.
 #[test]
-fn the_later_end_holds() {
-    let mut world = only_first(None);
-    assert!(is_left_alone(&mut world, rests(SECOND * 3)));
-    assert!(is_left_alone(&mut world, rests(SECOND)));
+fn back_off_shortened() {
+    let mut world = world_with_first_engine(None);
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND)));
     world.pass(Duration::from_millis(2900));
-    assert!(is_left_alone(&mut world, rests(SECOND * 3)));
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
     world.pass(Duration::from_millis(2900));
-    assert!(plain_go_to(&mut world).is_empty());
+    assert!(plain_serving_engines(&mut world).is_empty());
     world.pass(SECOND);
-    assert!(!plain_go_to(&mut world).is_empty());
+    assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
 /// A later life has asked for nothing; an earlier one says nothing of it.
 #[test]
-fn a_later_life_ends_it() {
-    let mut world = only_first(Some(100));
-    assert!(is_left_alone(&mut world, rests(SECOND * 60)));
-    let put = |born, revision: u64| {
-        Event::Changed(vec![EngineChange::Put(first(Some(born)), revision.into())])
+fn back_off_survives_restart() {
+    let mut world = world_with_first_engine(Some(100));
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND * 60)));
+    let put = |start, revision: u64| {
+        Event::Changed(vec![EngineChange::Put(first(Some(start)), revision.into())])
     };
-    for (born, revision) in [(100, 21), (50, 22)] {
-        world.event(put(born, revision));
+    for (start, revision) in [(100, 21), (50, 22)] {
+        world.event(put(start, revision));
         world.pass(SECOND);
-        assert!(plain_go_to(&mut world).is_empty(), "{born}");
+        assert!(plain_serving_engines(&mut world).is_empty(), "{start}");
     }
     world.event(put(200, 23));
-    assert!(!plain_go_to(&mut world).is_empty());
-    let early = Statement { born: Some(100), ..rests(SECOND * 60) };
-    assert!(!is_left_alone(&mut world, early));
+    assert!(!plain_serving_engines(&mut world).is_empty());
+    let early = Statement { born: Some(100), ..back_off_statement(SECOND * 60) };
+    assert!(!is_unused_after(&mut world, early));
 }
 
 /// When its rest is over one request goes first; its answer lets two go, theirs four, and theirs eight. A
 /// refusal without a time begins again with one.
 #[test]
-fn one_comes_back_first() {
-    let mut world = only_first(None);
-    assert!(is_left_alone(&mut world, rests(SECOND * 3)));
+fn returning_engine_flooded() {
+    let mut world = world_with_first_engine(None);
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
     world.pass(Duration::from_millis(3600));
-    let mut sent = arrive_many(&mut world, 4);
+    let mut sent = calls_of_arrivals(&mut world, 4);
     assert_eq!(sent.len(), 1);
     for allowed in [2, 4, 8] {
         let mut next = Vec::new();
         for send in sent {
-            next.extend(sends(&world.call(send.call, CallEvent::Answered(ran(200)))));
+            next.extend(calls_in(&world.call(send.call, CallEvent::Answered(ran(200)))));
         }
-        next.extend(arrive_many(&mut world, 12));
+        next.extend(calls_of_arrivals(&mut world, 12));
         assert_eq!(next.len(), allowed);
         sent = next;
     }
@@ -257,17 +268,17 @@
     for send in &sent[1..] {
         world.event(Event::ClientDisconnected(send.request));
     }
-    assert!(arrive_many(&mut world, 4).len() <= 1);
+    assert!(calls_of_arrivals(&mut world, 4).len() <= 1);
 }
 
 /// Has requests arrive; gives the calls that are sent.
-fn arrive_many(world: &mut World, count: usize) -> Vec<Send> {
+fn calls_of_arrivals(world: &mut World, count: usize) -> Vec<Send> {
     let arrived = (0..count).flat_map(|_| world.arrive(request("safe")).1);
-    sends(&arrived.collect::<Vec<_>>())
+    calls_in(&arrived.collect::<Vec<_>>())
 }
 
 /// Gives the calls among effects.
-fn sends(effects: &[Effect]) -> Vec<Send> {
+fn calls_in(effects: &[Effect]) -> Vec<Send> {
     let sends = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(send.clone()),
         _ => None,
@@ -277,42 +288,45 @@
 
 /// Boxes that were told at the same moment come back at different ones.
 #[test]
-fn boxes_come_back_apart() {
-    let back = |number| {
+fn simultaneous_return() {
+    let return_time = |number| {
         let mut world = World::numbered(number);
         world.event(Event::Configured(std::sync::Arc::new(
             hollyspoke_tests::gateway::configuration(1),
         )));
         world.event(Event::Listed(vec![first(None)], 20.into()));
-        world.event(Event::Statement(first(None).key, rests(SECOND * 3)));
+        world.event(Event::Statement(first(None).key, back_off_statement(SECOND * 3)));
         let begun = world.now;
         loop {
             world.pass(Duration::from_millis(5));
-            let (flight, effects) = world.arrive(request("safe"));
-            if !sends(&effects).is_empty() {
+            let (request_key, effects) = world.arrive(request("safe"));
+            if !calls_in(&effects).is_empty() {
                 return world.now.since(begun);
             }
-            world.event(Event::ClientDisconnected(flight));
+            world.event(Event::ClientDisconnected(request_key));
         }
     };
-    let mut times: Vec<_> = (1..=6).map(back).collect();
+    let mut times: Vec<_> = (1..=6).map(return_time).collect();
     times.sort();
-    assert!(times[0] >= SECOND * 3 && times[5] <= (SECOND * 3).mul_f64(SPREAD), "{times:?}");
+    assert!(
+        times[0] >= SECOND * 3 && times[5] <= (SECOND * 3).mul_f64(MAX_DELAY_RATIO),
+        "{times:?}"
+    );
     times.dedup();
     assert!(times.len() >= 4, "{times:?}");
 }
 
 /// A rest that ends soon is waited for; else the request is refused at once, with the time of its end.
 #[test]
-fn waits_or_is_refused_with_a_true_time() {
-    let mut world = only_first(None);
-    world.event(Event::Statement(first(None).key, rests(Duration::from_millis(100))));
-    let (flight, effects) = world.arrive(request("safe"));
+fn wrong_retry_time() {
+    let mut world = world_with_first_engine(None);
+    world.event(Event::Statement(first(None).key, back_off_statement(Duration::from_millis(100))));
+    let (request_key, effects) = world.arrive(request("safe"));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.pass(Duration::from_millis(150));
-    assert_eq!(only_send(&effects).request, flight);
-    let mut world = only_first(None);
-    world.event(Event::Statement(first(None).key, rests(SECOND * 5)));
+    assert_eq!(only_send(&effects).request, request_key);
+    let mut world = world_with_first_engine(None);
+    world.event(Event::Statement(first(None).key, back_off_statement(SECOND * 5)));
     let (_, effects) = world.arrive(request("safe"));
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::BackingOff);
@@ -321,11 +335,11 @@
 
 /// Of two engines that rest the one that is back first counts.
 #[test]
-fn the_earliest_end_is_told() {
+fn earliest_return_ignored() {
     let mut world = World::new();
     for (number, seconds) in [(1, 20), (2, 4)] {
-        let says = rests(SECOND * seconds);
-        world.event(Event::Statement(engine(number, PLAIN, None).key, says));
+        let statement = back_off_statement(SECOND * seconds);
+        world.event(Event::Statement(engine(number, PLAIN, None).key, statement));
     }
     let (_, effects) = world.arrive(request("unsafe"));
     let Refusal::NotRun(_, _, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -335,61 +349,63 @@
 /// A request that was turned away and finds nobody else gets the refusal that it has not run, and takes
 /// no repeat.
 #[test]
-fn no_repeat_for_an_engine_that_rests() {
+fn back_off_uses_retry() {
     let mut world = World::new();
     world.pass(SECOND * 10);
-    let resting = engine(1, PLAIN, None).key;
-    world.event(Event::Statement(resting, rests(SECOND * 60)));
+    let backing_off = engine(1, PLAIN, None).key;
+    world.event(Event::Statement(backing_off, back_off_statement(SECOND * 60)));
     let (_, send) = world.sent(request("unsafe"));
-    assert_ne!(send.engine.key, resting);
-    let event = Event::Call(send.call, CallEvent::Answered(turned_away_for(SECOND * 60)));
+    assert_ne!(send.engine.key, backing_off);
+    let event = Event::Call(send.call, CallEvent::Answered(rejected_for(SECOND * 60)));
     let effects = world.gateway.step(world.now, event);
     let repeats = effects.iter().filter(|it| matches!(it, Effect::Log(LogEvent::Retry { .. })));
     assert_eq!(repeats.count(), 0, "{effects:?}");
     let refusal = only_refusal(&effects);
     assert!(matches!(refusal, Refusal::NotRun(_, NotRunReason::BackingOff, _)), "{refusal:?}");
-    let kept = effects.iter().find_map(|it| match it {
+    let exclusions_logged = effects.iter().find_map(|it| match it {
         Effect::Log(LogEvent::Ended { exclusions, .. }) => Some(exclusions.clone()),
         _ => None,
     });
-    let kept = kept.expect("it has ended");
+    let exclusions_logged = exclusions_logged.expect("it has ended");
     assert!(
-        kept.iter().any(|it| it.reason == Restriction::BackOff && &*it.engine == "engine-1"),
-        "{kept:?}"
+        exclusions_logged
+            .iter()
+            .any(|it| it.reason == Restriction::BackOff && &*it.engine == "engine-1"),
+        "{exclusions_logged:?}"
     );
 }
 
 /// A prompt that was read for an engine that rests meanwhile goes to another one; a kept one is taken
 /// from there, and what runs there goes on.
 #[test]
-fn prompts_go_elsewhere() {
+fn prompt_sent_during_backoff() {
     let mut world = World::new();
-    let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-    let (flight, running) = world.streaming(asked());
-    let (_, reading) = world.sent(Request { id: "second".into(), ..request("resumed") });
-    world.event(Event::Statement(running.engine.key, rests(SECOND * 3)));
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let new_request = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
+    let (request_key, running) = world.streaming(new_request());
+    let (_, prefill_call) = world.sent(Request { id: "second".into(), ..request("resumed") });
+    world.event(Event::Statement(running.engine.key, back_off_statement(SECOND * 3)));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
     assert_ne!(only_send(&effects).engine.key, running.engine.key);
     let effects = world.call(running.call, CallEvent::Forwarded(Some(1)));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.call(running.call, CallEvent::Answered(ran(200)));
-    assert!(effects.contains(&Effect::Finish(flight)), "{effects:?}");
-    let again = only_send(&world.arrive(asked()).1);
+    assert!(effects.contains(&Effect::Finish(request_key)), "{effects:?}");
+    let again = only_send(&world.arrive(new_request()).1);
     assert_ne!(again.engine.key, running.engine.key);
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(running.engine.address)));
 }
 
 /// An engine that rests is not asked what it keeps or whether it lives, and no prompt is freed there.
 #[test]
-fn nothing_aside() {
+fn backing_off_engine_queried() {
     let mut world = World::new();
-    let (flight, reading) = world.sent(request("once"));
+    let (request_key, prefill_call) = world.sent(request("once"));
     let (_, send) = world.sent(request("unsafe"));
     for engine in engines() {
-        world.event(Event::Statement(engine.key, rests(SECOND * 60)));
+        world.event(Event::Statement(engine.key, back_off_statement(SECOND * 60)));
     }
-    let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
-    effects.extend(world.event(Event::ClientDisconnected(flight)));
+    let mut effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    effects.extend(world.event(Event::ClientDisconnected(request_key)));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
         world.now = world.now + Duration::from_millis(100);
@@ -409,17 +425,20 @@
 
 /// The strictest binds an engine that rests, is in need and leaves.
 #[test]
-fn the_strictest_binds() {
-    let mut world = only_first(Some(100));
+fn stricter_restriction_ignored() {
+    let mut world = world_with_first_engine(Some(100));
     let limit = rate_limit::Reported::Rate(0.5);
-    world.event(Event::Statement(first(None).key, Statement { limit, ..rests(SECOND * 3) }));
+    world.event(Event::Statement(
+        first(None).key,
+        Statement { limit, ..back_off_statement(SECOND * 3) },
+    ));
     world.pass(SECOND * 2);
-    assert!(plain_go_to(&mut world).is_empty(), "while it rests");
+    assert!(plain_serving_engines(&mut world).is_empty(), "while it rests");
     world.pass(SECOND * 4);
     let answer = Answer { statement: Statement { limit, ..Statement::default() }, ..ran(200) };
     let mut sent = 0;
     for _ in 0..12 {
-        for send in arrive_many(&mut world, 1) {
+        for send in calls_of_arrivals(&mut world, 1) {
             world.call(send.call, CallEvent::Answered(answer.clone()));
             sent += 1;
         }
@@ -429,70 +448,70 @@
     world
         .event(Event::Statement(first(None).key, Statement { is_leaving, ..Statement::default() }));
     world.pass(SECOND * 60);
-    assert!(plain_go_to(&mut world).is_empty(), "once it leaves");
+    assert!(plain_serving_engines(&mut world).is_empty(), "once it leaves");
 }
 
 /// Where all leave, one that rests as well is not used for the last of its drain. Under drawn faults six
 /// requests of one box came to an engine that had said both: the last resort passed by the rest.
 #[test]
-fn the_last_resort_rests_too() {
-    let mut world = only_first(None);
+fn back_off_ignored_while_draining() {
+    let mut world = world_with_first_engine(None);
     let is_leaving = true;
-    let says = Statement { is_leaving, ..rests(Duration::from_millis(500)) };
-    world.event(Event::Statement(first(None).key, says));
-    assert!(plain_go_to(&mut world).is_empty());
+    let statement = Statement { is_leaving, ..back_off_statement(Duration::from_millis(500)) };
+    world.event(Event::Statement(first(None).key, statement));
+    assert!(plain_serving_engines(&mut world).is_empty());
     world.pass(Duration::from_millis(800));
-    assert!(!plain_go_to(&mut world).is_empty());
+    assert!(!plain_serving_engines(&mut world).is_empty());
     world.pass(Duration::from_millis(300));
-    assert!(plain_go_to(&mut world).is_empty());
+    assert!(plain_serving_engines(&mut world).is_empty());
 }
 
 /// The time for which a machine was suspended counts.
 #[test]
-fn suspended_meanwhile() {
-    let mut world = only_first(None);
-    assert!(is_left_alone(&mut world, rests(SECOND * 3)));
+fn suspended_time_ignored() {
+    let mut world = world_with_first_engine(None);
+    assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
     world.now = world.now + SECOND * 5;
     world.event(Event::Suspended(SECOND * 5));
-    assert!(!plain_go_to(&mut world).is_empty());
+    assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
 /// A refusal for rest says nothing of the prompt that was read: two engines that rest were taken for a
 /// prompt that is gone, and it was read once more for nothing. Where 40 of 100 engines turned nearly all
 /// away, 0.27 of a day's worth went so.
 #[test]
-fn a_prompt_outlives_refusals_for_rest() {
+fn prompt_dropped_after_backoff() {
     let mut world = World::new();
     world.event(Event::Listed(
-        (21..=23).chain(11..=12).map(|it| engine(it, MODEL, Some(stage_of(it)))).collect(),
+        (21..=23).chain(11..=12).map(|it| engine(it, MODEL, Some(engine_stage(it)))).collect(),
         20.into(),
     ));
     world.pass(SECOND * 10);
-    let (_, reading) = world.sent(request("resumed"));
-    let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let (_, prefill_call) = world.sent(request("resumed"));
+    let mut effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
     for _ in 0..2 {
         let send = only_send(&effects);
         assert!(matches!(send.task, Task::Decode(Prompt::Prefilled(_))), "{:?}", send.task);
-        effects = world.call(send.call, CallEvent::Answered(turned_away_for(SECOND)));
+        effects = world.call(send.call, CallEvent::Answered(rejected_for(SECOND)));
     }
     assert!(matches!(only_send(&effects).task, Task::Decode(Prompt::Prefilled(_))));
 }
 
 /// Gives the stage of an engine of the usual numbers.
-fn stage_of(number: u8) -> Stage {
+fn engine_stage(number: u8) -> Stage {
     if number < 20 { Stage::Prefill } else { Stage::Decode }
 }
 
 /// A prompt that a reader turned away as it rests is read by another one, once.
 #[test]
-fn another_reader_reads() {
+fn prefill_abandoned_after_backoff() {
     let mut world = World::new();
     world.pass(SECOND * 10);
     let (_, first) = world.sent(request("resumed"));
-    let effects = world.call(first.call, CallEvent::Answered(turned_away_for(SECOND)));
+    let effects = world.call(first.call, CallEvent::Answered(rejected_for(SECOND)));
     let second = only_send(&effects);
     assert_eq!(second.task, Task::Prefill);
     assert_ne!(second.engine.key, first.engine.key);
-    let effects = world.call(second.call, CallEvent::Answered(turned_away_for(SECOND)));
+    let effects = world.call(second.call, CallEvent::Answered(rejected_for(SECOND)));
     assert_eq!(only_send(&effects).task, Task::Decode(Prompt::NotPrefilled));
 }
--- a/tests/tests/gateway_rewrite.rs
+++ b/tests/tests/gateway_rewrite.rs
@@ -13,25 +13,25 @@
 
 /// Makes boxes that know the store's era, and hold a harmful request back; gives them with a copy of
 /// the store from before.
-fn holding(boxes: usize) -> (Fleet, Store) {
+fn fleet_with_quarantine(boxes: usize) -> (Fleet, Store) {
     let mut fleet = Fleet::new(boxes, 5);
     fleet.store.revision.era = 1;
     fleet.run(Duration::from_secs(8));
-    let copy = fleet.store.clone();
+    let old_store = fleet.store.clone();
     fleet.harmful = Some(HARMFUL);
     fleet.run(Duration::from_secs(20));
     let cases = fleet.store.value(CASES, "requests").expect("the request is held back");
     assert!(cases.len() > 2, "{cases}");
-    (fleet, copy)
+    (fleet, old_store)
 }
 
 /// Requests that are held back stay so, though all boxes are lost some seconds after the return.
 #[test]
-fn held_requests_outlive_the_copy() {
-    let (mut fleet, copy) = holding(6);
+fn quarantine_lost_after_restore() {
+    let (mut fleet, old_store) = fleet_with_quarantine(6);
     let known = fleet.store.value(CASES, "requests").map(str::to_owned);
     let caused = fleet.crashes.caused.len();
-    fleet.store.restore(&copy);
+    fleet.store.restore(&old_store);
     assert_ne!(fleet.store.value(CASES, "requests"), known.as_deref());
     fleet.run(Duration::from_secs(3));
     assert_eq!(fleet.store.value(CASES, "requests"), known.as_deref());
@@ -42,13 +42,13 @@
 
 /// How many boxes live is written again.
 #[test]
-fn the_number_of_boxes_is_written_again() {
+fn box_count_lost() {
     let mut fleet = Fleet::new(6, 5);
     fleet.store.revision.era = 1;
-    let copy = fleet.store.clone();
+    let old_store = fleet.store.clone();
     fleet.run(Duration::from_secs(8));
     assert_eq!(fleet.store.value("census", "boxes"), Some("6"));
-    fleet.store.restore(&copy);
+    fleet.store.restore(&old_store);
     assert_eq!(fleet.store.value("census", "boxes"), None);
     fleet.run(Duration::from_secs(6));
     assert_eq!(fleet.store.value("census", "boxes"), Some("6"));
@@ -57,13 +57,13 @@
 /// The calls that follow a return are those of the boxes that follow the store: lists of three kinds,
 /// the number of boxes and the held requests.
 #[test]
-fn a_return_costs_few_calls() {
+fn excessive_restore_calls() {
     for boxes in [6, 30] {
         let mut fleet = Fleet::new(boxes, 5);
         fleet.store.revision.era = 1;
-        let copy = fleet.store.clone();
+        let old_store = fleet.store.clone();
         fleet.run(Duration::from_secs(6));
-        fleet.store.restore(&copy);
+        fleet.store.restore(&old_store);
         let before = fleet.store.calls;
         fleet.run(Duration::from_secs(5));
         let calls = fleet.store.calls - before;
--- a/tests/tests/gateway_routes.rs
+++ b/tests/tests/gateway_routes.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn longest_prefix() {
+fn shorter_prefix_selected() {
     let routes = vec![with_prefix("a", "/"), with_prefix("b", "/x/"), with_prefix("c", "/x/y/")];
     let configuration = configuration_of(1, routes);
     let found = |path: &str| configuration.route(HOST, path).map(|it| it.name.to_string());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn split_by_weight() {
+fn split_weight_ignored() {
     let splits = vec![
         Split { service: PLAIN.into(), weight: 90 },
         Split { service: MODEL.into(), weight: 10 },
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn unknown_route() {
+fn unknown_route_accepted() {
     let mut world = World::new();
     let (_, effects) = world.arrive(request("nowhere"));
     assert_eq!(only_refusal(&effects), Refusal::NoRoute);
 }
 
 #[test]
-fn no_configuration() {
+fn request_without_configuration() {
     let mut world = World::unconfigured();
     let (_, effects) = world.arrive(request("safe"));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -56,7 +56,7 @@
 
 /// Each refusal of a request that was never taken up has its line in the log.
 #[test]
-fn refusals_are_logged() {
+fn refusal_not_logged() {
     let mut world = World::unconfigured();
     let arrived = |key| Event::Arrived(RequestKey(key), request("nowhere"));
     let logged = |effects: Vec<Effect>| {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn ready_with_both() {
+fn ready_without_configuration() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     assert!(!world.gateway.is_ready());
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn older_is_ignored() {
+fn older_configuration_applied() {
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     let newer = vec![route("safe", RouteKind::Safe, PLAIN)];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn stale_list_is_ignored() {
+fn stale_list_applied() {
     let mut world = World::new();
     world.event(Event::Listed(Vec::new(), 9.into()));
     let (_, effects) = world.arrive(request("safe"));
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -18,17 +18,17 @@
 };
 
 /// The key of the customer.
-const KEY: &[u8] = b"press-key";
+const CUSTOMER_KEY: &[u8] = b"press-key";
 
 /// Gives another box's heartbeat that tells how many boxes it knows.
-fn beat(number: u8, sequence: u64, peak_boxes: u32) -> Message {
+fn heartbeat_with_count(number: u8, sequence: u64, peak_boxes: u32) -> Message {
     let usage = Usage { peak_boxes, ..Usage::default() };
     Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
 }
 
 /// Lets time pass and gives how many boxes the box tells of in the end.
-fn told_boxes(world: &mut World, span: Duration) -> u32 {
-    let end = world.now + span;
+fn announced_box_count(world: &mut World, duration: Duration) -> u32 {
+    let end = world.now + duration;
     let mut boxes = None;
     while world.now < end {
         world.now = world.now + Duration::from_millis(10);
@@ -42,7 +42,7 @@
 }
 
 /// Makes a box that has heard nobody and knows a customer of 6,000 tokens a second.
-fn lonely(seeds: &[u8], boxes: Option<usize>) -> World {
+fn isolated_world(seeds: &[u8], boxes: Option<usize>) -> World {
     let mut world = World::unconfigured();
     let mut own = settings(1);
     own.boxes = boxes;
@@ -57,7 +57,7 @@
         unit: Unit::Token { plain: 200 },
         limit: Some(Limit { rate: 6000.0, burst: 6000.0 }),
         homes: Homes::default(),
-        credentials: vec![KeyDigest::of(KEY)],
+        credentials: vec![KeyDigest::of(CUSTOMER_KEY)],
     };
     let configuration = configuration(1).with_customers(Customers::new(vec![customer]));
     world.event(Event::Configured(Arc::new(configuration)));
@@ -65,13 +65,13 @@
 }
 
 /// Gives a request of the customer.
-fn keyed() -> Request {
-    Request { credential: Some(KeyDigest::of(KEY)), ..request("once") }
+fn request_with_key() -> Request {
+    Request { credential: Some(KeyDigest::of(CUSTOMER_KEY)), ..request("once") }
 }
 
 /// Has a request of the customer refused; gives the time after which it may come back.
 fn over_limit(world: &mut World) -> Duration {
-    match only_refusal(&world.arrive(keyed()).1) {
+    match only_refusal(&world.arrive(request_with_key()).1) {
         Refusal::OverLimit(_, wait) => wait,
         other => panic!("{other:?}"),
     }
@@ -80,69 +80,69 @@
 /// A box that starts in a part that is cut off learns from the boxes there how many there are, and
 /// tells those that start after it.
 #[test]
-fn learned_from_others() {
+fn peer_count_ignored() {
     let mut world = World::new();
-    world.event(Event::Received(beat(2, 1, 78)));
-    assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 78);
+    world.event(Event::Received(heartbeat_with_count(2, 1, 78)));
+    assert_eq!(announced_box_count(&mut world, Duration::from_millis(400)), 78);
 }
 
 /// A box that was stopped in order serves nobody and is not counted; it is when it comes back.
 #[test]
-fn stopped_in_order() {
+fn stopped_box_counted() {
     let mut world = World::new();
-    world.event(Event::Received(beat(2, 1, 0)));
-    world.event(Event::Received(beat(3, 1, 0)));
-    assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 3);
-    let stopping = Message { readiness: Readiness::Stopping, ..beat(3, 2, 0) };
+    world.event(Event::Received(heartbeat_with_count(2, 1, 0)));
+    world.event(Event::Received(heartbeat_with_count(3, 1, 0)));
+    assert_eq!(announced_box_count(&mut world, Duration::from_millis(400)), 3);
+    let stopping = Message { readiness: Readiness::Stopping, ..heartbeat_with_count(3, 2, 0) };
     world.event(Event::Received(stopping));
-    world.event(Event::Received(beat(2, 2, 0)));
-    assert_eq!(told_boxes(&mut world, Duration::from_secs(2)), 2);
-    let again = Message { incarnation: 2, ..beat(3, 1, 0) };
+    world.event(Event::Received(heartbeat_with_count(2, 2, 0)));
+    assert_eq!(announced_box_count(&mut world, Duration::from_secs(2)), 2);
+    let again = Message { incarnation: 2, ..heartbeat_with_count(3, 1, 0) };
     world.event(Event::Received(again));
-    assert_eq!(told_boxes(&mut world, Duration::from_millis(400)), 3);
+    assert_eq!(announced_box_count(&mut world, Duration::from_millis(400)), 3);
 }
 
 /// One that fell silent may have been cut off, and goes on serving.
 #[test]
-fn silent_is_counted() {
+fn silent_box_uncounted() {
     let mut world = World::new();
-    world.event(Event::Received(beat(2, 1, 0)));
-    assert_eq!(told_boxes(&mut world, Duration::from_secs(5)), 2);
+    world.event(Event::Received(heartbeat_with_count(2, 1, 0)));
+    assert_eq!(announced_box_count(&mut world, Duration::from_secs(5)), 2);
 }
 
 /// Long after they were stopped, boxes are forgotten and not counted again.
 #[test]
-fn stopped_long_ago() {
+fn forgotten_box_counted() {
     let mut world = World::new();
-    world.event(Event::Received(beat(2, 1, 40)));
-    let stopping = Message { readiness: Readiness::Stopping, ..beat(2, 2, 40) };
+    world.event(Event::Received(heartbeat_with_count(2, 1, 40)));
+    let stopping = Message { readiness: Readiness::Stopping, ..heartbeat_with_count(2, 2, 40) };
     world.event(Event::Received(stopping));
-    assert_eq!(told_boxes(&mut world, Duration::from_secs(70)), 39);
+    assert_eq!(announced_box_count(&mut world, Duration::from_secs(70)), 39);
 }
 
 /// A box that has heard nobody although others are named takes a part that is surely small.
 #[test]
-fn nobody_heard() {
+fn isolated_box_overspends() {
     let settled = |seeds: &[u8], boxes| {
-        let mut world = lonely(seeds, boxes);
+        let mut world = isolated_world(seeds, boxes);
         world.pass(Duration::from_secs(2));
         world
     };
     let wait = over_limit(&mut settled(&[2, 3], None));
     assert_eq!(wait, Duration::from_secs(10));
-    settled(&[], None).sent(keyed());
-    settled(&[2, 3], Some(1)).sent(keyed());
+    settled(&[], None).sent(request_with_key());
+    settled(&[2, 3], Some(1)).sent(request_with_key());
 }
 
 /// A box that has just started hears others within some tenths of a second: clients that it refuses
 /// meanwhile are told to come back then.
 #[test]
-fn nobody_heard_yet() {
-    let mut world = lonely(&[2, 3], None);
+fn early_retry_delayed() {
+    let mut world = isolated_world(&[2, 3], None);
     world.pass(Duration::from_millis(50));
     let wait = over_limit(&mut world);
     assert!((250..=400).contains(&wait.as_millis()), "{wait:?}");
-    world.event(Event::Received(beat(2, 1, 2)));
+    world.event(Event::Received(heartbeat_with_count(2, 1, 2)));
     world.pass(Duration::from_millis(300));
-    world.sent(keyed());
+    world.sent(request_with_key());
 }
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -15,127 +15,130 @@
 use hollyspoke_tests::stages::{Loop, Obedience, SWITCH};
 
 /// Long enough for a load to be known and an engine to have changed.
-const LONG: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(20);
 
 /// Requests a second that fill the memory of five generators, while two readers would do.
-const FULL: u32 = 15;
+const FULL_LOAD_PER_S: u32 = 15;
 
 #[test]
-fn memory_is_scarce() {
+fn decode_engines_lacking() {
     let mut it = Loop::default();
-    it.play(FULL, 3000, LONG);
-    let readers = it.readers();
-    assert!((1..=2).contains(&readers), "{readers} readers of nine engines");
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
+    let prefill_engine_count = it.readers();
+    assert!(
+        (1..=2).contains(&prefill_engine_count),
+        "{prefill_engine_count} readers of nine engines"
+    );
     assert!(it.orders.iter().all(|it| it.stage == Stage::Decode));
     let refused = it.refused;
-    it.play(FULL, 3000, LONG);
-    assert_eq!(it.readers(), readers, "a steady load changes nothing more");
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
+    assert_eq!(it.readers(), prefill_engine_count, "a steady load changes nothing more");
     assert_eq!(it.refused, refused, "there is room for all");
 }
 
 /// Engines that take few requests a second count for nothing, and get no order, which is a request too.
 /// Three of four readers were ordered to generate where two of them were in need.
 #[test]
-fn engines_in_need_stay_as_they_are() {
+fn limited_engine_switched() {
     let mut it = Loop::default();
-    let in_need = ["engine-11", "engine-12"].map(EngineKey::of);
-    for engine in in_need {
+    let rate_limited = ["engine-11", "engine-12"].map(EngineKey::of);
+    for engine in rate_limited {
         it.limits.insert(engine, 0.2);
         it.world.event(Event::Statement(
             engine,
             Statement { limit: Reported::Rate(0.2), ..Statement::default() },
         ));
     }
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     let ordered: Vec<_> = it.orders.iter().map(|it| it.engine.key).collect();
-    assert!(!ordered.iter().any(|it| in_need.contains(it)), "{:?}", it.orders);
+    assert!(!ordered.iter().any(|it| rate_limited.contains(it)), "{:?}", it.orders);
     assert!(it.readers() >= 3, "one reader is left beside the two in need");
 }
 
 #[test]
-fn reading_is_scarce() {
+fn prefill_engines_lacking() {
     let mut it = Loop::new(1, 8);
     it.run = Duration::from_millis(300);
-    it.play(FULL, 6000, LONG);
+    it.play(FULL_LOAD_PER_S, 6000, SETTLE_TIME);
     assert!(it.readers() > 2, "{} readers of nine engines", it.readers());
 }
 
 #[test]
-fn little_load_changes_nothing() {
+fn light_load_switches() {
     let mut it = Loop::default();
-    it.play(3, 3000, LONG);
+    it.play(3, 3000, SETTLE_TIME);
     assert!(it.orders.is_empty(), "{:?}", it.orders);
 }
 
 #[test]
-fn follows_the_load() {
+fn load_change_ignored() {
     let mut it = Loop::default();
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     let with_long_answers = it.readers();
     it.run = Duration::from_millis(400);
-    it.play(FULL, 6000, LONG * 2);
+    it.play(FULL_LOAD_PER_S, 6000, SETTLE_TIME * 2);
     let with_long_prompts = it.readers();
     assert!(with_long_prompts > with_long_answers, "{with_long_prompts}");
     it.run = Duration::from_secs(3);
-    it.play(FULL, 3000, LONG * 2);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME * 2);
     assert!(it.readers() < with_long_prompts, "{}", it.readers());
     assert!(it.orders.len() < 14, "{} orders are too many", it.orders.len());
 }
 
 #[test]
-fn no_swinging() {
+fn stages_oscillate() {
     let mut it = Loop::default();
     for _ in 0..10 {
         it.run = Duration::from_secs(3);
-        it.play(FULL, 3000, Duration::from_secs(3));
+        it.play(FULL_LOAD_PER_S, 3000, Duration::from_secs(3));
         it.run = Duration::from_millis(400);
-        it.play(FULL, 6000, Duration::from_secs(3));
+        it.play(FULL_LOAD_PER_S, 6000, Duration::from_secs(3));
     }
-    let turns = it.orders.windows(2).filter(|it| it[0].stage != it[1].stage).count();
-    assert!(turns <= 3, "{turns} turns within a minute");
+    let direction_changes = it.orders.windows(2).filter(|it| it[0].stage != it[1].stage).count();
+    assert!(direction_changes <= 3, "{direction_changes} turns within a minute");
 }
 
 /// A load that swings more slowly than the demand forgets is followed, but no faster than one turn
 /// in fifteen seconds.
 #[test]
-fn slow_swing() {
+fn slow_load_ignored() {
     let mut it = Loop::default();
     for _ in 0..4 {
         it.run = Duration::from_secs(3);
-        it.play(FULL, 3000, Duration::from_secs(10));
+        it.play(FULL_LOAD_PER_S, 3000, Duration::from_secs(10));
         it.run = Duration::from_millis(300);
-        it.play(FULL, 7000, Duration::from_secs(10));
+        it.play(FULL_LOAD_PER_S, 7000, Duration::from_secs(10));
     }
-    let mut turns = Vec::new();
+    let mut direction_changes = Vec::new();
     for (pair, &at) in it.orders.windows(2).zip(&it.ordered_at[1..]) {
         if pair[0].stage != pair[1].stage {
-            turns.push(at);
+            direction_changes.push(at);
         }
     }
-    assert!(!turns.is_empty(), "the load is followed");
-    let least = Duration::from_secs(15);
-    for (turn, &at) in turns.iter().enumerate().skip(1) {
-        let span = at.since(turns[turn - 1]);
-        assert!(span >= least, "{span:?} between two turns");
+    assert!(!direction_changes.is_empty(), "the load is followed");
+    let min_duration = Duration::from_secs(15);
+    for (index, &at) in direction_changes.iter().enumerate().skip(1) {
+        let duration = at.since(direction_changes[index - 1]);
+        assert!(duration >= min_duration, "{duration:?} between two turns");
     }
 }
 
 #[test]
-fn no_order_without_the_store() {
+fn order_without_lease() {
     let mut it = Loop::default();
     it.has_store = false;
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     assert!(it.orders.is_empty(), "{:?}", it.orders);
     assert_eq!(it.readers(), 4);
     it.has_store = true;
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     assert!(it.readers() < 4, "the store is back");
 }
 
 #[test]
-fn orders_carry_the_lease() {
+fn order_token_decreases() {
     let mut it = Loop::default();
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     let tokens: Vec<_> = it.orders.iter().map(|it| it.token).collect();
     assert!(!tokens.is_empty() && tokens.iter().all(|&it| it > 10), "{tokens:?}");
     assert!(tokens.is_sorted(), "a later order has no lower token: {tokens:?}");
@@ -143,24 +146,24 @@
 
 /// Another box holds the lease: its time has to pass, and then its last orders'.
 #[test]
-fn lease_is_waited_for() {
+fn lease_taken_early() {
     let mut it = Loop::default();
     it.seize();
     let began = it.world.now;
-    while it.orders.is_empty() && it.world.now.since(began) < LONG {
-        it.play(FULL, 3000, Duration::from_millis(100));
+    while it.orders.is_empty() && it.world.now.since(began) < SETTLE_TIME {
+        it.play(FULL_LOAD_PER_S, 3000, Duration::from_millis(100));
     }
     let waited = it.world.now.since(began);
-    let least = Duration::from_millis(4500) + settings(1).order_pause;
-    assert!(waited > least, "ordered after {waited:?}");
-    assert!(waited < LONG, "never ordered");
+    let min_duration = Duration::from_millis(4500) + settings(1).order_pause;
+    assert!(waited > min_duration, "ordered after {waited:?}");
+    assert!(waited < SETTLE_TIME, "never ordered");
 }
 
 #[test]
-fn lost_answer_is_asked_for_again() {
+fn lost_order_answer() {
     let mut it = Loop::default();
     it.obedience = Obedience::Silent;
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     let first = &it.orders[0];
     let again: Vec<_> = it.orders.iter().filter(|it| it.engine.key == first.engine.key).collect();
     assert_eq!(again.len(), 2, "the second is refused, which proves that the first was taken");
@@ -169,26 +172,26 @@
 }
 
 #[test]
-fn deaf_engine_is_given_up() {
+fn silent_engine_ordered_forever() {
     let mut it = Loop::default();
     it.obedience = Obedience::Deaf;
-    it.play(FULL, 3000, Duration::from_secs(6));
+    it.play(FULL_LOAD_PER_S, 3000, Duration::from_secs(6));
     let key = it.orders[0].engine.key;
     assert_eq!(it.orders.iter().filter(|it| it.engine.key == key).count(), 3);
     assert_eq!(it.readers(), 4);
 }
 
 #[test]
-fn refusal_is_not_pressed() {
+fn refused_order_flood() {
     let mut it = Loop::default();
     it.obedience = Obedience::Refuses;
-    it.play(FULL, 3000, LONG);
+    it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     assert!((1..=10).contains(&it.orders.len()), "{} orders", it.orders.len());
 }
 
 /// Only the first of the living boxes orders; box 2 and box 1 differ in who is first.
 #[test]
-fn one_node_orders() {
+fn several_boxes_order() {
     let mut ordering = 0;
     for other in 2..=9 {
         let mut it = Loop::default();
@@ -197,7 +200,7 @@
             sequence += 1;
             let beat = heartbeat(other, sequence, StoreView::default());
             it.world.event(Event::Received(beat));
-            it.play(FULL, 3000, Duration::from_millis(200));
+            it.play(FULL_LOAD_PER_S, 3000, Duration::from_millis(200));
         }
         ordering += usize::from(!it.orders.is_empty());
     }
@@ -206,19 +209,19 @@
 
 /// An engine of which another box says that it changes gets nothing, and its entry ends that.
 #[test]
-fn switching_engine_gets_nothing() {
+fn switching_engine_used() {
     let mut world = World::new();
-    let told = |duration_ms| {
+    let announced = |duration_ms| {
         let mut message = heartbeat(2, u64::from(duration_ms) + 1, StoreView::default());
         let key = EngineKey::of("engine-21");
         message.stage_switches =
             vec![StageSwitch { engine: key, stage: Stage::Prefill, duration_ms }];
         Event::Received(message)
     };
-    world.event(told(5000));
+    world.event(announced(5000));
     for _ in 0..4 {
-        let (_, reading) = world.sent(request("once"));
-        let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+        let (_, prefill_call) = world.sent(request("once"));
+        let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
         assert_eq!(&*only_send(&effects).engine.id, "engine-22");
     }
     let changed = engine(21, hollyspoke_tests::gateway::MODEL, Some(Stage::Prefill));
@@ -231,28 +234,28 @@
 /// An engine that says that a call was not meant for it has another stage than its entry tells; it
 /// is passed over for a while and not for good.
 #[test]
-fn wrong_stage_teaches() {
+fn wrong_stage_retried() {
     let mut world = World::new();
     let misdirected = Answer { execution: Execution::Replaced, ..ran(421) };
-    let (_, reading) = world.sent(request("once"));
-    let effects = world.call(reading.call, CallEvent::Answered(misdirected));
+    let (_, prefill_call) = world.sent(request("once"));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(misdirected));
     let next = only_send(&effects);
-    assert_ne!(next.engine.id, reading.engine.id, "the request goes on elsewhere");
+    assert_ne!(next.engine.id, prefill_call.engine.id, "the request goes on elsewhere");
     world.pass(Duration::from_secs(3));
     let engines: Vec<_> = (0..6).map(|_| world.sent(request("once")).1.engine.id.clone()).collect();
-    assert!(engines.contains(&reading.engine.id), "{engines:?}");
+    assert!(engines.contains(&prefill_call.engine.id), "{engines:?}");
 }
 
 /// While an engine changes, what it would have served goes to the others or is refused at once.
 #[test]
-fn nobody_waits_for_a_change() {
+fn request_waits_for_switch() {
     let mut it = Loop::new(4, 1);
-    it.play(FULL, 3000, SWITCH);
-    let (flight, mut effects) = it.world.arrive(request("once"));
+    it.play(FULL_LOAD_PER_S, 3000, SWITCH);
+    let (request_key, mut effects) = it.world.arrive(request("once"));
     effects.extend(it.world.pass(Duration::from_millis(250)));
     let is_answered = effects.iter().any(|it| match it {
-        Effect::Send(send) => send.request == flight,
-        Effect::Refuse(refused, _) => *refused == flight,
+        Effect::Send(send) => send.request == request_key,
+        Effect::Refuse(refused, _) => *refused == request_key,
         _ => false,
     });
     assert!(is_answered, "{effects:?}");
--- a/tests/tests/gateway_streams.rs
+++ b/tests/tests/gateway_streams.rs
@@ -11,40 +11,40 @@
 };
 
 /// Gives a request that fills an engine's memory.
-fn filling(route: &str) -> Request {
+fn filling_request(route: &str) -> Request {
     Request { prompt_tokens: Some(MEMORY * 9 / 10), ..request(route) }
 }
 
 #[test]
-fn read_then_generated() {
+fn stream_not_completed() {
     let mut world = World::new();
-    let (flight, generating) = world.streaming(request("once"));
-    let Task::Decode(Prompt::Prefilled(source)) = &generating.task else {
-        panic!("{generating:?}")
+    let (request_key, decode_call) = world.streaming(request("once"));
+    let Task::Decode(Prompt::Prefilled(source)) = &decode_call.task else {
+        panic!("{decode_call:?}")
     };
     assert_eq!(source.handle, "h");
-    assert_eq!(generating.engine.stage, Some(Stage::Decode));
-    assert_eq!(world.call(generating.call, CallEvent::Forwarded(Some(1))), []);
-    let effects = world.call(generating.call, CallEvent::Answered(ran(200)));
-    assert_eq!(effects, [Effect::Finish(flight)]);
+    assert_eq!(decode_call.engine.stage, Some(Stage::Decode));
+    assert_eq!(world.call(decode_call.call, CallEvent::Forwarded(Some(1))), []);
+    let effects = world.call(decode_call.call, CallEvent::Answered(ran(200)));
+    assert_eq!(effects, [Effect::Finish(request_key)]);
 }
 
 /// A prompt read without room for it at an engine that generates is read for nothing.
 #[test]
-fn no_room_no_reading() {
+fn useless_prefill() {
     let mut world = World::new();
-    world.streaming(filling("once"));
-    world.streaming(filling("once"));
+    world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
     let (_, effects) = world.arrive(request("once"));
     assert_eq!(effects, []);
 }
 
 /// A client whose request is refused within a quarter of the target loses least by coming back.
 #[test]
-fn no_room_is_refused_soon() {
+fn overload_refusal_late() {
     let mut world = World::new();
-    world.streaming(filling("once"));
-    world.streaming(filling("once"));
+    world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
     world.arrive(request("once"));
     let effects = world.pass(Duration::from_millis(225));
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -53,28 +53,28 @@
 }
 
 #[test]
-fn room_that_comes_is_used() {
+fn freed_capacity_unused() {
     let mut world = World::new();
-    let (_, first) = world.streaming(filling("once"));
-    world.streaming(filling("once"));
+    let (_, first) = world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
     world.arrive(request("once"));
     let effects = world.call(first.call, CallEvent::Answered(ran(200)));
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 /// Gives a request of a client that has come back after a refusal.
-fn returned(route: &str) -> Request {
+fn returning_request(route: &str) -> Request {
     Request { deadline: Some(Duration::from_secs(10)), ..request(route) }
 }
 
 /// A request that has been given up on gets its answer at once, also if its client came back:
 /// engines that are full for this long stay full for longer than the client waits.
 #[test]
-fn returned_request_waits_no_longer() {
+fn returning_request_waits_longer() {
     let mut world = World::new();
-    world.streaming(filling("once"));
-    world.streaming(filling("once"));
-    world.arrive(returned("once"));
+    world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
+    world.arrive(returning_request("once"));
     assert_eq!(world.pass(Duration::from_millis(190)), []);
     let effects = world.pass(Duration::from_millis(10));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
@@ -83,23 +83,23 @@
 
 /// A client that came back has no further try, so that its request goes before others.
 #[test]
-fn returned_request_goes_first() {
+fn returning_request_delayed() {
     let mut world = World::new();
-    let (_, full) = world.streaming(filling("once"));
-    world.streaming(filling("once"));
-    world.arrive(filling("once"));
+    let (_, full) = world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
+    world.arrive(filling_request("once"));
     let (key, _) =
-        world.arrive(Request { prompt_tokens: Some(MEMORY * 9 / 10), ..returned("once") });
+        world.arrive(Request { prompt_tokens: Some(MEMORY * 9 / 10), ..returning_request("once") });
     let effects = world.call(full.call, CallEvent::Answered(ran(200)));
     assert_eq!(only_send(&effects).request, key);
 }
 
 /// The engine was full: the prompt is offered to a second one before it is read again.
 #[test]
-fn prompt_turned_away_once() {
+fn rejected_prompt_dropped() {
     let mut world = World::new();
-    let (_, reading) = world.sent(request("once"));
-    let first = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
+    let (_, prefill_call) = world.sent(request("once"));
+    let first = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
     let effects = world.call(first.call, CallEvent::Answered(turned_away()));
     let second = only_send(&effects);
     assert_eq!(second.task, first.task);
@@ -110,56 +110,56 @@
 
 /// A prompt that is late for its own length would be late at any time; refusing it helps nobody.
 #[test]
-fn long_prompt_is_served() {
+fn long_prompt_refused() {
     let mut world = World::new();
-    let (_, send) = world.sent(filling("once"));
+    let (_, send) = world.sent(filling_request("once"));
     assert_eq!(send.task, Task::Prefill);
 }
 
 #[test]
-fn prompt_not_read() {
+fn prefill_failure_fatal() {
     for event in [CallEvent::Broken, CallEvent::Answered(ran(500))] {
         let mut world = World::new();
-        let (_, reading) = world.sent(request("once"));
-        let effects = world.call(reading.call, event);
+        let (_, prefill_call) = world.sent(request("once"));
+        let effects = world.call(prefill_call.call, event);
         assert_eq!(only_send(&effects).task, Task::Decode(Prompt::NotPrefilled));
     }
 }
 
 #[test]
-fn broken_stream_goes_on() {
+fn resumable_stream_lost() {
     let mut world = World::new();
-    let (flight, first) = world.streaming(request("resumed"));
+    let (request_key, first) = world.streaming(request("resumed"));
     world.call(first.call, CallEvent::Forwarded(Some(4)));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     assert_eq!(second.last_event, Some(4));
     assert_ne!(second.engine.id, first.engine.id);
     let effects = world.call(second.call, CallEvent::Began(ran(200)));
-    assert_eq!(effects, [Effect::Resume(flight, second.call)]);
+    assert_eq!(effects, [Effect::Resume(request_key, second.call)]);
     world.call(second.call, CallEvent::Forwarded(Some(5)));
     let effects = world.call(second.call, CallEvent::Answered(ran(200)));
-    assert_eq!(effects, [Effect::Finish(flight)]);
+    assert_eq!(effects, [Effect::Finish(request_key)]);
 }
 
 #[test]
-fn broken_stream_that_may_not_go_on() {
+fn broken_stream_resumed() {
     let mut world = World::new();
-    let (flight, first) = world.streaming(request("once"));
+    let (request_key, first) = world.streaming(request("once"));
     world.call(first.call, CallEvent::Forwarded(Some(4)));
-    assert_eq!(world.call(first.call, CallEvent::Broken), [Effect::Abort(flight)]);
+    assert_eq!(world.call(first.call, CallEvent::Broken), [Effect::Abort(request_key)]);
 }
 
 #[test]
-fn attempts_are_bounded() {
+fn attempt_limit_exceeded() {
     let mut world = World::new();
-    let (flight, first) = world.streaming(request("resumed"));
+    let (request_key, first) = world.streaming(request("resumed"));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     world.call(second.call, CallEvent::Began(ran(200)));
-    assert_eq!(world.call(second.call, CallEvent::Broken), [Effect::Abort(flight)]);
+    assert_eq!(world.call(second.call, CallEvent::Broken), [Effect::Abort(request_key)]);
 }
 
 #[test]
-fn stream_that_stalls() {
+fn stalled_stream_kept() {
     let mut world = World::new();
     let (_, first) = world.streaming(request("resumed"));
     world.call(first.call, CallEvent::Forwarded(Some(1)));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn stream_that_stalls_and_may_not_go_on() {
+fn stalled_stream_cut() {
     let mut world = World::new();
     let (_, first) = world.streaming(request("once"));
     world.call(first.call, CallEvent::Forwarded(Some(1)));
@@ -177,20 +177,20 @@
 }
 
 #[test]
-fn client_left_before_generating() {
+fn abandoned_prompt_kept() {
     let mut world = World::new();
-    let (flight, reading) = world.sent(request("once"));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    let effects = world.event(Event::ClientDisconnected(flight));
-    assert_eq!(effects[0], Effect::Cancel(generating.call));
+    let (request_key, prefill_call) = world.sent(request("once"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let effects = world.event(Event::ClientDisconnected(request_key));
+    assert_eq!(effects[0], Effect::Cancel(decode_call.call));
     assert!(matches!(effects[1], Effect::Free(_)));
 }
 
 #[test]
-fn client_left_frees_the_room() {
+fn abandoned_capacity_kept() {
     let mut world = World::new();
-    let (first, _) = world.streaming(filling("once"));
-    world.streaming(filling("once"));
+    let (first, _) = world.streaming(filling_request("once"));
+    world.streaming(filling_request("once"));
     world.event(Event::ClientDisconnected(first));
     let (_, send) = world.sent(request("once"));
     assert_eq!(send.task, Task::Prefill);
@@ -198,7 +198,7 @@
 
 /// With all that read prompts gone, an engine that generates reads the prompt itself.
 #[test]
-fn no_engine_that_reads() {
+fn missing_prefill_engines_fatal() {
     let mut world = World::new();
     let decoders = vec![engine(21, MODEL, Some(Stage::Decode))];
     world.event(Event::Listed(decoders, 20.into()));
@@ -207,12 +207,12 @@
 }
 
 #[test]
-fn long_queue_goes_around() {
+fn prefill_queue_awaited() {
     let mut world = World::new();
-    let mut alone = 0;
+    let mut direct_decode_count = 0;
     for _ in 0..12 {
         let (_, send) = world.sent(request("once"));
-        alone += u32::from(send.task == Task::Decode(Prompt::NotPrefilled));
+        direct_decode_count += u32::from(send.task == Task::Decode(Prompt::NotPrefilled));
     }
-    assert!(alone > 0, "some prompts are read by the engines that generate");
+    assert!(direct_decode_count > 0, "some prompts are read by the engines that generate");
 }
--- a/tests/tests/gateway_survey.rs
+++ b/tests/tests/gateway_survey.rs
@@ -19,8 +19,8 @@
 }
 
 /// Lets time pass, and gives the engines that were asked meanwhile.
-fn asked_within(world: &mut World, span: Duration) -> Vec<EngineKey> {
-    let end = world.now + span;
+fn queried_within(world: &mut World, duration: Duration) -> Vec<EngineKey> {
+    let end = world.now + duration;
     let mut keys = Vec::new();
     while world.now < end {
         world.now = world.gateway.next_due().max(world.now + Duration::from_micros(1)).min(end);
@@ -35,7 +35,7 @@
 }
 
 /// Gives the engines that generate.
-fn generators() -> Vec<EngineKey> {
+fn decode_engines() -> Vec<EngineKey> {
     let all = engines().into_iter().filter(|it| it.stage == Some(Stage::Decode));
     let mut keys: Vec<_> = all.map(|it| it.key).collect();
     keys.sort();
@@ -43,59 +43,59 @@
 }
 
 #[test]
-fn lone_node_asks_all_once() {
+fn engine_queried_twice() {
     let mut world = World::new();
-    assert_eq!(asked_within(&mut world, Duration::from_millis(90)), []);
-    assert_eq!(asked_within(&mut world, Duration::from_millis(20)), generators());
-    assert_eq!(asked_within(&mut world, Duration::from_secs(5)), []);
+    assert_eq!(queried_within(&mut world, Duration::from_millis(90)), []);
+    assert_eq!(queried_within(&mut world, Duration::from_millis(20)), decode_engines());
+    assert_eq!(queried_within(&mut world, Duration::from_secs(5)), []);
 }
 
 /// Each engine is asked by one box.
 #[test]
-fn nodes_share_the_engines() {
+fn engines_queried_by_all() {
     let mut world = World::new();
     for number in 2..=40 {
         world.event(Event::Received(heartbeat(number, 1, StoreView::default())));
     }
-    let asked = asked_within(&mut world, Duration::from_millis(200));
-    assert!(asked.len() < generators().len(), "39 others ask the rest");
+    let queried_engines = queried_within(&mut world, Duration::from_millis(200));
+    assert!(queried_engines.len() < decode_engines().len(), "39 others ask the rest");
 }
 
 /// After a loss of all boxes each hears the others only after a while. Until then it would take
 /// itself for the only one and ask every engine.
 #[test]
-fn waits_to_hear_the_others() {
+fn query_before_peers_known() {
     let mut world = World::unconfigured();
     let seeds = (2..=4).map(|it| settings(it).peer).collect();
     world.event(Event::Seeds(seeds));
     world.event(Event::Configured(Arc::new(configuration(1))));
     world.event(Event::Listed(engines(), 10.into()));
-    let mut asked = asked_within(&mut world, Duration::from_millis(250));
+    let mut queried_engines = queried_within(&mut world, Duration::from_millis(250));
     for number in 2..=40 {
         world.event(Event::Received(heartbeat(number, 1, StoreView::default())));
-        asked.extend(asked_within(&mut world, Duration::from_millis(5)));
+        queried_engines.extend(queried_within(&mut world, Duration::from_millis(5)));
     }
-    assert_eq!(asked, [], "others are still heard for the first time");
-    let asked = asked_within(&mut world, Duration::from_millis(500));
-    assert!(asked.len() < generators().len(), "39 others ask the rest");
+    assert_eq!(queried_engines, [], "others are still heard for the first time");
+    let queried_engines = queried_within(&mut world, Duration::from_millis(500));
+    assert!(queried_engines.len() < decode_engines().len(), "39 others ask the rest");
 }
 
 /// A box that hears nobody asks all the same, but not engines without bound: many such boxes may
 /// be cut off from each other.
 #[test]
-fn asks_a_bounded_part() {
+fn unbounded_queries() {
     let mut world = World::unconfigured();
     world.event(Event::Seeds(vec![settings(2).peer]));
     world.event(Event::Configured(Arc::new(configuration(1))));
     let many = (1..=200).map(|it| engine(it, MODEL, Some(Stage::Decode))).collect();
     world.event(Event::Listed(many, 10.into()));
-    let asked = asked_within(&mut world, Duration::from_secs(1));
-    assert!((1..=16).contains(&asked.len()), "{} engines", asked.len());
+    let queried_engines = queried_within(&mut world, Duration::from_secs(1));
+    assert!((1..=16).contains(&queried_engines.len()), "{} engines", queried_engines.len());
 }
 
 /// What waits for the answers goes on soon after they have come, however late they were asked for.
 #[test]
-fn resuming_waits_for_a_late_question() {
+fn late_query_not_awaited() {
     let mut world = World::unconfigured();
     world.event(Event::Seeds(vec![settings(2).peer]));
     world.event(Event::Configured(Arc::new(configuration(1))));
@@ -109,36 +109,37 @@
 }
 
 #[test]
-fn node_that_knows_nothing_asks_nobody() {
+fn query_without_engines() {
     let mut world = World::unconfigured();
     world.event(Event::Configured(Arc::new(configuration(1))));
-    assert_eq!(asked_within(&mut world, Duration::from_secs(1)), []);
+    assert_eq!(queried_within(&mut world, Duration::from_secs(1)), []);
 }
 
 /// A box that stops before it has asked must not be woken over and over for it.
 #[test]
-fn stopping_node_does_not_ask() {
+fn stopping_box_queries() {
     let mut world = World::new();
     world.event(Event::Stop);
-    assert_eq!(asked_within(&mut world, Duration::from_millis(150)), []);
+    assert_eq!(queried_within(&mut world, Duration::from_millis(150)), []);
     assert!(world.gateway.next_due() > world.now);
 }
 
 #[test]
-fn resuming_waits_for_the_answer() {
+fn cached_answer_missed() {
     let mut world = World::new();
     let (_, effects) = world.arrive(resuming());
     assert_eq!(effects, []);
     world.pass(Duration::from_millis(120));
-    let keeper = EngineKey::of("engine-22");
-    let effects = world.event(Event::CachedPrompts(keeper, vec![PromptKey(9), PromptKey(7)]));
+    let caching_engine = EngineKey::of("engine-22");
+    let effects =
+        world.event(Event::CachedPrompts(caching_engine, vec![PromptKey(9), PromptKey(7)]));
     let send = only_send(&effects);
     assert_eq!(send.task, Task::Decode(Prompt::Cached));
-    assert_eq!(send.engine.key, keeper);
+    assert_eq!(send.engine.key, caching_engine);
 }
 
 #[test]
-fn resuming_waits_no_longer() {
+fn resumed_request_waits_forever() {
     let mut world = World::new();
     world.arrive(resuming());
     let effects = world.pass(Duration::from_millis(360));
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn others_do_not_wait() {
+fn unrelated_request_waits() {
     let mut world = World::new();
     let (_, send) = world.sent(request("resumed"));
     assert_eq!(send.task, Task::Prefill);
