--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -1,4 +1,4 @@
-//! Engines that turn requests away since their memory is full.
+//! Engines that reject requests because their memory is full.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{World, heartbeat, only_send, read, request, turned_away};
 
-/// Gives the word of another box that both engines that generate had no room.
+/// Returns another box's announcement that both decode engines lacked free capacity.
 fn rejections_from_peer(held_tokens: u32) -> Event {
     let full =
         ["engine-21", "engine-22"].map(|it| Rejection { engine: EngineKey::of(it), held_tokens });
     Event::Received(Message { rejections: full.to_vec(), ..heartbeat(2, 1, StoreView::default()) })
 }
 
-/// Gives a request with a prompt of some tokens.
+/// Returns a request with a prompt of some tokens.
 fn sized(tokens: u64) -> Request {
     Request { prompt_tokens: Some(tokens), ..request("once") }
 }
 
-/// No prompt is read for engines that have just turned another box's request away.
+/// Prompts were prefilled for engines that had just rejected another box's request.
 #[test]
 fn peer_rejection_ignored() {
     let mut world = World::new();
@@ -29,7 +29,7 @@
     let (_, effects) = world.arrive(sized(5000));
     assert_eq!(effects, []);
     let effects = world.pass(Duration::from_millis(250));
-    assert!(!effects.is_empty(), "the word counts for a short time");
+    assert!(!effects.is_empty(), "the announcement expires after a short time");
 }
 
 #[test]
--- a/tests/tests/gateway_outages.rs
+++ b/tests/tests/gateway_outages.rs
@@ -1,4 +1,4 @@
-//! Engines whose entries lapse while the store is away.
+//! Engines whose entries expire while the store is unavailable.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use hollyspoke_gateway::event::{Event, Kind};
 use hollyspoke_tests::gateway::{World, engines, request};
 
-/// Has the store be away for a time and answer again.
+/// Simulates a store outage.
 fn outage(world: &mut World, duration: Duration) {
     world.event(Event::StoreAnswered(Kind::Engines));
     world.event(Event::StoreFailed(Kind::Engines));
@@ -14,7 +14,7 @@
     world.event(Event::StoreAnswered(Kind::Engines));
 }
 
-/// Tells whether a plain request finds an engine.
+/// Returns whether a plain request is sent to an engine.
 fn is_served(world: &mut World) -> bool {
     let (_, effects) = world.arrive(request("unsafe"));
     effects.iter().any(|it| matches!(it, hollyspoke_gateway::effect::Effect::Send(_)))
@@ -53,7 +53,7 @@
     assert!(!is_served(&mut world));
 }
 
-/// A box that is still away learns of the lapse from one that sees the store again.
+/// A box without the store learns of the expiry from one that reaches the store again.
 #[test]
 fn removal_applied_during_outage() {
     let mut world = World::new();
@@ -72,7 +72,7 @@
     assert!(!is_served(&mut world));
 }
 
-/// An engine that has said that it leaves needs no second word.
+/// An entry that was draining before it expired is removed without a delay.
 #[test]
 fn removed_draining_engine_used() {
     let mut world = World::new();
--- a/tests/tests/gateway_reach.rs
+++ b/tests/tests/gateway_reach.rs
@@ -1,4 +1,4 @@
-//! Engines that cannot be reached, and what boxes tell each other about them.
+//! Engines that cannot be reached, and what boxes announce to each other about them.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_tests::gateway::{World, heartbeat, ran, request};
 
-/// Gives the word of a box that it has not reached engines.
+/// Returns a box's announcement that it has not reached engines.
 fn unreachable_announcement(node: u8, sequence: u64, engines: &[u8]) -> Event {
     let unreachable = engines.iter().map(|it| EngineKey::of(&format!("engine-{it}"))).collect();
     Event::Received(Message { unreachable, ..heartbeat(node, sequence, StoreView::default()) })
 }
 
-/// Sends some plain requests; gives how many went to engine 1.
+/// Sends plain requests and returns how many are sent to engine 1.
 fn first_engine_count(world: &mut World) -> usize {
     let mut count = 0;
     for _ in 0..8 {
@@ -25,7 +25,7 @@
     count
 }
 
-/// A dead engine must not be found out by every box for itself.
+/// Without reports from peers, every box has to discover a dead engine itself.
 #[test]
 fn peer_failures_ignored() {
     let mut world = World::new();
@@ -34,7 +34,7 @@
     assert_eq!(first_engine_count(&mut world), 0);
 }
 
-/// One box alone may be cut off itself.
+/// A single report may come from a box that is itself partitioned.
 #[test]
 fn single_report_trusted() {
     let mut world = World::new();
@@ -52,7 +52,7 @@
     assert!(first_engine_count(&mut world) > 0);
 }
 
-/// If others have reached no engine of a service, this box tries all the same.
+/// A box tries engines although its peers have reached none of the service.
 #[test]
 fn last_engines_abandoned() {
     let mut world = World::new();
--- a/tests/tests/gateway_rewrite.rs
+++ b/tests/tests/gateway_rewrite.rs
@@ -1,5 +1,5 @@
-//! What the boxes themselves have written is written again after the store came back from an older
-//! copy, by a few of them.
+//! Objects that boxes write are lost when the store is restored from an older copy, unless a few
+//! boxes write them again.
 
 use std::time::Duration;
 
@@ -7,12 +7,11 @@
 use hollyspoke_tests::crashes::Harmful;
 use hollyspoke_tests::fleet::{Fleet, Store};
 
-/// The request that crashes engines.
+/// A request that crashes engines.
 const HARMFUL: Harmful =
     Harmful { route: "resumed", every: Duration::from_millis(500), when_read: false };
 
-/// Makes boxes that know the store's era, and hold a harmful request back; gives them with a copy of
-/// the store from before.
+/// Returns boxes that quarantine a harmful request, and a copy of the store from before.
 fn fleet_with_quarantine(boxes: usize) -> (Fleet, Store) {
     let mut fleet = Fleet::new(boxes, 5);
     fleet.store.revision.era = 1;
@@ -20,12 +19,12 @@
     let old_store = fleet.store.clone();
     fleet.harmful = Some(HARMFUL);
     fleet.run(Duration::from_secs(20));
-    let cases = fleet.store.value(CASES, "requests").expect("the request is held back");
+    let cases = fleet.store.value(CASES, "requests").expect("the request is quarantined");
     assert!(cases.len() > 2, "{cases}");
     (fleet, old_store)
 }
 
-/// Requests that are held back stay so, though all boxes are lost some seconds after the return.
+/// The quarantine was lost when all boxes restarted some seconds after the restore.
 #[test]
 fn quarantine_lost_after_restore() {
     let (mut fleet, old_store) = fleet_with_quarantine(6);
@@ -40,7 +39,7 @@
     assert_eq!(fleet.crashes.caused.len(), caused);
 }
 
-/// How many boxes live is written again.
+/// The number of live boxes was missing after the restore.
 #[test]
 fn box_count_lost() {
     let mut fleet = Fleet::new(6, 5);
@@ -54,8 +53,8 @@
     assert_eq!(fleet.store.value("census", "boxes"), Some("6"));
 }
 
-/// The calls that follow a return are those of the boxes that follow the store: lists of three kinds,
-/// the number of boxes and the held requests.
+/// Only boxes that follow the store call it after a restore: they read lists of three kinds, the
+/// number of boxes and the quarantined requests.
 #[test]
 fn excessive_restore_calls() {
     for boxes in [6, 30] {
--- a/tests/tests/gateway_routes.rs
+++ b/tests/tests/gateway_routes.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request gets, and which configuration is in force.
+//! Selection of the route and service of a request, and of the configuration in force.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
     HOST, MODEL, PLAIN, World, configuration_of, engines, only_refusal, only_send, request, route,
 };
 
-/// Gives a route with a prefix of its own.
+/// Returns a route with the given prefix.
 fn with_prefix(name: &str, prefix: &str) -> Route {
     Route { prefix: prefix.into(), ..route(name, RouteKind::Safe, PLAIN) }
 }
@@ -54,7 +54,7 @@
     assert!(!world.gateway.is_ready());
 }
 
-/// Each refusal of a request that was never taken up has its line in the log.
+/// A request that is refused on arrival was missing in the log.
 #[test]
 fn refusal_not_logged() {
     let mut world = World::unconfigured();
