--- a/tests/tests/gateway_crashes.rs
+++ b/tests/tests/gateway_crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the engines that run them, and come again at any box.
+//! Requests that crash the engines that run them and are sent again by clients, to any box.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use hollyspoke_tests::faults::{Fault, bring};
 use hollyspoke_tests::fleet::Fleet;
 
-/// The time after the third crash in which all boxes come to know.
+/// The time after the third crash within which all boxes learn of it.
 const DETECTION_TIME: Duration = Duration::from_secs(3);
 
-/// The repeats that are allowed later, over the whole time and all boxes.
+/// The number of repeats allowed after that, in total over all boxes.
 const MAX_REPEATS_COUNT: usize = 3;
 
-/// How long a harmful request goes on coming.
+/// How long a harmful request keeps arriving.
 const TROUBLE_DURATION: Duration = Duration::from_secs(20);
 
 /// A stream that may be resumed, twice a second.
 const STREAM: Harmful =
     Harmful { route: "resumed", every: Duration::from_millis(500), when_read: false };
 
-/// The harmful requests that are played.
+/// The harmful requests of each scenario.
 const HARMFUL_REQUESTS: [Harmful; 5] = [
     STREAM,
     Harmful { when_read: true, ..STREAM },
@@ -30,15 +30,15 @@
     Harmful { route: "unsafe", ..STREAM },
 ];
 
-/// Gives six boxes that have served for a while, and that a harmful request begins to come to.
+/// Returns six boxes in steady service that begin to receive a harmful request.
 fn troubled(harmful: Harmful, seed: u64) -> Fleet {
     let mut fleet = Fleet::settled(6, seed);
     fleet.harmful = Some(harmful);
     fleet
 }
 
-/// Plays a scenario with each kind of harmful request and some seeds, and checks that none of them
-/// comes to engines more often than is allowed.
+/// Runs a scenario with each harmful request and several seeds, and checks that none reaches engines
+/// more often than allowed.
 fn check_repeats(name: &str, scenario: impl Fn(&mut Fleet)) {
     let mut violations = Vec::new();
     for harmful in HARMFUL_REQUESTS {
@@ -63,18 +63,16 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// A request came again and again, at any box, and each engine that began to run it ended; the boxes
-/// sent it on as if it had never been there. They noted `call failed` with `how=broken` at one engine
-/// after the other, and `request ended` with `how=broken`, each time under another id; 55 engines
-/// ended under one request, and it was sent on 26 times later than three seconds after the third.
-/// Here, with six boxes at the usual traffic, it came to engines 11 to 73 times more, and up to 643
-/// of 1,997 other requests were refused.
+/// Boxes sent a request on each time it arrived, although each engine that ran it crashed: 55 engines
+/// crashed, and 26 repeats were sent later than three seconds after the third crash. In this
+/// simulation it reached engines 11 to 73 times more than allowed, and up to 643 of 1,997 other
+/// requests were refused.
 #[test]
 fn harmful_request_repeated() {
     check_repeats("six boxes", |fleet| fleet.run(TROUBLE_DURATION));
 }
 
-/// What is known of a request outlives each box, and all of them.
+/// A restart of one box, or of all, lost what was known of a harmful request.
 #[test]
 fn quarantine_lost_on_restart() {
     check_repeats("one after the other", |fleet| {
@@ -91,8 +89,8 @@
     });
 }
 
-/// Boxes that do not hear each other learn of it from the store, and those that miss datagrams from
-/// later ones.
+/// Boxes that receive no announcements have to learn of a crash from the store, and those that miss
+/// single datagrams from later ones.
 #[test]
 fn quarantine_lost_without_datagrams() {
     check_repeats("all cut off from each other", |fleet| {
@@ -113,7 +111,7 @@
     });
 }
 
-/// A request that comes seldom is allowed no more than one that comes often.
+/// A harmful request that arrives rarely could crash more engines than a frequent one.
 #[test]
 fn rare_harmful_request() {
     for harmful in HARMFUL_REQUESTS {
@@ -125,14 +123,14 @@
     }
 }
 
-/// Gives the generators of the usual engines.
+/// Returns the decode engines.
 fn decode_engines(fleet: &Fleet) -> Vec<EngineKey> {
     let engines = fleet.engines().into_iter();
     engines.filter(|it| it.stage == Some(Stage::Decode)).map(|it| it.key).collect()
 }
 
-/// Engines crash by themselves, one after the other and all at once, under requests that come once
-/// and under one that many send: none of them is ever taken for harmful.
+/// Engines crash without a cause in the requests, singly and all at once: neither single requests nor
+/// one that many clients send may be quarantined.
 #[test]
 fn harmless_request_quarantined() {
     for (seed, popular) in [(1, "resumed"), (2, "once"), (3, "resumed"), (4, "once")] {
@@ -151,7 +149,7 @@
     }
 }
 
-/// One harmful request comes beside the popular one: the one is held back, the other is not.
+/// A popular request that runs beside a harmful one could be quarantined with it.
 #[test]
 fn popular_request_quarantined() {
     for seed in 1..=4 {
@@ -163,8 +161,8 @@
     }
 }
 
-/// Connections to engines that go on living break again and again: no request is taken for harmful,
-/// not even one that never gets a whole answer.
+/// Broken connections to engines that stay alive are not crashes: no request may be quarantined for
+/// them, not even one that never gets a whole answer.
 #[test]
 fn broken_connection_counted() {
     let mut fleet = Fleet::settled(6, 1);
@@ -177,8 +175,8 @@
     assert_eq!(fleet.crashes.wrongly_held(), 0);
 }
 
-/// A request that is held back gets a final answer at once, at every box, and engines hear nothing
-/// of it any more.
+/// A quarantined request gets a final answer at once at every box, and is never sent to an engine
+/// again.
 #[test]
 fn quarantined_request_sent() {
     let mut fleet = troubled(STREAM, 1);
@@ -192,10 +190,9 @@
     assert!(answers.iter().all(|(_, it)| matches!(it, Refusal::Quarantined(_))), "{answers:?}");
 }
 
-/// Boxes that missed one of them read the cases in the store every four seconds, each of them, and
-/// those that had just started every second: of 300 boxes one loss cost 4,500 calls in a minute, and
-/// the start of all 1,200 more. A sweep of the store's calls at 300 boxes showed it: 5,031 on a day
-/// that took 3,841 before.
+/// While one box was missing, every other box read the cases in the store every four seconds, and
+/// every second after its start: of 300 boxes one loss cost 4,500 calls in a minute, and the start of
+/// all boxes 1,200 more.
 #[test]
 fn excessive_quarantine_reads() {
     let mut fleet = Fleet::new(24, 1);
@@ -207,11 +204,10 @@
     assert!((1..=33).contains(&reads), "{reads}");
 }
 
-/// Three engines crashed within 0.2 s, and all boxes were lost before these were back. Boxes that
-/// start learn the crashes from the store and the engines from a list that shows their next lives
-/// already: nothing changed any more that proved the crashes, the boxes went on saying that they
-/// were in doubt, and after 10 s they let the request go; it crashed four more. Drawn by
-/// crashes_drawn.rs with more kinds of faults, and shrunk to this.
+/// Three engines crashed within 0.2 s, and all boxes were lost before the engines were back. The
+/// restarted boxes read the crashes from the store and a list with the engines' next incarnations, so
+/// that no later change proved the crashes. After 10 s they released the request, which crashed four
+/// more engines. A shrunk case of crashes_drawn.rs.
 #[test]
 fn crash_proof_lost() {
     let every = Duration::from_millis(485);
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -1,9 +1,8 @@
-//! Engines that say in their answers that they are about to leave get nothing more.
+//! Engines that state in their answers that they are shutting down get no more requests.
 //!
-//! While the store was away for 13 s, one of three engines said in each answer that it leaves; its
-//! entry could not be written. Boxes read the entry alone: with `call sent` lines up to the end, and no
-//! line on the engine, one sent it requests 2,021 and 2,033 ms after it had passed such an answer on,
-//! and all six boxes sent it 82 in the 13 s.
+//! Boxes read only the engine's entry in the store. While the store was unavailable for 13 s, the
+//! entry of an engine that was shutting down could not be written, and six boxes sent it 82 requests,
+//! some of them 2 s after they had forwarded its statement.
 
 use std::time::Duration;
 
@@ -24,7 +23,7 @@
 };
 use hollyspoke_tests::terms::DRAIN;
 
-/// What the news of an engine that leaves takes to come to all boxes.
+/// The time within which all boxes learn that an engine is shutting down.
 const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(60);
 
 #[test]
@@ -36,7 +35,7 @@
     assert_eq!(fleet.terms.late(DRAIN), 0, "later than {DRAIN:?}");
 }
 
-/// Where others serve, all boxes stop as soon as one of them has been told.
+/// Where other engines serve, all boxes have to stop as soon as one has received the statement.
 #[test]
 fn box_keeps_using_draining() {
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
@@ -48,7 +47,7 @@
     }
 }
 
-/// Engines of a service that all leave are used for a while, and never later than is allowed.
+/// If all engines of a service drain, they are used for a while, and never later than allowed.
 #[test]
 fn draining_service_unused() {
     for (service, seed) in [(PLAIN, 4), (MODEL, 5)] {
@@ -65,8 +64,8 @@
     }
 }
 
-/// Boxes that start again, one by one and all at once, hear it from others or from the next answer; the
-/// word lasts longer than the boxes that heard it first.
+/// Restarted boxes have to learn of the shutdown from other boxes, or from the next answer, also when
+/// the boxes that learned it first are gone.
 #[test]
 fn shutdown_lost_on_restart() {
     let mut fleet = Fleet::settled(6, 6);
@@ -79,13 +78,13 @@
         fleet.run(Duration::from_secs(2));
     }
     let got = fleet.terms.got(shutdown_statement, from, fleet.now());
-    assert_eq!(got, 0, "from boxes that others could tell");
+    assert_eq!(got, 0, "from boxes that others could inform");
     fleet.restart(0..6);
     fleet.run(Duration::from_secs(6));
     assert_eq!(fleet.terms.late(ANNOUNCEMENT_TIME), 0);
 }
 
-/// Boxes that are cut off from each other learn it each from an answer of their own.
+/// Partitioned boxes each have to learn of the shutdown from an answer of their own.
 #[test]
 fn partitioned_box_uses_draining() {
     let mut fleet = Fleet::settled(6, 7);
@@ -97,7 +96,7 @@
     assert_eq!(fleet.terms.late(ANNOUNCEMENT_TIME), 0);
 }
 
-/// A datagram of four that is lost leaves nobody without the news for longer than some heartbeats.
+/// If a quarter of the datagrams is lost, all boxes have to know within a few heartbeats.
 #[test]
 fn shutdown_announcement_lost() {
     let mut fleet = Fleet::settled(6, 8);
@@ -110,7 +109,7 @@
     assert_eq!(fleet.terms.got(shutdown_statement, from, fleet.now()), 0);
 }
 
-/// A new life under the id is used again.
+/// A new incarnation under the same id has to be used again.
 #[test]
 fn restarted_engine_unused() {
     let mut fleet = Fleet::settled(6, 9);
@@ -125,17 +124,17 @@
     assert!(fleet.needs.got(shutdown_statement, from, fleet.now()) > 20);
 }
 
-/// Says that an engine leaves.
+/// Returns a statement that the engine is shutting down.
 fn shutdown_statement() -> Statement {
     Statement { is_leaving: true, ..Statement::default() }
 }
 
-/// Gives an answer whose engine leaves.
+/// Returns an answer whose engine is shutting down.
 fn ran_during_shutdown(status: u16) -> Answer {
     Answer { statement: shutdown_statement(), ..ran(status) }
 }
 
-/// Has plain requests arrive, each answered at once; gives the engines that they were sent to.
+/// Sends plain requests, each answered at once; returns the engines that they were sent to.
 fn plain_serving_engines(world: &mut World) -> Vec<EngineKey> {
     let sends = (0..12).filter_map(|_| {
         let (_, effects) = world.arrive(request("safe"));
@@ -149,12 +148,12 @@
     sends.collect()
 }
 
-/// Gives the first plain engine, born at a time.
+/// Returns the first plain engine with a start time.
 fn first(start: Option<u64>) -> Engine {
     Engine { started_at: start, ..engine(1, PLAIN, None) }
 }
 
-/// Makes a box before two plain engines of which the first, born at 100, has said that it leaves.
+/// Makes a box with two plain engines, the first of which, started at 100, is shutting down.
 fn world_with_draining_engine() -> World {
     let mut world = World::new();
     world.event(Event::Listed(vec![first(Some(100)), engine(2, PLAIN, None)], 20.into()));
@@ -163,8 +162,8 @@
     world
 }
 
-/// Neither an entry that calls it ready, nor a list, nor its entry's loss and return, nor an answer that
-/// was made before takes the word back.
+/// Neither a ready entry, nor a list, nor the entry's removal and return, nor an earlier answer may
+/// withdraw the statement: only a later incarnation does.
 #[test]
 fn shutdown_withdrawn_early() {
     let mut world = world_with_draining_engine();
@@ -193,7 +192,7 @@
     assert!(plain_serving_engines(&mut world).contains(&key));
 }
 
-/// Its address may go to another engine, which does not leave.
+/// Another engine at the same address has to be used.
 #[test]
 fn address_successor_unused() {
     let mut world = world_with_draining_engine();
@@ -204,7 +203,7 @@
     assert!(plain_serving_engines(&mut world).contains(&other.key));
 }
 
-/// A call that goes to an earlier life brings nothing of the later one, and a 421 nothing at all.
+/// An answer to an earlier incarnation must not affect the later one, nor a 421 any engine.
 #[test]
 fn foreign_answer_applied() {
     let mut world = World::new();
@@ -219,7 +218,7 @@
     world.sent(request("safe"));
 }
 
-/// All kinds of answers tell: those of runs, failures, refusals and readings, and heads of streams.
+/// The statement counts in every answer: runs, failures, rejections, prefills and stream heads.
 #[test]
 fn shutdown_answer_ignored() {
     let kinds: [(&str, CallEvent); 6] = [
@@ -252,7 +251,7 @@
     assert!(!called_engines(&effects).contains(&decode_call.engine.key));
 }
 
-/// Gives the engines that calls are sent to.
+/// Returns the engines that calls are sent to.
 fn called_engines(effects: &[Effect]) -> Vec<EngineKey> {
     let sends = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(send.engine.key),
@@ -261,15 +260,15 @@
     sends.collect()
 }
 
-/// Has a stream's prompt be read; gives the reading call, and what follows.
+/// Prefills a stream's prompt; returns the prefill call and the effects that follow.
 fn prefilled_request(world: &mut World, id: &str) -> (Send, Vec<Effect>) {
     let (_, prefill_call) = world.sent(Request { id: id.into(), ..request("resumed") });
     let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
     (prefill_call, effects)
 }
 
-/// A prompt that was read for an engine that leaves meanwhile goes to another one, and what runs there
-/// goes on.
+/// A prompt prefilled for an engine that begins to drain goes to another one, and running calls
+/// continue.
 #[test]
 fn prompt_sent_to_draining() {
     let mut world = World::new();
@@ -284,7 +283,7 @@
     assert!(effects.contains(&Effect::Finish(request_key)), "{effects:?}");
 }
 
-/// A stream that breaks at an engine that leaves goes on elsewhere; a repeat goes elsewhere too.
+/// A stream that breaks at a draining engine, and a repeat, have to go to another engine.
 #[test]
 fn retry_sent_to_draining() {
     let mut world = World::new();
@@ -297,7 +296,7 @@
     assert_ne!(only_send(&effects).engine.key, send.engine.key);
 }
 
-/// The prompt that an engine keeps is taken from there by another one.
+/// Another engine has to fetch the prompt that a draining engine caches.
 #[test]
 fn cached_prompt_abandoned() {
     let mut world = World::new();
@@ -312,7 +311,7 @@
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(decode_call.engine.address)));
 }
 
-/// An engine that leaves is not asked what it keeps or whether it lives, and no prompt is freed there.
+/// A draining engine is neither queried nor probed, and no prompt is freed there.
 #[test]
 fn draining_engine_queried() {
     let mut world = World::new();
@@ -340,7 +339,7 @@
     assert!(!effects.iter().any(|it| is_aside(&it)), "{effects:?}");
 }
 
-/// Where all leave, requests are served for half of the drain, and refused at once after that.
+/// If all engines drain, requests are served for half of the drain and refused at once after it.
 #[test]
 fn refusal_delayed_during_drain() {
     for route in ["safe", "unsafe", "once", "resumed"] {
@@ -359,7 +358,7 @@
     }
 }
 
-/// An engine that is in need as well gets nothing, with a permit or without.
+/// A draining engine that is rate-limited as well gets nothing, with a permit or without.
 #[test]
 fn limited_draining_engine_used() {
     let mut world = world_with_draining_engine();
@@ -369,7 +368,7 @@
     assert!(!plain_serving_engines(&mut world).contains(&first(None).key));
 }
 
-/// Gives the datagrams that tell of an engine that leaves, and to how many boxes.
+/// Returns how many announcements of the shutdown are sent, summed over the receiving boxes.
 fn announcement_count(effects: &[Effect], engine: EngineKey) -> usize {
     let tells = effects.iter().map(|it| match it {
         Effect::Announce(audience, message) => {
@@ -381,7 +380,7 @@
     tells.sum()
 }
 
-/// Gives word that the first plain engine leaves in a life.
+/// Returns an announcement that an incarnation of the first plain engine is shutting down.
 fn shutdown_announcement(start: u64, age_ms: u32) -> Message {
     let departures =
         vec![Announcement { engine: first(None).key, started_at: Some(start), age_ms }];
@@ -389,7 +388,7 @@
     Message { extension, ..heartbeat(2, 1, StoreView::default()) }
 }
 
-/// A box tells the others at once, repeats it with its heartbeats, and tells a box that greets it.
+/// A box has to announce the shutdown at once, with its heartbeats, and to a box that greets it.
 #[test]
 fn shutdown_not_announced() {
     let mut world = World::new();
@@ -406,8 +405,8 @@
     assert!(announcement_count(&effects, key) >= 1, "{effects:?}");
 }
 
-/// Words count with their age: what another box has known for half of the drain is over here too; word
-/// of an earlier life is none, and word that comes before the list holds.
+/// Announcements count from their age: half of the drain may be over on arrival. One of an earlier
+/// incarnation is ignored, and one that arrives before the list is kept.
 #[test]
 fn stale_announcement_applied() {
     let only = |start| {
@@ -430,8 +429,8 @@
     assert!(!plain_serving_engines(&mut known).contains(&first(None).key));
 }
 
-/// A box that gets its engines from another one, since the store does not answer, hears with them which
-/// leave: it sends them nothing, though it was told by no engine and no datagram.
+/// A box that gets its engines from a peer's snapshot has to learn from it which are shutting down,
+/// without an answer or a datagram that says so.
 #[test]
 fn shutdown_missing_in_snapshot() {
     let mut provider = world_with_draining_engine();
@@ -443,7 +442,7 @@
     assert!(!served.is_empty() && !served.contains(&first(None).key), "{served:?}");
 }
 
-/// Where all readers leave, those that generate read for themselves.
+/// If all prefill engines drain, decode engines have to prefill the prompts themselves.
 #[test]
 fn draining_prefill_engines_used() {
     let mut world = World::new();
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -1,4 +1,4 @@
-//! How often requests are sent to one more engine, at one box and over all of them.
+//! Bounds on how often requests are sent to another engine, at one box and over all boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 };
 use hollyspoke_tests::repeats::{Arrival, Asked, Records};
 
-/// Has a safe request fail at its first engine and succeed at the next, if there is one; gives
-/// whether it was sent to another one, as the log tells.
+/// Fails a safe request at its first engine and answers it at the next, if there is one; returns
+/// whether the log says that it was sent to another one.
 fn logged_repeat(world: &mut World) -> Option<bool> {
     let (_, first) = world.sent(request("safe"));
     let event = Event::Call(first.call, CallEvent::Answered(ran(500)));
@@ -35,7 +35,7 @@
     })
 }
 
-/// An operator sees each repeat, and each that the budget did not allow.
+/// The log lacked repeats, or those that the budget did not allow.
 #[test]
 fn repeat_not_logged() {
     let mut world = World::new();
@@ -44,24 +44,24 @@
     assert_eq!(logged[199], Some(false));
 }
 
-/// The engines fail nearly all runs, as they did in the second record of the incident.
+/// The engines fail nearly all runs.
 const FAILING: Behaviour = Behaviour { turns_away: 0.0, fails: 0.95 };
 
-/// They turn nearly all calls away, as in the first record, and fail the rest.
+/// The engines reject nearly all calls and fail the others.
 const REJECTING: Behaviour = Behaviour { turns_away: 0.95, fails: 1.0 };
 
-/// How long the engines go on so: two windows of the bound.
+/// How long the engines misbehave: two windows of the bound.
 const TROUBLE_DURATION: Duration = Duration::from_secs(20);
 
-/// Gives six boxes that have served for a while, and whose engines have just begun to misbehave.
+/// Returns six boxes in steady service whose engines begin to misbehave.
 fn troubled(behaviour: Behaviour, seed: u64) -> Fleet {
     let mut fleet = Fleet::settled(6, seed);
     fleet.behaviour = behaviour;
     fleet
 }
 
-/// Plays a scenario with some seeds and both kinds of misbehaviour, and checks that no service gets
-/// more repeats in any window than is allowed.
+/// Runs a scenario with both kinds of misbehaviour and several seeds, and checks that no service gets
+/// more repeats in any window than allowed.
 fn check_bound(name: &str, scenario: impl Fn(&mut Fleet)) {
     let mut violations = Vec::new();
     for (behaviour, seed) in [(FAILING, 1), (FAILING, 2), (REJECTING, 1), (REJECTING, 2)] {
@@ -84,12 +84,10 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// All engines of a service failed at once, and six boxes sent more repeats than is allowed for all
-/// of them. Each went by what the others had told it up to a heartbeat before. On a day with three
-/// times the traffic a box noted `repeat sent` with `repeats=13 requests=25`, `others_repeats=5
-/// others_requests=110`, when 60 had been sent within 0.36 s. Datagrams that are 1.2 to 1.5 s late
-/// are enough for that at the usual traffic: 1.16 of the bound at engines that fail, 2.08 at those
-/// that refuse.
+/// Each box counted the repeats of the others as of their last heartbeat. When all engines of a
+/// service failed at three times the traffic, 60 repeats were sent within 0.36 s, of which a box knew
+/// 18. At the usual traffic, datagrams that are 1.2 to 1.5 s late are enough: boxes sent 1.16 of the
+/// bound to engines that fail, and 2.08 to engines that reject.
 #[test]
 fn bound_exceeded_by_delay() {
     check_bound("three times the traffic", |fleet| {
@@ -107,12 +105,10 @@
     });
 }
 
-/// Boxes that were killed while engines failed had spent nothing when they came back, as they
-/// believed, and the others forgot what those had told. On a day on which all were killed twice in
-/// 4 s the boxes noted `repeat sent` 108 times within 0.33 s of the first start, with `repeats=11
-/// others_repeats=0`, and 137 times after the second; the service of the counter got 301 repeats in
-/// ten seconds, and 291 were allowed. Here one loss of all boxes leads to 1.25 of the bound, two to
-/// 1.56, one box killed each half second to 1.62, all at the usual traffic.
+/// Restarted boxes began with an unspent budget, and the others forgot what the killed ones had sent.
+/// After two kills of all boxes within 4 s, a service got 301 repeats in ten seconds where 291 were
+/// allowed. In this simulation one loss of all boxes led to 1.25 of the bound, two to 1.56, and one
+/// box killed each half second to 1.62.
 #[test]
 fn bound_exceeded_by_restart() {
     check_bound("all killed once", |fleet| {
@@ -144,9 +140,9 @@
     });
 }
 
-/// A box that starts while it hears nobody took itself for the only one, and the fixed allowance,
-/// which is for all boxes together, for its own: six that were cut off from each other and started
-/// used 2.31 of the bound at engines that fail, and 3.06 at engines that refuse.
+/// A partitioned box that started took itself for the only one, and used the whole allowance, which
+/// all boxes share. Six such boxes used 2.31 of the bound at engines that fail, and 3.06 at engines
+/// that reject.
 #[test]
 fn bound_exceeded_by_partition() {
     check_bound("all cut off", |fleet| {
@@ -172,9 +168,9 @@
     });
 }
 
-/// Three boxes of six were cut off from the others and all started anew at the same moment. They
-/// heard only each other, noted `repeat sent` with `boxes=3`, and divided the allowance by three; the
-/// other three divided it by six. When all engines failed 20 s later they used 1.08 of the bound.
+/// Three of six boxes were partitioned and restarted at the same moment. They knew only each other
+/// and divided the allowance by three, the others by six. When all engines failed 20 s later, the
+/// boxes used 1.08 of the bound.
 #[test]
 fn bound_exceeded_by_restarted_part() {
     check_bound("half cut off and started at once", |fleet| {
@@ -187,8 +183,8 @@
     });
 }
 
-/// A repeat counts when it arrives. Calls that are held up on the way for a second arrive with those
-/// that are sent later: 3 s of that used 1.01 of the bound before boxes left a margin for it.
+/// A repeat counts when it arrives: calls delayed by a second arrive together with those sent later.
+/// Without a margin for this, a delay of 3 s used 1.01 of the bound.
 #[test]
 fn bound_exceeded_by_delayed_calls() {
     let held = Duration::from_secs(1);
@@ -198,7 +194,7 @@
         }
         fleet.run(TROUBLE_DURATION);
     });
-    check_bound("calls held up later, while boxes stand still", |fleet| {
+    check_bound("calls held up later, while boxes are paused", |fleet| {
         fleet.run(Duration::from_secs(9));
         for number in 0..6 {
             fleet.hold_calls(number, held);
@@ -209,10 +205,9 @@
     });
 }
 
-/// The first reading of a prompt is free if an engine takes it up. One that was turned away after
-/// the request had failed at another engine was not charged either: `call sent` with `task=read` and
-/// `before=1`, then `call failed how="turned away"`, and no `repeat sent` between them. Forty
-/// requests in a window were repeated sixteen times so, and thirteen were allowed.
+/// The first prefill of a prompt is free if an engine accepts it. One that was rejected after the
+/// request had failed at another engine was not charged either: forty requests in a window were
+/// repeated sixteen times, where thirteen were allowed.
 #[test]
 fn rejected_prefill_uncounted() {
     let retry_bound = Bound { allowance: 5.0, ..BOUND };
@@ -243,7 +238,7 @@
     assert!(used <= 1.0, "{used:.3} of the bound, {} repeats", records.repeat_count(MODEL));
 }
 
-/// Gives the word of another box that an engine keeps the prompt.
+/// Returns another box's announcement that an engine caches the prompt.
 fn cached_prompt_announcement(number: u64) -> Event {
     let cached_prompts =
         vec![CachedPrompt { prompt: PromptKey(7), engine: EngineKey::of("engine-21") }];
