--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -1,11 +1,9 @@
-//! Engines in need name in their answers how many requests a second they take from all boxes
-//! together.
+//! Rate-limited engines name in their answers how many requests a second they take from all boxes.
 //!
-//! Two of three engines of a service named 3.5 and 3.3 requests a second and went on getting as many
-//! as the third: 61 and 44 in 4 s, where 26 and 25 are allowed. Nothing read what they named. In
-//! virtual time, six boxes, the usual traffic, 2.46 and 3.09 of what is allowed came to plain engines
-//! that name 3.5 and 3.0. Once the limits were read, each box that kept them alone would have sent
-//! six times as much; now one box issues the permits of an engine.
+//! If boxes ignore the limits, engines that name 3.5 and 3.3 requests a second get 61 and 44 in 4 s,
+//! where 26 and 25 are allowed. In this simulation they got 2.46 and 3.09 times what is allowed. If
+//! each of six boxes kept the limit alone, six times as much would be sent, so one box issues the
+//! permits of an engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,17 +23,17 @@
     heartbeat, only_refusal, only_send, ran, read, request, route,
 };
 
-/// The least share of the limits that is used where the work is there.
+/// The share of the limits that has to be used while enough requests arrive.
 const MIN_USED_SHARE: f64 = 0.8;
 
-/// Gives the engines of a service.
+/// Returns the engines of a service.
 fn engines(fleet: &Fleet, service: &str) -> Vec<EngineKey> {
     let engines = fleet.engines();
     engines.iter().filter(|it| *it.service == *service).map(|it| it.key).collect()
 }
 
-/// Plays six boxes before engines of a service that name a limit for 14 s; gives the most of what is
-/// allowed that came to one of them.
+/// Runs six boxes for 14 s with engines of a service that name a limit; returns the highest share of
+/// the bound that one of them got.
 fn max_bound_used(service: &str, count: usize, rate: f64, seed: u64) -> f64 {
     let mut fleet = Fleet::settled(6, seed);
     let chosen = engines(&fleet, service).into_iter().take(count);
@@ -68,7 +66,7 @@
     }
 }
 
-/// What engines take is used, where all of a service are in need and more comes than they take.
+/// If all engines of a service are rate-limited, their limits have to be used up.
 #[test]
 fn limited_capacity_unused() {
     for (service, rate, seed) in [(PLAIN, 3.0, 8), (PLAIN, 0.4, 9), (MODEL, 0.5, 10)] {
@@ -86,8 +84,7 @@
     }
 }
 
-/// Six boxes notice by one answer that a limit is lifted, also where it let one request through in ten
-/// seconds.
+/// One answer has to show six boxes that a limit is lifted, also one of a request in ten seconds.
 #[test]
 fn lifted_limit_ignored() {
     for (rate, within, seed) in [(3.0, 2, 11), (0.1, 24, 12)] {
@@ -104,7 +101,7 @@
     }
 }
 
-/// Boxes that start again learn the limits from the others, or from the first answer.
+/// Restarted boxes have to learn the limits from the others, or from the first answer.
 #[test]
 fn limit_lost_on_restart() {
     let mut fleet = Fleet::settled(6, 13);
@@ -120,7 +117,7 @@
     assert!(max_bound_used <= 1.0, "{max_bound_used:.2} of what is allowed");
 }
 
-/// Halves that are cut off from each other, and boxes that are all alone.
+/// Two halves without contact, and single isolated boxes, must not exceed the limit.
 #[test]
 fn partition_exceeds_limit() {
     for sides in [2, 6] {
@@ -138,24 +135,24 @@
     }
 }
 
-/// Gives an answer of an engine that takes so many requests a second.
+/// Returns an answer of an engine that names a limit, in requests a second.
 fn limited(rate: f64) -> Answer {
     Answer { statement: rate_statement(rate), ..ran(200) }
 }
 
-/// Says that an engine takes so many requests a second.
+/// Returns a statement of a limit, in requests a second.
 fn rate_statement(rate: f64) -> Statement {
     Statement { limit: Reported::Rate(rate), ..Statement::default() }
 }
 
-/// Has a plain engine of a box name a limit, by the answer to a request.
+/// Answers a plain request with a limit; returns its engine.
 fn answer_with_limit(world: &mut World, rate: f64) -> EngineKey {
     let (_, call) = world.sent(request("safe"));
     world.call(call.call, CallEvent::Answered(limited(rate)));
     call.engine.key
 }
 
-/// Has a request arrive, be answered if it is sent, and gives where it was sent.
+/// Sends a request, answers it if it is sent on, and returns its engine.
 fn serving_engine(world: &mut World, answer: &Answer) -> Option<EngineKey> {
     let (_, effects) = world.arrive(request("safe"));
     let send = effects.into_iter().find_map(|it| match it {
@@ -166,7 +163,7 @@
     Some(send.engine.key)
 }
 
-/// Makes a box before one plain engine that takes so many requests a second.
+/// Makes a box with one plain engine that names a limit.
 fn world_with_limit(rate: f64) -> World {
     let mut world = World::new();
     world.event(Event::Listed(vec![engine(1, PLAIN, None)], 20.into()));
@@ -180,14 +177,14 @@
     let limited_one = answer_with_limit(&mut world, 1.0);
     let mut taken = 0;
     for _ in 0..100 {
-        let engine = serving_engine(&mut world, &ran(200)).expect("the other has room");
+        let engine = serving_engine(&mut world, &ran(200)).expect("the other has free capacity");
         taken += usize::from(engine == limited_one);
         world.pass(Duration::from_millis(10));
     }
     assert!(taken <= 3, "{taken} in a second");
 }
 
-/// Refused at once, with the time at which the engine takes one more.
+/// A request beyond the limit is refused at once, with the time of the next permit.
 #[test]
 fn wrong_retry_time() {
     let mut world = world_with_limit(0.5);
@@ -199,14 +196,14 @@
     assert!(serving_engine(&mut world, &limited(0.5)).is_some());
 }
 
-/// A turn that comes in time is waited for.
+/// A request has to wait for a permit that is due before its target.
 #[test]
 fn timely_permit_missed() {
     let mut world = world_with_limit(12.0);
     world.pass(Duration::from_secs(1));
     assert!(serving_engine(&mut world, &limited(12.0)).is_some());
     assert!(serving_engine(&mut world, &limited(12.0)).is_some());
-    // The third turn comes after a twelfth of a second and little more; the target is 900 ms.
+    // The third permit is due after a little more than 1/12 s; the target is 900 ms.
     let (_, effects) = world.arrive(Request { id: "third".into(), ..request("safe") });
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.pass(Duration::from_millis(95));
@@ -234,8 +231,8 @@
     assert!(serving_engine(&mut world, &ran(200)).is_some());
 }
 
-/// A repeat is not taken from the budget for an engine that has no place left: the client gets the
-/// answer that is there.
+/// A repeat without a permit must not take from the retry budget: the client gets the answer that
+/// is there.
 #[test]
 fn retry_without_permit() {
     let mut world = world_with_limit(0.5);
@@ -258,7 +255,7 @@
     );
 }
 
-/// Has the reader and the generator of a stream name limits; gives the generator.
+/// Runs a stream whose decode engine names a limit; returns the decode call.
 fn limit_decode_engine(world: &mut World, new_request: Request, rate: f64) -> Send {
     let (_, prefill_call) = world.sent(new_request);
     assert_eq!(prefill_call.task, Task::Prefill);
@@ -270,7 +267,7 @@
     decode_call
 }
 
-/// Makes a box that has heard another one, before engines that are all in need.
+/// Makes a box with a peer and with engines that are all rate-limited.
 fn world_with_peer(engines: Vec<Engine>) -> World {
     let mut world = World::new();
     world.event(Event::Listed(engines.clone(), 20.into()));
@@ -281,8 +278,8 @@
     world
 }
 
-/// Gives what becomes of requests that come while the other box, which issues the permits of some
-/// engines, does not answer: each is sent or refused in time, and none is held until its deadline.
+/// Checks that requests are sent or refused in time while the other box, which issues the permits of
+/// some engines, does not answer.
 fn assert_ends_within(mut world: World, route: &str, duration: Duration) {
     for number in 0..20 {
         let id = format!("request-{number}");
@@ -311,8 +308,8 @@
     assert_ends_within(world_with_peer(engines), "resumed", Duration::from_millis(500));
 }
 
-/// Room that was there when a request asked for a permit may be gone when the answer does not come: it
-/// is refused as others are that find no room, and is not held until its deadline.
+/// If the free capacity is gone when a permit has not arrived, the request is refused at once and not
+/// held until its deadline.
 #[test]
 fn capacity_lost_during_wait() {
     let full = Load {
@@ -340,10 +337,10 @@
         let effects = world.pass(Duration::from_millis(400));
         only_refusal(&effects);
     }
-    assert!(asked > 5, "{asked} boxes issue the permits of a reader");
+    assert!(asked > 5, "{asked} boxes issue the permits of a prefill engine");
 }
 
-/// A prompt that an engine in need keeps is no reason to wait for it: others read it.
+/// A request must not wait for a rate-limited engine that caches its prompt.
 #[test]
 fn cached_prompt_delays_request() {
     let mut world = World::new();
@@ -354,7 +351,7 @@
     assert_ne!(again.engine.key, caching_engine.engine.key);
 }
 
-/// What runs at an engine that names a limit goes on.
+/// A limit must not end calls that already run.
 #[test]
 fn running_call_stopped() {
     let mut world = World::new();
@@ -367,7 +364,7 @@
     assert!(effects.iter().any(|it| matches!(it, Effect::Finish(_))), "{effects:?}");
 }
 
-/// Has time pass, with a request every 100 ms, and gives how many are sent; all are answered at once.
+/// Sends a request every 100 ms, all answered at once; returns how many are sent on.
 fn sent_in(world: &mut World, duration: Duration, answer: &Answer) -> usize {
     let end = world.now + duration;
     let mut count = 0;
@@ -384,8 +381,7 @@
     count
 }
 
-/// Makes a box whose plain engine is cold for a minute, bears so many requests a second then and names
-/// a limit.
+/// Makes a box whose plain engine is cold for a minute, with a rate while cold, and names a limit.
 fn world_with_cold_engine(bears: f64, rate_statement: f64) -> World {
     let usual = configuration(1);
     let routes: Vec<Route> = usual.routes().map(|it| Route::clone(it)).collect();
@@ -400,7 +396,7 @@
     world
 }
 
-/// The strictest bound holds for an engine that is cold and in need.
+/// The stricter bound holds for an engine that is cold and rate-limited.
 #[test]
 fn stricter_limit_ignored() {
     let duration = Duration::from_secs(10);
@@ -410,7 +406,7 @@
     assert!((4..=20).contains(&by_cold), "{by_cold} in 10 s at 2 a second");
 }
 
-/// A turn that comes soon is left to a request of a higher rank.
+/// A permit that is due soon is reserved for a request of a higher priority.
 #[test]
 fn permit_priority_ignored() {
     let mut world = World::unconfigured();
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -1,10 +1,8 @@
-//! Engines that turn requests away and say for how long they want nothing from the box that asked.
+//! Engines that reject requests and say for how long the box should back off.
 //!
-//! One of three engines turned all away for 3 s at a time and said so. It got 312 requests in 9 s, up to
-//! 57 in one second, where it had got 10 a second before: each box left it alone for 200 ms after a
-//! refusal, and then an engine with nothing under way that tells a load of `0,0,6` was the best choice
-//! again. 101 repeats were not allowed in five seconds, and 99 requests were refused while two engines
-//! served.
+//! Boxes avoided such an engine for 200 ms after a rejection; then it looked idle and was the best
+//! choice again. An engine that rejected all for 3 s at a time got 312 requests in 9 s, up to 57 in
+//! one second. 99 requests were refused while two engines served.
 
 use std::time::Duration;
 
@@ -23,13 +21,13 @@
 };
 use hollyspoke_tests::terms::{MOST_WHILE_RESTING, Rests};
 
-/// Three seconds of each six.
+/// A back-off during three seconds of each six.
 const ALTERNATING: Rests = Rests { span: Duration::from_secs(3), every: Duration::from_secs(6) };
 
-/// The longest that a box stays away longer than it was asked for.
+/// The ratio by which a box may lengthen a back-off.
 const MAX_DELAY_RATIO: f64 = 1.2;
 
-/// A second.
+/// One second, the unit of the times in these tests.
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
@@ -42,11 +40,11 @@
     assert!(fleet.terms.rest_count() > 0);
     assert!(
         max_while_backing_off <= MOST_WHILE_RESTING,
-        "{max_while_backing_off} from one box while it rests"
+        "{max_while_backing_off} from one box during a back-off"
     );
 }
 
-/// All engines of a service rest together: what comes is refused as not run, with a time.
+/// If all engines of a service back off, requests are refused as not run, with a retry time.
 #[test]
 fn service_back_off_ignored() {
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
@@ -57,12 +55,12 @@
         let max_while_backing_off = fleet.terms.most_while_resting();
         assert!(
             max_while_backing_off <= MOST_WHILE_RESTING,
-            "{max_while_backing_off} of {service} from one box while all rest"
+            "{max_while_backing_off} of {service} from one box while all back off"
         );
     }
 }
 
-/// Once its rest is over an engine gets its share again.
+/// After its back-off an engine has to get its share again.
 #[test]
 fn engine_unused_after_backoff() {
     let mut fleet = Fleet::settled(6, 4);
@@ -76,7 +74,7 @@
     assert!(got >= 80, "{got} in 10 s");
 }
 
-/// Boxes that start again, are cut off or miss datagrams keep what each was told.
+/// Restarts, partitions and lost datagrams must not make boxes ignore a back-off.
 #[test]
 fn back_off_lost() {
     let mut fleet = Fleet::settled(6, 5);
@@ -92,11 +90,11 @@
     let max_while_backing_off = fleet.terms.most_while_resting();
     assert!(
         max_while_backing_off <= MOST_WHILE_RESTING,
-        "{max_while_backing_off} from one box while it rests"
+        "{max_while_backing_off} from one box during a back-off"
     );
 }
 
-/// An engine that goes on turning away when its rest is over is asked by one request a time.
+/// An engine that still rejects after its back-off is tried with one request at a time.
 #[test]
 fn rejecting_engine_flooded() {
     let mut fleet = Fleet::settled(6, 6);
@@ -106,21 +104,21 @@
     let from = fleet.now();
     fleet.run(Duration::from_secs(20));
     let got = fleet.terms.got(backing_off, from, fleet.now());
-    // Each of six boxes asks once a second and the spread.
+    // Each of six boxes tries once a second, a little later at random.
     assert!((60..=130).contains(&got), "{got} in 20 s");
 }
 
-/// Says for how long an engine wants nothing.
+/// Returns a statement that asks for a back-off.
 fn back_off_statement(duration: Duration) -> Statement {
     Statement { back_off: Reported::Duration(duration), ..Statement::default() }
 }
 
-/// Gives an answer that turns a request away and asks for rest.
+/// Returns a rejection that asks for a back-off.
 fn rejected_for(duration: Duration) -> Answer {
     Answer { statement: back_off_statement(duration), ..turned_away() }
 }
 
-/// Has plain requests arrive, each answered at once; gives the engines that they were sent to.
+/// Sends plain requests, each answered at once; returns the engines that they were sent to.
 fn plain_serving_engines(world: &mut World) -> Vec<EngineKey> {
     let sends = (0..12).filter_map(|_| {
         let (request_key, effects) = world.arrive(request("safe"));
@@ -138,26 +136,26 @@
     sends.collect()
 }
 
-/// Gives the first plain engine, born at a time.
+/// Returns the first plain engine with a start time.
 fn first(start: Option<u64>) -> Engine {
     Engine { started_at: start, ..engine(1, PLAIN, None) }
 }
 
-/// Makes a box before the first plain engine alone.
+/// Makes a box with the first plain engine alone.
 fn world_with_first_engine(start: Option<u64>) -> World {
     let mut world = World::new();
     world.event(Event::Listed(vec![first(start)], 20.into()));
     world
 }
 
-/// Has the first engine ask for rest; tells whether it gets nothing then.
+/// Applies a statement of the first engine; returns whether it gets no requests then.
 fn is_unused_after(world: &mut World, statement: Statement) -> bool {
     world.event(Event::Statement(first(None).key, statement));
     !plain_serving_engines(world).contains(&first(None).key)
 }
 
-/// All answers tell: those to runs, to readings, to orders and questions; 429 and 503, and a 503 that
-/// does not say that nothing was run.
+/// A back-off counts in answers to runs, prefills, orders and queries, with 429 and 503, also if a
+/// 503 does not say that nothing was run.
 #[test]
 fn back_off_answer_ignored() {
     let duration = SECOND * 3;
@@ -192,12 +190,12 @@
     assert!(plain_serving_engines(&mut world).len() == 12);
 }
 
-/// Tells whether a call is sent to an engine.
+/// Returns whether a call is sent to an engine.
 fn is_sent_to(effects: &[Effect], engine: EngineKey) -> bool {
     effects.iter().any(|it| matches!(it, Effect::Send(send) if send.engine.key == engine))
 }
 
-/// Nothing and what can't be read change nothing; the longest that is kept is an hour.
+/// Absent and unreadable durations are ignored, and a back-off lasts an hour at most.
 #[test]
 fn invalid_duration_applied() {
     for announced in [Reported::Nothing, Reported::Unreadable, Reported::Duration(Duration::ZERO)] {
@@ -212,8 +210,8 @@
     assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
-/// A shorter word does not end a longer one: the engine may have said it before, or of another call. A
-/// longer one holds.
+/// A shorter back-off must not end a longer one, as its answer may be older or belong to another
+/// call; a longer one replaces a shorter one.
 #[test]
 fn back_off_shortened() {
     let mut world = world_with_first_engine(None);
@@ -227,7 +225,7 @@
     assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
-/// A later life has asked for nothing; an earlier one says nothing of it.
+/// A back-off ends with the incarnation that asked for it, and does not bind a later one.
 #[test]
 fn back_off_survives_restart() {
     let mut world = world_with_first_engine(Some(100));
@@ -246,8 +244,8 @@
     assert!(!is_unused_after(&mut world, early));
 }
 
-/// When its rest is over one request goes first; its answer lets two go, theirs four, and theirs eight. A
-/// refusal without a time begins again with one.
+/// After a back-off one request is sent; its answer allows two, theirs four, and theirs eight. A
+/// rejection without a duration starts again with one.
 #[test]
 fn returning_engine_flooded() {
     let mut world = world_with_first_engine(None);
@@ -271,13 +269,13 @@
     assert!(calls_of_arrivals(&mut world, 4).len() <= 1);
 }
 
-/// Has requests arrive; gives the calls that are sent.
+/// Sends requests to the box; returns the calls that it makes.
 fn calls_of_arrivals(world: &mut World, count: usize) -> Vec<Send> {
     let arrived = (0..count).flat_map(|_| world.arrive(request("safe")).1);
     calls_in(&arrived.collect::<Vec<_>>())
 }
 
-/// Gives the calls among effects.
+/// Returns the calls among effects.
 fn calls_in(effects: &[Effect]) -> Vec<Send> {
     let sends = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(send.clone()),
@@ -286,7 +284,7 @@
     sends.collect()
 }
 
-/// Boxes that were told at the same moment come back at different ones.
+/// Boxes that began a back-off at the same moment have to return at different ones.
 #[test]
 fn simultaneous_return() {
     let return_time = |number| {
@@ -316,7 +314,7 @@
     assert!(times.len() >= 4, "{times:?}");
 }
 
-/// A rest that ends soon is waited for; else the request is refused at once, with the time of its end.
+/// A request waits for a back-off that ends soon; else it is refused at once with the time of the end.
 #[test]
 fn wrong_retry_time() {
     let mut world = world_with_first_engine(None);
@@ -333,7 +331,7 @@
     assert!(retry >= SECOND * 5 && retry <= SECOND * 9, "{retry:?}");
 }
 
-/// Of two engines that rest the one that is back first counts.
+/// Of two engines that back off, the one that returns first sets the retry time.
 #[test]
 fn earliest_return_ignored() {
     let mut world = World::new();
@@ -346,8 +344,8 @@
     assert!(retry >= SECOND * 4 && retry <= SECOND * 8, "{retry:?}");
 }
 
-/// A request that was turned away and finds nobody else gets the refusal that it has not run, and takes
-/// no repeat.
+/// A rejected request without another engine is refused as not run, and takes nothing from the retry
+/// budget.
 #[test]
 fn back_off_uses_retry() {
     let mut world = World::new();
@@ -375,8 +373,8 @@
     );
 }
 
-/// A prompt that was read for an engine that rests meanwhile goes to another one; a kept one is taken
-/// from there, and what runs there goes on.
+/// A prompt prefilled for an engine that then backs off goes to another one. A cached prompt is
+/// fetched from there, and running calls continue.
 #[test]
 fn prompt_sent_during_backoff() {
     let mut world = World::new();
@@ -395,7 +393,7 @@
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(running.engine.address)));
 }
 
-/// An engine that rests is not asked what it keeps or whether it lives, and no prompt is freed there.
+/// An engine that backs off is neither queried nor probed, and no prompt is freed there.
 #[test]
 fn backing_off_engine_queried() {
     let mut world = World::new();
@@ -423,7 +421,7 @@
     assert!(!effects.iter().any(|it| is_aside(&it)), "{effects:?}");
 }
 
-/// The strictest binds an engine that rests, is in need and leaves.
+/// The strictest restriction binds an engine that backs off, is rate-limited and drains.
 #[test]
 fn stricter_restriction_ignored() {
     let mut world = world_with_first_engine(Some(100));
@@ -433,7 +431,7 @@
         Statement { limit, ..back_off_statement(SECOND * 3) },
     ));
     world.pass(SECOND * 2);
-    assert!(plain_serving_engines(&mut world).is_empty(), "while it rests");
+    assert!(plain_serving_engines(&mut world).is_empty(), "during the back-off");
     world.pass(SECOND * 4);
     let answer = Answer { statement: Statement { limit, ..Statement::default() }, ..ran(200) };
     let mut sent = 0;
@@ -448,11 +446,11 @@
     world
         .event(Event::Statement(first(None).key, Statement { is_leaving, ..Statement::default() }));
     world.pass(SECOND * 60);
-    assert!(plain_serving_engines(&mut world).is_empty(), "once it leaves");
+    assert!(plain_serving_engines(&mut world).is_empty(), "once it is shutting down");
 }
 
-/// Where all leave, one that rests as well is not used for the last of its drain. Under drawn faults six
-/// requests of one box came to an engine that had said both: the last resort passed by the rest.
+/// If all engines drain, one that backs off as well must not be used as the last resort: with random
+/// faults, one box sent six requests to such an engine.
 #[test]
 fn back_off_ignored_while_draining() {
     let mut world = world_with_first_engine(None);
@@ -466,7 +464,7 @@
     assert!(plain_serving_engines(&mut world).is_empty());
 }
 
-/// The time for which a machine was suspended counts.
+/// The time for which a box was suspended has to count as back-off time.
 #[test]
 fn suspended_time_ignored() {
     let mut world = world_with_first_engine(None);
@@ -476,9 +474,8 @@
     assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
-/// A refusal for rest says nothing of the prompt that was read: two engines that rest were taken for a
-/// prompt that is gone, and it was read once more for nothing. Where 40 of 100 engines turned nearly all
-/// away, 0.27 of a day's worth went so.
+/// After two engines that back off had rejected a prompt, it was taken for lost and prefilled again.
+/// Where 40 of 100 engines rejected nearly all requests, 0.27 of all goodput was lost so.
 #[test]
 fn prompt_dropped_after_backoff() {
     let mut world = World::new();
@@ -497,12 +494,12 @@
     assert!(matches!(only_send(&effects).task, Task::Decode(Prompt::Prefilled(_))));
 }
 
-/// Gives the stage of an engine of the usual numbers.
+/// Returns the stage of an engine by its number.
 fn engine_stage(number: u8) -> Stage {
     if number < 20 { Stage::Prefill } else { Stage::Decode }
 }
 
-/// A prompt that a reader turned away as it rests is read by another one, once.
+/// A prompt that a prefill engine rejects with a back-off is sent to one other prefill engine.
 #[test]
 fn prefill_abandoned_after_backoff() {
     let mut world = World::new();
