--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -1,8 +1,8 @@
-//! Engines that are cold after their start: the sum of what all boxes send them, in touch with each
-//! other or not.
+//! Engines that are cold after their start, and the sum of what all boxes send them, with contact
+//! between the boxes or without.
 //!
-//! Each box took a cold engine for an idle one. In virtual time, 66 boxes that have just seen three
-//! engines of a service come back sent one of them more requests in a second than it bears.
+//! If each box takes a cold engine for an idle one, 66 boxes send a restarted engine more requests in
+//! a second than it can handle.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -19,10 +19,10 @@
     PLAIN, World, configuration_of, engine, only_refusal, ran, request, route, settings,
 };
 
-/// The requests a second that a cold engine bears.
+/// The requests a second that a cold engine can handle.
 const COLD_RATE_PER_S: f64 = 9.9;
 
-/// Gives a configuration whose plain service has engines that start cold.
+/// Returns a configuration whose plain service has a rate for cold engines.
 fn configuration() -> Configuration {
     let usual = configuration_of(1, Vec::new());
     let services = usual.services().map(|it| Service {
@@ -33,12 +33,12 @@
     Configuration::new(1, usual.limits, routes, services.collect())
 }
 
-/// Gives an engine with so much time left in which it is cold.
+/// Returns an engine that stays cold for the given time.
 fn cold(number: u8, left_ms: u32) -> Engine {
     Engine { cold_left_ms: left_ms, ..engine(number, PLAIN, None) }
 }
 
-/// Makes a box before engines.
+/// Makes a box that knows the given engines.
 fn world(engines: Vec<Engine>) -> World {
     let mut world = World::unconfigured();
     world.event(Event::Configured(Arc::new(configuration())));
@@ -46,7 +46,7 @@
     world
 }
 
-/// Gives the engine that a request goes to, and has it answered.
+/// Sends a request, answers it, and returns its engine.
 fn serving_engine(world: &mut World) -> Option<EngineKey> {
     let (_, effects) = world.arrive(request("safe"));
     let send = effects.into_iter().find_map(|it| match it {
@@ -77,7 +77,7 @@
     assert!(served(&mut world) <= 1);
     world.pass(Duration::from_millis(3100));
     assert_eq!(served(&mut world), 5);
-    // It may become cold again at any moment, and warm before its time.
+    // An entry may make it cold again, or warm before its time.
     world.event(Event::Changed(vec![EngineChange::Put(cold(1, 5000), 20.into())]));
     assert!(served(&mut world) <= 1);
     world.event(Event::Changed(vec![EngineChange::Put(cold(1, 0), 30.into())]));
@@ -101,9 +101,8 @@
     assert_eq!((0..5).filter_map(|_| serving_engine(&mut world)).count(), 5);
 }
 
-/// Gives the most requests that reach any of some cold engines within a second, where each box
-/// wants to send to each of them twenty times a second for some seconds, and takes `known`
-/// boxes to be there.
+/// Returns the highest number of requests that reach a cold engine within a second if each box tries
+/// to send to each engine twenty times a second, and assumes that there are `known` boxes.
 fn max_arrivals_per_second(boxes: u16, known: usize, engines: u64, rate: f64) -> usize {
     let mut arrivals: HashMap<EngineKey, Vec<Time>> = HashMap::new();
     for place in 0..boxes {
@@ -136,8 +135,8 @@
 
 #[test]
 fn box_count_overloads_engine() {
-    // Boxes that hear each other and boxes that are all cut off from each other alike: none needs
-    // a word of another, but for how many there are.
+    // Boxes need no announcement of each other, only their number, so that this also holds for
+    // boxes that are all isolated.
     let mut max_per_s = BTreeMap::new();
     for boxes in [1u16, 3, 6, 30, 66, 300, 985, 1500] {
         max_per_s
@@ -145,7 +144,7 @@
     }
     let highest = max_per_s.values().max().copied().unwrap_or(0) as f64;
     assert!(highest <= COLD_RATE_PER_S * 1.5 + 5.0, "{max_per_s:?}");
-    assert!(max_per_s.values().all(|&it| it >= 3), "engines that nobody uses: {max_per_s:?}");
+    assert!(max_per_s.values().all(|&it| it >= 3), "engines that no box uses: {max_per_s:?}");
 }
 
 #[test]
@@ -163,7 +162,7 @@
     let mut sum = 0;
     for box_number in 1..=66 {
         let mut world = World::numbered(box_number);
-        // Its settings name another box, which it has not heard.
+        // Its settings name another box, of which it has received nothing.
         world.event(Event::Seeds(vec![settings(200).peer]));
         world.event(Event::Configured(Arc::new(configuration())));
         world.event(Event::Listed(vec![cold(1, 3000)], 10.into()));
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -1,8 +1,7 @@
-//! Evacuated data centres in the reducer: no call, question or order goes there, whoever told of it
-//! first, and what was lifted stays lifted.
+//! Evacuated data centres: no call, query or order is sent there, whoever announced the evacuation,
+//! and a lifted evacuation stays lifted.
 //!
-//! Boxes sent 888 requests to the engines of a data centre after its evacuation was in force,
-//! prompts to be read among them, since nothing knew of evacuations.
+//! Boxes that ignored an evacuation sent 888 requests to its data centre, prefills among them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,12 +19,12 @@
 };
 use proptest::prelude::*;
 
-/// Gives an engine in a data centre.
+/// Returns an engine in a data centre.
 fn engine_in(number: u8, service: &str, stage: Option<Stage>, data_centre: &str) -> Engine {
     Engine { data_centre: data_centre.into(), ..engine(number, service, stage) }
 }
 
-/// Gives engines of each kind in `north` (odd numbers) and in `south` (even ones).
+/// Returns engines of each kind in `north` (odd numbers) and in `south` (even ones).
 fn engines() -> Vec<Engine> {
     let of = |number: u8, service: &str, stage| {
         let data_centre = if number.is_multiple_of(2) { "south" } else { "north" };
@@ -50,13 +49,13 @@
     world
 }
 
-/// Gives a state at a revision.
+/// Returns the evacuated data centres at a revision.
 fn evacuated(revision: u64, data_centres: &[&str]) -> Evacuation {
     let data_centres = data_centres.iter().map(|&it| Arc::from(it)).collect();
     Evacuation { revision: revision.into(), data_centres }
 }
 
-/// Gives the data centres of the engines that a box sends to, asks or orders.
+/// Returns the data centres of the engines that a box calls, queries or orders.
 fn contacted_data_centres(effects: &[Effect]) -> BTreeSet<String> {
     let engines = effects.iter().filter_map(|it| match it {
         Effect::Send(send) => Some(&send.engine),
@@ -69,12 +68,12 @@
     engines.map(|it| it.data_centre.to_string()).collect()
 }
 
-/// Has plain requests arrive and gives the data centres that they go to.
+/// Sends plain requests and returns the data centres that they are sent to.
 fn plain_data_centres(world: &mut World) -> BTreeSet<String> {
     (0..8).flat_map(|_| contacted_data_centres(&world.arrive(request("safe")).1)).collect()
 }
 
-/// Gives a datagram of another box with a state.
+/// Returns another box's datagram with its evacuated data centres.
 fn evacuation_announcement(sequence: u64, evacuation: Evacuation) -> Message {
     Message { evacuation, ..heartbeat(2, sequence, StoreView::default()) }
 }
@@ -116,7 +115,7 @@
     let (_, decode_call) = world.streaming(request("resumed"));
     let from = decode_call.engine.data_centre.clone();
     world.event(Event::Evacuated(evacuated(20, &[&*from])));
-    // What runs goes on; only when it breaks the stream moves.
+    // A running call continues; the stream moves only when it breaks.
     let effects = world.call(decode_call.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = world.call(decode_call.call, CallEvent::Broken);
@@ -170,7 +169,7 @@
     assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
     world.event(Event::Received(evacuation_announcement(2, evacuated(40, &[]))));
     assert!(plain_data_centres(&mut world).contains("north"));
-    // A box that is behind brings nothing back.
+    // An older state from another box is ignored.
     world.event(Event::Received(evacuation_announcement(3, evacuated(20, &["south"]))));
     assert!(plain_data_centres(&mut world).contains("south"));
 }
@@ -206,7 +205,7 @@
     assert!(matches!(only_refusal(&effects), Refusal::NotRun(..)), "{effects:?}");
     world.pass(Duration::from_millis(1000));
     assert!(world.gateway.is_ready());
-    // An answer that came after all is taken.
+    // A late answer is applied.
     world.event(Event::Evacuated(evacuated(20, &["north"])));
     assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
 }
@@ -221,7 +220,7 @@
 }
 
 proptest! {
-    /// States that come in any order leave the one of the latest revision.
+    /// States that arrive in any order have to leave the one of the latest revision.
     #[test]
     fn older_evacuation_applied(states in prop::collection::vec((1u64..40, any::<bool>()), 1..24)) {
         let sets: [&[&str]; 4] = [&[], &["north"], &["south"], &["north", "south"]];
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -1,8 +1,8 @@
-//! Requests that may be served in some regions alone: where their calls go, and which boxes clients
-//! are told of.
+//! Requests that may be served in some regions only: where their calls are sent, and which boxes
+//! clients are given.
 //!
-//! Routes and customers named their regions, and nothing read that: a call went wherever an engine
-//! was free, and clients were told of the boxes of all regions.
+//! If the regions of routes and customers are ignored, a call is sent wherever an engine is free, and
+//! clients are given the boxes of all regions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,18 +26,18 @@
 /// The key of the customer whose requests stay in the region `cold`.
 const CUSTOMER_KEY: &[u8] = b"museum-key";
 
-/// Gives the regions: `north` and `south` lie in `cold` and `warm`, `south-2` in `warm` too.
+/// Returns the regions: `north` and `south` lie in `cold` and `warm`, `south-2` in `warm` too.
 fn regions() -> Regions {
     let pairs = [("north", "cold"), ("south", "warm"), ("south-2", "warm")];
     Regions::new(pairs.map(|(data_centre, region)| (data_centre.into(), region.into())))
 }
 
-/// Gives homes.
+/// Returns the given regions as homes.
 fn homes(names: &[&str]) -> Homes {
     Homes::new(names.iter().map(|&it| it.into()).collect())
 }
 
-/// Gives engines of each kind in three data centres, the first of them unlike the box's.
+/// Returns engines of each kind in three data centres, the first of them unlike the box's.
 fn engines() -> Vec<Engine> {
     let data_centres = ["south", "north", "south-2"];
     let each = data_centres.into_iter().enumerate().flat_map(|(place, data_centre)| {
@@ -83,12 +83,12 @@
     world
 }
 
-/// Gives a request of the customer.
+/// Returns a request of the customer.
 fn of_customer(route: &str) -> Request {
     Request { credential: Some(KeyDigest::of(CUSTOMER_KEY)), ..request(route) }
 }
 
-/// Gives the data centre of the only call.
+/// Returns the data centre of the single call.
 fn called_data_centre(effects: &[Effect]) -> String {
     only_send(effects).engine.data_centre.to_string()
 }
@@ -147,7 +147,7 @@
     assert!(effects.iter().all(goes_north), "{effects:?}");
 }
 
-/// Gives a heartbeat of a box in a data centre.
+/// Returns a heartbeat of a box in a data centre.
 fn heartbeat_in(number: u8, data_centre: &str) -> Message {
     let data_centre = DataCentreKey::of(data_centre);
     Message {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Gives the boxes that a client of a region is told of, by their last byte.
+/// Returns the boxes that a client of a region is given, by the last byte of their address.
 fn listed_boxes(world: &World, region: Option<&str>) -> Vec<u8> {
     let last_byte = |it: SocketAddr| match it {
         SocketAddr::V4(it) => it.ip().octets()[3],
@@ -174,15 +174,15 @@
     assert_eq!(listed_boxes(&world, Some("cold")), [1, 2]);
     assert_eq!(listed_boxes(&world, Some("warm")), [3, 4]);
     assert_eq!(listed_boxes(&world, None), [1, 2]);
-    // With no box in their region they are told of any that serves.
+    // Without a box in their region, clients are given all that serve.
     assert_eq!(listed_boxes(&world, Some("moon")), [1, 2, 3, 4]);
     world.pass(Duration::from_secs(10));
-    // Nor are boxes elsewhere named when all others have fallen silent.
+    // Boxes of other regions are not given when all others have timed out.
     assert_eq!(listed_boxes(&world, Some("cold")), [1, 2]);
 }
 
-/// Of many engines a choice looks at a part: 2 of 402 were in no such part most of the time, and the
-/// request was refused.
+/// Of many engines a choice examines a sample. Mostly the sample contained none of the 2 of 402
+/// engines that were in the region, and the request was refused.
 #[test]
 fn rare_region_engine_missed() {
     let mut world = world();
--- a/tests/tests/gateway_lives.rs
+++ b/tests/tests/gateway_lives.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under the id that they had: nothing that was known of them holds.
+//! Engines that restart under the same id: nothing that was known of the earlier incarnation holds.
 
 use std::time::Duration;
 
@@ -11,29 +11,29 @@
     MODEL, PLAIN, World, engine, engines, only_send, ran, read, request, turned_away,
 };
 
-/// Gives the usual engines, all born at a time.
+/// Returns the usual engines with a common start time.
 fn engines_started_at(at: u64) -> Vec<Engine> {
     engines().into_iter().map(|it| Engine { started_at: Some(at), ..it }).collect()
 }
 
-/// Gives a box whose engines tell when they were born.
+/// Returns a box whose engines have a start time.
 fn world() -> World {
     let mut world = World::new();
     world.event(Event::Listed(engines_started_at(100), 20.into()));
     world
 }
 
-/// Has an engine's entry change.
+/// Changes an engine's entry.
 fn put(world: &mut World, engine: Engine, revision: u64) -> Vec<Effect> {
     world.event(Event::Changed(vec![EngineChange::Put(engine, revision.into())]))
 }
 
-/// Gives the two plain engines by which of them was born when.
+/// Returns a plain engine with a start time.
 fn plain_engine(number: u8, at: u64) -> Engine {
     Engine { started_at: Some(at), ..engine(number, PLAIN, None) }
 }
 
-/// An engine that was not reached is avoided for a time; the one that starts under its id is not.
+/// An unreachable engine is avoided for a time; its next incarnation must not be.
 #[test]
 fn restarted_engine_avoided() {
     let mut world = world();
@@ -56,7 +56,7 @@
     assert!(used);
 }
 
-/// What becomes of a call to an earlier life says nothing of the one that goes on.
+/// The outcome of a call to an earlier incarnation must not affect the later one.
 #[test]
 fn earlier_call_affects_restart() {
     let mut world = world();
@@ -74,7 +74,7 @@
     assert!(used);
 }
 
-/// A write of the earlier life took effect after the first of the later one.
+/// A late write of the earlier incarnation must not replace the entry of the later one.
 #[test]
 fn late_write_replaces_incarnation() {
     let mut world = world();
@@ -87,7 +87,7 @@
     assert_eq!(call.engine.started_at, Some(200));
 }
 
-/// The list brings a new life as a change does, and whichever comes first, the later life stays.
+/// A list with an earlier incarnation must not replace the later one.
 #[test]
 fn older_list_replaces_incarnation() {
     let mut world = world();
@@ -97,8 +97,8 @@
     assert_eq!(call.engine.started_at, Some(200));
 }
 
-/// A prompt was read, and its engine started again before another took it: the handle is forgotten,
-/// and not freed at the new life, which has another under that name or none.
+/// If a prefill engine restarts before its prompt is fetched, the handle must not be freed at the new
+/// incarnation, where it names another prompt or none.
 #[test]
 fn stale_handle_freed() {
     let mut world = world();
@@ -115,8 +115,7 @@
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
 
-/// An engine that kept a prompt started again; the request that comes back is not sent there for
-/// it.
+/// A restarted engine has lost its cached prompts, so that no request may be sent there for one.
 #[test]
 fn stale_cached_prompt_used() {
     let mut world = world();
@@ -134,7 +133,7 @@
     assert!(!matches!(call.task, Task::Decode(Prompt::Cached | Prompt::CachedAt(_))), "{call:?}");
 }
 
-/// An engine that turned a request away as full is not full any more when it has started again.
+/// An engine that rejected a request as full has free capacity after a restart.
 #[test]
 fn restarted_engine_considered_full() {
     let mut world = world();
@@ -146,8 +145,7 @@
     assert_eq!(call.engine.started_at, Some(200));
 }
 
-/// The engine itself says that it has started again before its entry does: what broke there was a
-/// crash.
+/// A probe shows the restart before the entry does: broken calls there have to count as crashes.
 #[test]
 fn probed_restart_ignored() {
     let mut world = world();
--- a/tests/tests/gateway_promises.rs
+++ b/tests/tests/gateway_promises.rs
@@ -1,6 +1,6 @@
-//! Promises of the gateway under every order of events that a test draws: what must run once runs
-//! at most once, what is said not to have run has not, each request ends once, and no work is left
-//! in the books at the end.
+//! Guarantees of the gateway under random orders of events: a request that must run once runs at most
+//! once, one reported as not run has not run, each request ends once, and no load remains on the
+//! books at the end.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use hollyspoke_tests::gateway::{World, ran, read, request, turned_away};
 use proptest::prelude::*;
 
-/// One drawn step.
+/// A random step.
 #[derive(Debug, Clone)]
 enum Step {
     /// A request arrives on a route.
     Arrive(&'static str),
-    /// Something happens to one of the calls under way.
+    /// One of the running calls has an outcome.
     Call(prop::sample::Index, CallOutcome),
-    /// A client leaves.
+    /// A client disconnects.
     Disconnect(prop::sample::Index),
     /// Time passes, in milliseconds.
     Wait(u64),
 }
 
-/// What happens to a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy)]
 enum CallOutcome {
     /// The connection does not open.
     NotConnected,
-    /// The engine turns it away.
+    /// The engine rejects it.
     Rejected,
     /// Another incarnation has the address.
     Replaced,
-    /// It goes on as asked: read, begun, an event passed, or answered whole.
+    /// It continues as asked: prefilled, begun, an event forwarded, or answered whole.
     Succeeded,
     /// The engine fails it.
     Failed,
@@ -41,31 +41,31 @@
     ConnectionBroken,
 }
 
-/// What the engines and the client have seen of one request.
+/// What engines and the client have observed of a request.
 #[derive(Debug, Default)]
 struct RequestRecord {
     /// The route.
     route: &'static str,
     /// Calls through which an engine has run it, or may have.
     runs: u32,
-    /// Final answers.
+    /// The number of final answers.
     final_answers: u32,
-    /// Whether the client left.
+    /// Whether the client has disconnected.
     is_disconnected: bool,
 }
 
-/// The world and what was seen of it.
+/// The simulated box and the record of its requests.
 #[derive(Default)]
 struct Checker {
-    /// The reducer.
+    /// The simulated box.
     world: World,
-    /// The calls under way, in the order in which they were sent, and the events passed.
+    /// The running calls in the order of their sending, each with the number of forwarded events.
     calls: Vec<(Send, u64)>,
-    /// The requests.
+    /// The record of each request.
     records: HashMap<RequestKey, RequestRecord>,
 }
 
-/// Draws a step.
+/// Returns a strategy for steps.
 fn step() -> impl Strategy<Value = Step> {
     let route = prop::sample::select(vec!["safe", "unsafe", "once", "resumed"]);
     let outcome = prop::sample::select(vec![
@@ -87,7 +87,7 @@
 }
 
 impl Checker {
-    /// Takes a step.
+    /// Applies a step.
     fn apply(&mut self, step: Step) {
         match step {
             Step::Arrive(route) => {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Has something happen to a call.
+    /// Applies an outcome to a call.
     fn call(&mut self, index: usize, outcome: CallOutcome) {
         let (send, forwarded_count) = self.calls[index].clone();
         let moved = Answer { execution: Execution::Replaced, ..ran(421) };
@@ -153,7 +153,7 @@
         self.checker(effects);
     }
 
-    /// Takes note of effects, and checks what they promise.
+    /// Records effects, and checks the guarantees.
     fn checker(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes note of a call that was sent.
+    /// Records a call that was sent.
     fn sent(&mut self, send: Send) {
         let records = &self.records[&send.request];
         if send.task != Task::Prefill && matches!(records.route, "unsafe" | "once") {
@@ -194,7 +194,7 @@
         self.calls.push((send, 0));
     }
 
-    /// Takes note of a call that was dropped: what was sent may have run.
+    /// Records a cancelled call: it may have run.
     fn cancelled(&mut self, call: CallKey) {
         let Some(index) = self.calls.iter().position(|it| it.0.call == call) else { return };
         let (send, forwarded_count) = self.calls.remove(index);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes note of a final answer.
+    /// Records a final answer.
     fn ended(&mut self, request_key: RequestKey) {
         let records = self.records.get_mut(&request_key).expect("it arrived");
         records.final_answers += 1;
--- a/tests/tests/gateway_relay.rs
+++ b/tests/tests/gateway_relay.rs
@@ -1,4 +1,4 @@
-//! One box of each other data centre passes on what it hears, so that few bytes cross between data
+//! One box of each remote data centre relays announcements, so that few bytes cross between data
 //! centres.
 
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 use hollyspoke_gateway::message::{DataCentreKey, Message, StoreView};
 use hollyspoke_tests::gateway::{World, heartbeat, request, settings};
 
-/// Gives a heartbeat of a box in a data centre.
+/// Returns a heartbeat of a box in the given data centre.
 fn heartbeat_from(number: u8, sequence: u64, data_centre: &str) -> Message {
     Message {
         data_centre: DataCentreKey::of(data_centre),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Gives where a box listens for other boxes.
+/// Returns a box's address for its peers.
 fn peer(number: u8) -> SocketAddr {
     settings(number).peer
 }
@@ -35,7 +35,7 @@
     world
 }
 
-/// Gives the datagrams of a step: to whom, and whether they are to be passed on.
+/// Returns the datagrams of a step with their receivers.
 fn announcements(world: &mut World, event: Event) -> Vec<(Vec<SocketAddr>, Message)> {
     let effects = world.gateway.step(world.now, event);
     let announcements = effects.into_iter().filter_map(|it| match it {
@@ -68,11 +68,11 @@
     let relayed: Vec<_> = announcements.iter().filter(|it| it.1.sender == peer(11)).collect();
     assert_eq!(relayed.len(), 1);
     assert_eq!(relayed[0].0, [peer(2), peer(3)]);
-    assert!(!relayed[0].1.is_relayed, "nobody passes it on again");
+    assert!(!relayed[0].1.is_relayed, "no box relays it again");
 }
 
-/// Changes of one box go one way and arrive in order; its heartbeats try them all, so that a dead
-/// relay does not make it look dead.
+/// Changes of a box use one relay and arrive in order; its heartbeats use all in turn, so that a dead
+/// relay does not make the box look dead.
 #[test]
 fn single_relay_dependency() {
     let mut world = world();
--- a/tests/tests/gateway_stages.rs
+++ b/tests/tests/gateway_stages.rs
@@ -1,5 +1,5 @@
-//! The first box has engines change their stage, so that as many read and generate as the load
-//! asks for; it does so under a lease, and nothing is harmed when orders or the store fail.
+//! The first box orders engines to switch their stage, so that prefill and decode engines match the
+//! load. It does so under a lease, and failures of orders or of the store do no harm.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 };
 use hollyspoke_tests::stages::{Loop, Obedience, SWITCH};
 
-/// Long enough for a load to be known and an engine to have changed.
+/// The time in which a load becomes known and an engine switches its stage.
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 
-/// Requests a second that fill the memory of five generators, while two readers would do.
+/// The requests a second that fill the memory of five decode engines and need two prefill engines.
 const FULL_LOAD_PER_S: u32 = 15;
 
 #[test]
@@ -27,17 +27,17 @@
     let prefill_engine_count = it.readers();
     assert!(
         (1..=2).contains(&prefill_engine_count),
-        "{prefill_engine_count} readers of nine engines"
+        "{prefill_engine_count} prefill engines of nine engines"
     );
     assert!(it.orders.iter().all(|it| it.stage == Stage::Decode));
     let refused = it.refused;
     it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     assert_eq!(it.readers(), prefill_engine_count, "a steady load changes nothing more");
-    assert_eq!(it.refused, refused, "there is room for all");
+    assert_eq!(it.refused, refused, "there is free capacity for all");
 }
 
-/// Engines that take few requests a second count for nothing, and get no order, which is a request too.
-/// Three of four readers were ordered to generate where two of them were in need.
+/// Rate-limited engines count for nothing and get no order, which is a request too. Otherwise, with
+/// two of four prefill engines rate-limited, three of the four were ordered to decode.
 #[test]
 fn limited_engine_switched() {
     let mut it = Loop::default();
@@ -52,7 +52,7 @@
     it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
     let ordered: Vec<_> = it.orders.iter().map(|it| it.engine.key).collect();
     assert!(!ordered.iter().any(|it| rate_limited.contains(it)), "{:?}", it.orders);
-    assert!(it.readers() >= 3, "one reader is left beside the two in need");
+    assert!(it.readers() >= 3, "one prefill engine is left beside the two rate-limited ones");
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let mut it = Loop::new(1, 8);
     it.run = Duration::from_millis(300);
     it.play(FULL_LOAD_PER_S, 6000, SETTLE_TIME);
-    assert!(it.readers() > 2, "{} readers of nine engines", it.readers());
+    assert!(it.readers() > 2, "{} prefill engines of nine engines", it.readers());
 }
 
 #[test]
@@ -95,11 +95,11 @@
         it.play(FULL_LOAD_PER_S, 6000, Duration::from_secs(3));
     }
     let direction_changes = it.orders.windows(2).filter(|it| it[0].stage != it[1].stage).count();
-    assert!(direction_changes <= 3, "{direction_changes} turns within a minute");
+    assert!(direction_changes <= 3, "{direction_changes} changes of direction within a minute");
 }
 
-/// A load that swings more slowly than the demand forgets is followed, but no faster than one turn
-/// in fifteen seconds.
+/// A load that changes more slowly than the window of the demand is followed, with at least fifteen
+/// seconds between two changes of direction.
 #[test]
 fn slow_load_ignored() {
     let mut it = Loop::default();
@@ -119,7 +119,7 @@
     let min_duration = Duration::from_secs(15);
     for (index, &at) in direction_changes.iter().enumerate().skip(1) {
         let duration = at.since(direction_changes[index - 1]);
-        assert!(duration >= min_duration, "{duration:?} between two turns");
+        assert!(duration >= min_duration, "{duration:?} between two changes of direction");
     }
 }
 
@@ -132,7 +132,7 @@
     assert_eq!(it.readers(), 4);
     it.has_store = true;
     it.play(FULL_LOAD_PER_S, 3000, SETTLE_TIME);
-    assert!(it.readers() < 4, "the store is back");
+    assert!(it.readers() < 4, "the store is available again");
 }
 
 #[test]
@@ -144,7 +144,7 @@
     assert!(tokens.is_sorted(), "a later order has no lower token: {tokens:?}");
 }
 
-/// Another box holds the lease: its time has to pass, and then its last orders'.
+/// Before a box takes another's lease, the lease and then the pause for its last orders have to pass.
 #[test]
 fn lease_taken_early() {
     let mut it = Loop::default();
@@ -189,7 +189,7 @@
     assert!((1..=10).contains(&it.orders.len()), "{} orders", it.orders.len());
 }
 
-/// Only the first of the living boxes orders; box 2 and box 1 differ in who is first.
+/// Only the first of the live boxes may order; which one is first varies with the pair.
 #[test]
 fn several_boxes_order() {
     let mut ordering = 0;
@@ -204,10 +204,10 @@
         }
         ordering += usize::from(!it.orders.is_empty());
     }
-    assert!((1..8).contains(&ordering), "node 1 is first of {ordering} of 8 pairs");
+    assert!((1..8).contains(&ordering), "box 1 is first of {ordering} of 8 pairs");
 }
 
-/// An engine of which another box says that it changes gets nothing, and its entry ends that.
+/// An engine whose switch is announced gets nothing until its entry shows the new stage.
 #[test]
 fn switching_engine_used() {
     let mut world = World::new();
@@ -231,8 +231,8 @@
     assert!(reads.iter().any(|it| it.task == Task::Prefill && &*it.engine.id == "engine-21"));
 }
 
-/// An engine that says that a call was not meant for it has another stage than its entry tells; it
-/// is passed over for a while and not for good.
+/// An engine that answers that a call was misdirected has another stage than its entry. It is
+/// avoided for a while, not for ever.
 #[test]
 fn wrong_stage_retried() {
     let mut world = World::new();
@@ -246,7 +246,7 @@
     assert!(engines.contains(&prefill_call.engine.id), "{engines:?}");
 }
 
-/// While an engine changes, what it would have served goes to the others or is refused at once.
+/// While an engine switches, its requests are sent to other engines or refused at once.
 #[test]
 fn request_waits_for_switch() {
     let mut it = Loop::new(4, 1);
