--- a/tests/tests/gateway_census.rs
+++ b/tests/tests/gateway_census.rs
@@ -1,4 +1,4 @@
-//! How many boxes live, as the store keeps it: who reads it, who writes it, and when.
+//! The number of live boxes in the store: which boxes read and write it, and when.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::message::{Message, Readiness, StoreView};
 use hollyspoke_tests::gateway::{World, configuration, engines, heartbeat};
 
-/// A box, the store, and other boxes that tell that they live.
+/// A box, the store, and other boxes that send heartbeats.
 struct Simulation {
     /// The box.
     world: World,
@@ -31,7 +31,7 @@
         Simulation::with_number(1, other_boxes)
     }
 
-    /// Makes a box of a number.
+    /// Makes a box with the given number.
     fn with_number(own: u8, other_boxes: &[u8]) -> Simulation {
         Simulation {
             world: World::numbered(own),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Carries an operation out.
+    /// Applies an operation to the object.
     fn apply(&mut self, operation: &Operation) -> Answer {
         let (version, value) = self.object.clone();
         match operation {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Gives how many boxes the box tells of.
+    /// Returns the number of boxes that the box announces.
     fn announced_box_count(&mut self) -> u32 {
         let end = self.world.now + Duration::from_millis(400);
         let mut boxes = None;
@@ -105,8 +105,7 @@
     }
 }
 
-/// The number is read once and written once, however long nothing changes: calls to the store are
-/// not free.
+/// Without changes the number is read once and written once, since calls to the store have a cost.
 #[test]
 fn repeated_store_writes() {
     let mut site = writing_simulation();
@@ -115,7 +114,7 @@
     assert_eq!(site.operations.len(), 2, "{:?}", site.operations);
 }
 
-/// Gives a site of three whose box is the first, so that it has written the number.
+/// Returns a site of three boxes whose own box is the first and has written the number.
 fn writing_simulation() -> Simulation {
     let sites = [(1, [2, 3]), (2, [1, 3]), (3, [1, 2])].map(|(own, other_boxes)| {
         let mut site = Simulation::with_number(own, &other_boxes);
@@ -134,7 +133,7 @@
     assert_eq!(site.object, (2, "4".to_owned()));
 }
 
-/// A box that starts in a part that is cut off learns of the others, and tells them.
+/// A box that starts in a partition has to read the number, and to announce it.
 #[test]
 fn stored_count_ignored() {
     let mut site = Simulation::new(&[2, 3]);
@@ -143,8 +142,8 @@
     assert_eq!(site.announced_box_count(), 78);
 }
 
-/// Once a box has heard as many itself, it goes by its hearing: those that were stopped in order
-/// since don't count.
+/// Once a box has received as many heartbeats itself, its own count holds: boxes that have stopped
+/// in order since are not counted.
 #[test]
 fn stale_count_preferred() {
     let mut site = Simulation::new(&[2, 3]);
@@ -159,7 +158,7 @@
     assert_eq!(site.announced_box_count(), 2);
 }
 
-/// Fewer boxes are written only after a minute: those that were stopped may be back.
+/// A lower number is written only after a minute, as stopped boxes may return.
 #[test]
 fn count_lowered_early() {
     let mut site = writing_simulation();
@@ -173,8 +172,8 @@
     assert_eq!(site.object.1, "2");
 }
 
-/// A number that another box has written meanwhile is read before it is written again, and what is
-/// no number is replaced.
+/// After a conflict the number is read before it is written again, and an invalid value is
+/// replaced.
 #[test]
 fn conflicting_or_invalid_count() {
     let mut site = writing_simulation();
@@ -184,7 +183,7 @@
     assert_eq!(site.object, (10, "4".to_owned()));
 }
 
-/// While the store gives no answer the box asks again every two seconds, and goes by its hearing.
+/// Without the store a box retries every two seconds, and uses its own count.
 #[test]
 fn unavailable_store_polled_often() {
     let mut site = Simulation::new(&[2, 3]);
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -1,5 +1,4 @@
-//! Customers' keys and limits at one box: who may send, what is counted, and what is said to whom
-//! may not.
+//! Customers' keys and limits at one box: who may send, what is counted, and how others are refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +20,7 @@
 /// The key of the customer `press`.
 const KEY: &[u8] = b"press-key";
 
-/// Gives a customer that holds a key.
+/// Returns a customer with a key.
 fn customer(name: &str, key: &[u8], rate: f64) -> Customer {
     Customer {
         key: CustomerKey::of(name),
@@ -34,7 +33,7 @@
     }
 }
 
-/// Gives the usual configuration with customers.
+/// Returns the usual configuration with customers.
 fn with_customers(version: u64, customers: Vec<Customer>) -> Event {
     let configuration = configuration(version).with_customers(Customers::new(customers));
     Event::Configured(Arc::new(configuration))
@@ -49,12 +48,12 @@
     world
 }
 
-/// Gives a request with a key.
+/// Returns a request with a key.
 fn keyed(route: &str, key: &[u8]) -> Request {
     Request { credential: Some(KeyDigest::of(key)), ..request(route) }
 }
 
-/// Gives the time after which a client over its limit may come back.
+/// Returns the retry time of a client over its limit.
 fn over_limit(effects: &[Effect]) -> Duration {
     match only_refusal(effects) {
         Refusal::OverLimit(_, wait) => wait,
@@ -62,7 +61,7 @@
     }
 }
 
-/// Has a plain request answered.
+/// Sends a plain request and answers it.
 fn answer(world: &mut World, request: Request) {
     let (_, send) = world.sent(request);
     world.call(send.call, CallEvent::Answered(ran(200)));
@@ -92,7 +91,7 @@
     assert_eq!(send.caller, Caller::Unchecked);
 }
 
-/// A configuration whose last customer has gone lets nobody in.
+/// After the last customer was removed, every key has to be refused.
 #[test]
 fn empty_customers_allow_access() {
     let mut world = world(0.0);
@@ -123,12 +122,12 @@
     let (_, effects) = world.arrive(keyed("safe", KEY));
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
     only_send(&world.arrive(keyed("safe", b"newer")).1);
-    // What was under way comes to its end.
+    // A running request is completed.
     let effects = world.call(in_flight.call, CallEvent::Answered(ran(200)));
     assert!(effects.iter().any(|it| matches!(it, Effect::Deliver(..))));
 }
 
-/// A request that was turned away and whose key has gone meanwhile reaches no second engine.
+/// A rejected request whose key was revoked meanwhile must not reach a second engine.
 #[test]
 fn revoked_key_retried() {
     let mut world = world(0.0);
@@ -139,7 +138,7 @@
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
 }
 
-/// A request that waits for room when its key goes is told so at once.
+/// A request that waits for free capacity is refused at once when its key is revoked.
 #[test]
 fn revoked_key_keeps_waiting() {
     let mut world = world(0.0);
@@ -148,14 +147,14 @@
     for _ in 0..6 {
         last = world.arrive(filling_request()).1;
     }
-    assert!(last.is_empty(), "the last waits: {last:?}");
+    assert!(last.is_empty(), "the last one waits: {last:?}");
     let effects = world.event(with_customers(2, Vec::new()));
     let refusals: Vec<_> =
         effects.iter().filter(|it| matches!(it, Effect::Refuse(_, Refusal::UnknownKey))).collect();
     assert!(!refusals.is_empty(), "{effects:?}");
 }
 
-/// Of those that wait for room, the customer of the higher rank goes first.
+/// Of the requests that wait for free capacity, the one of the higher priority is sent first.
 #[test]
 fn waiting_priority_ignored() {
     let mut world = World::unconfigured();
@@ -176,7 +175,7 @@
     assert!(only_send(&effects).request == high && high != low, "{effects:?}");
 }
 
-/// A box that has heard of a newer configuration can't say that a key is unknown.
+/// A box that knows of a newer configuration must not refuse a key as unknown.
 #[test]
 fn stale_configuration_rejects_key() {
     let mut world = world(0.0);
@@ -190,7 +189,7 @@
 #[test]
 fn token_limit_ignored() {
     let mut world = world(6000.0);
-    // The prompt and the most of the answer are 6,000 tokens.
+    // The prompt and the longest answer are 6,000 tokens.
     world.sent(keyed("once", KEY));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
     assert!(wait > Duration::ZERO && wait < Duration::from_secs(2), "{wait:?}");
@@ -198,7 +197,7 @@
     world.sent(keyed("once", KEY));
 }
 
-/// Requests that tell no tokens count as many as the configuration says.
+/// Requests without a number of tokens count as many as the configuration sets.
 #[test]
 fn plain_requests_uncounted() {
     let mut world = world(1000.0);
@@ -209,7 +208,7 @@
     over_limit(&world.arrive(plain()).1);
 }
 
-/// A retry at a second engine is the same request.
+/// A retry at a second engine must not be counted again.
 #[test]
 fn retry_counted_twice() {
     let mut world = world(12_000.0);
@@ -222,17 +221,17 @@
     over_limit(&world.arrive(keyed("safe", KEY)).1);
 }
 
-/// What was taken for a request that never ran is given back.
+/// The tokens of a request that never ran have to be returned.
 #[test]
 fn unrun_request_charged() {
     let mut world = world(6000.0);
     let (request_key, _) = world.sent(keyed("once", KEY));
-    // Its prompt is being read, which is no run.
+    // Its prompt is being prefilled, which is not a run.
     world.event(Event::ClientDisconnected(request_key));
     world.sent(keyed("once", KEY));
 }
 
-/// One customer's flood leaves another's requests alone.
+/// One customer's flood must not use up another's limit.
 #[test]
 fn customer_limit_shared() {
     let mut world = World::unconfigured();
@@ -259,14 +258,14 @@
     only_send(&world.arrive(plain(b"town-key")).1);
 }
 
-/// Gives what another box has let through for the customer `press`.
+/// Returns what another box has admitted for the customer `press`.
 fn usage_announcement(number: u8, sequence: u64, total: u32, is_complete: bool) -> Message {
     let account = Account { customer: CustomerKey::of("press"), total, level: Some(0) };
     let usage = Usage { accounts: vec![account], is_complete, peak_boxes: 0 };
     Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
 }
 
-/// What another box lets through counts here, however often it is told.
+/// What another box admits counts here once, however often it is announced.
 #[test]
 fn other_usage_counted_twice() {
     let mut world = world(6000.0);
@@ -276,11 +275,11 @@
     world.event(Event::Received(usage_announcement(2, 3, 9000, false)));
     world.event(Event::Received(usage_announcement(2, 4, 9000, false)));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
-    // 3,000 tokens of debt at 6,000 a second, and a spread.
+    // 3,000 tokens of debt at 6,000 a second, and a random delay.
     assert!((500..=800).contains(&wait.as_millis()), "{wait:?}");
 }
 
-/// What a silent box may have let through by its own part was left to it, and isn't counted again.
+/// What a silent box admits within its own share was already deducted, and must not count again.
 #[test]
 fn silent_usage_counted() {
     let mut world = world(6000.0);
@@ -290,7 +289,7 @@
     world.sent(keyed("once", KEY));
 }
 
-/// The total of a box that was not known before tells nothing of late.
+/// The first total of a new box says nothing of its recent use.
 #[test]
 fn first_total_counted() {
     let mut world = world(6000.0);
@@ -299,7 +298,7 @@
     world.sent(keyed("once", KEY));
 }
 
-/// A limit that is lowered binds at once what it leaves, and one that is raised lets more through.
+/// A lowered limit binds at once, and a raised one admits more.
 #[test]
 fn limit_change_ignored() {
     let mut world = world(60_000.0);
@@ -311,7 +310,7 @@
     world.sent(keyed("safe", KEY));
 }
 
-/// Keys stay out of everything that is printed.
+/// Keys must not appear in debug output.
 #[test]
 fn key_printed() {
     let printed = format!("{:?} {:?}", keyed("safe", KEY), customer("press", KEY, 1.0));
@@ -320,7 +319,7 @@
     assert_eq!(digest, "KeyDigest(..)");
 }
 
-/// Refusals name the customer and not the key in the log.
+/// The log of a refusal has to name the customer, not the key.
 #[test]
 fn refusal_not_logged() {
     let mut world = world(6000.0);
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy, as one box's reducer sees it.
+//! A store that is restored from an older copy, as seen by one box.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_tests::gateway::{PLAIN, World, configuration, engine, engines, heartbeat, request};
 
-/// The last revision that was read before the return.
+/// The last revision that was read before the restore.
 const LAST_REVISION: Revision = Revision::new(1, 40);
 
-/// The revision of the first list after it.
+/// The revision of the first list after the restore.
 const RESTORED_REVISION: Revision = Revision::new(2, 20);
 
-/// How long an engine is doubted that had left, with a margin.
+/// How long an engine that had left stays unused, with a margin.
 const DEPARTURE_MEMORY: Duration = Duration::from_millis(5100);
 
-/// How long an evacuation holds that the copy lacks, with a margin.
+/// How long an evacuation that the copy lacks stays in force, with a margin.
 const EVACUATION_MEMORY: Duration = Duration::from_millis(30_100);
 
-/// Gives the first plain engine in a life.
+/// Returns the first plain engine with a start time.
 fn first(born: u64) -> Engine {
     Engine { started_at: Some(born), ..engine(1, PLAIN, None) }
 }
 
-/// Gives the first plain engine as it is about to leave.
+/// Returns the first plain engine while it drains.
 fn draining(born: u64) -> Engine {
     Engine { is_draining: true, ..first(born) }
 }
 
-/// Gives both plain engines.
+/// Returns both plain engines.
 fn plain_engines(first: Engine) -> Vec<Engine> {
     vec![first, engine(2, PLAIN, None)]
 }
@@ -50,24 +50,24 @@
     world
 }
 
-/// Has an engine's entry change.
+/// Changes an engine's entry.
 fn put(world: &mut World, engine: Engine, revision: Revision) {
     world.event(Event::Changed(vec![EngineChange::Put(engine, revision)]));
 }
 
-/// Has the store come back with a list.
+/// Restores the store with a list.
 fn restore_store(world: &mut World, engines: Vec<Engine>) -> Vec<Effect> {
     let mut effects = world.event(Event::StoreEra(RESTORED_REVISION.era));
     effects.extend(world.event(Event::Listed(engines, RESTORED_REVISION)));
     effects
 }
 
-/// Gives a box an event, and gives all that follows.
+/// Applies an event to a box, and returns its effects.
 fn step(world: &mut World, event: Event) -> Vec<Effect> {
     world.gateway.step(world.now, event)
 }
 
-/// Tells whether the first plain engine is sent to.
+/// Returns whether requests are sent to the first plain engine.
 fn is_used(world: &mut World) -> bool {
     (0..6).any(|_| {
         let (request_key, effects) = world.arrive(request("safe"));
@@ -79,7 +79,7 @@
     })
 }
 
-/// A list with lower numbers was dropped, and each change that followed until they had passed.
+/// A list with lower revisions was dropped, and so was each change until the old revision was passed.
 #[test]
 fn lower_revision_ignored() {
     let mut world = world(plain_engines(first(100)));
@@ -91,7 +91,7 @@
     assert!(!is_used(&mut world));
 }
 
-/// What an earlier era told comes late and changes nothing.
+/// Late events of an earlier era must change nothing.
 #[test]
 fn earlier_era_applied() {
     let mut world = world(plain_engines(first(100)));
@@ -105,7 +105,7 @@
     assert!(!is_used(&mut world));
 }
 
-/// The copy is from before the engine said that it leaves.
+/// The copy is older than the engine's draining state, which must not be lost.
 #[test]
 fn draining_state_lost() {
     let mut world = world(plain_engines(first(100)));
@@ -118,8 +118,8 @@
     assert!(is_used(&mut world));
 }
 
-/// The copy still lists an engine that has left: it is not sent to unless it is still there once its
-/// entry would have lapsed.
+/// The copy still lists an engine that has left: nothing is sent to it until its entry would have
+/// expired and is still there.
 #[test]
 fn departed_engine_used() {
     for expires in [false, true] {
@@ -136,7 +136,7 @@
     }
 }
 
-/// The engine writes its entry after the return: it lives.
+/// An engine that writes its entry after the restore is alive.
 #[test]
 fn rewritten_entry_ignored() {
     let mut world = world(plain_engines(first(100)));
@@ -146,7 +146,7 @@
     assert!(is_used(&mut world));
 }
 
-/// The copy is from before the engine entered: it has two seconds to enter again.
+/// The copy is older than the engine's entry: the engine has two seconds to write it again.
 #[test]
 fn missing_engine_dropped_early() {
     let mut world = world(plain_engines(first(100)));
@@ -156,7 +156,7 @@
     assert!(!is_used(&mut world));
 }
 
-/// An older life in the copy does not take the place of the later one.
+/// An older incarnation in the copy must not replace the later one.
 #[test]
 fn older_incarnation_restored() {
     let mut world = world(plain_engines(first(200)));
@@ -164,7 +164,7 @@
     assert!(is_used(&mut world));
 }
 
-/// Gives a datagram with changes that another box has read.
+/// Returns a datagram with changes that another box has read.
 fn engine_update_event(since: Revision, changes: Vec<EngineChange>) -> Event {
     let store_view = StoreView { version: 1, revision: RESTORED_REVISION, has_lost_store: false };
     let engine_update = Some(Box::new(EngineUpdate { since, changes }));
@@ -175,8 +175,8 @@
     })
 }
 
-/// Whether changes to another era's list are taken that were told by a box which knew as much as this
-/// one, or less.
+/// Announced changes into a later era may be applied only if the sender began at the same revision
+/// as this box.
 #[test]
 fn mismatched_changes_applied() {
     for (known, is_same) in [(LAST_REVISION, true), (Revision::new(1, 41), false)] {
@@ -193,8 +193,8 @@
     }
 }
 
-/// A box hands on what leads to the list of the present era, and a whole list to those that know
-/// another end of the one before.
+/// A snapshot has changes into the present era only for boxes that ended the earlier era at the same
+/// revision, and the whole list for others.
 #[test]
 fn wrong_era_snapshot() {
     let mut provider = world(plain_engines(first(100)));
@@ -213,13 +213,13 @@
     }
 }
 
-/// Has a box read which data centres are evacuated.
+/// Applies the evacuated data centres to a box.
 fn evacuate(world: &mut World, data_centres: &[&str], revision: Revision) {
     let data_centres: BTreeSet<Arc<str>> = data_centres.iter().map(|&it| it.into()).collect();
     world.event(Event::Evacuated(Evacuation { revision, data_centres }));
 }
 
-/// The copy is from before an evacuation: it holds until whoever asked for it asks again, or for half a
+/// An evacuation that the copy lacks stays in force until it is written again, or for half a
 /// minute.
 #[test]
 fn evacuation_lost() {
@@ -241,7 +241,7 @@
     }
 }
 
-/// The copy is from before an evacuation was lifted, which is written again.
+/// The copy is older than the lifting of an evacuation, which is written again.
 #[test]
 fn lifted_evacuation_stays() {
     let mut world = world(plain_engines(first(100)));
@@ -254,8 +254,8 @@
     assert!(is_used(&mut world));
 }
 
-/// A box that follows the store reads all kinds at once, and says so; one that has read nothing in an
-/// earlier era has lost nothing.
+/// A box that follows the store detects a restore once and reads all kinds; a box that has read
+/// nothing in an earlier era has lost nothing.
 #[test]
 fn restore_detected_twice() {
     let returned = |effects: &[Effect]| {
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -1,4 +1,4 @@
-//! The configuration and the list of engines from box to box, where the store does not give them.
+//! Snapshots of the configuration and the engines between boxes, used when the store is unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,11 @@
     settings,
 };
 
-/// What a box knows that follows the store.
+/// The view of a box that follows the store.
 const NEWEST_VIEW: StoreView =
     StoreView { version: 2, revision: Revision::new(0, 12), has_lost_store: false };
 
-/// Gives the usual configuration with the customer `press` and its keys.
+/// Returns the usual configuration with the customer `press` and its keys.
 fn with_keys(version: u64, keys: &[&[u8]]) -> Event {
     let customer = Customer {
         key: CustomerKey::of("press"),
@@ -39,12 +39,12 @@
     Event::Configured(Arc::new(configuration(version).with_customers(customers)))
 }
 
-/// Gives a request with a key.
+/// Returns a request with a key.
 fn request_with_key(key: &[u8]) -> Request {
     Request { credential: Some(KeyDigest::of(key)), ..request("safe") }
 }
 
-/// Gives what a box hands over that knows the newest version, as it arrives at another.
+/// Returns the snapshot of a box with the newest version, as received by another.
 fn snapshot_event() -> Event {
     let mut provider = World::numbered(2);
     provider.event(Event::Listed(engines(), 12.into()));
@@ -56,7 +56,7 @@
     Event::SnapshotReceived(settings(2).peer, Box::new(snapshot))
 }
 
-/// Lets time pass while another box tells with each heartbeat what it knows; gives the boxes asked.
+/// Lets time pass with heartbeats of another box; returns how often that box is asked for a snapshot.
 fn fetch_count(world: &mut World, store_view: StoreView, beats: u64) -> usize {
     let mut fetch_count = 0;
     for beat in 0..beats {
@@ -68,7 +68,7 @@
     fetch_count
 }
 
-/// A box that stays behind asks another, and goes on by what it gets: a key taken away is refused.
+/// A box with a stale configuration has to fetch a snapshot, and then refuse a revoked key.
 #[test]
 fn stale_box_keeps_key() {
     let mut world = World::unconfigured();
@@ -84,7 +84,7 @@
     only_send(&world.arrive(request_with_key(b"newer")).1);
 }
 
-/// A box that keeps up asks nobody.
+/// A box that is up to date must not ask for snapshots.
 #[test]
 fn current_box_fetches() {
     let mut world = World::unconfigured();
@@ -93,7 +93,7 @@
     assert_eq!(fetch_count(&mut world, NEWEST_VIEW, 8), 0);
 }
 
-/// A box that starts without the store serves by what another box hands over.
+/// A box that starts without the store serves with the snapshot of another box.
 #[test]
 fn start_fails_without_store() {
     let mut world = World::unconfigured();
@@ -106,7 +106,7 @@
     only_send(&world.arrive(request_with_key(b"newer")).1);
 }
 
-/// What is handed over late, and older than what is known, changes nothing.
+/// A snapshot that is older than what is known must change nothing.
 #[test]
 fn older_snapshot_applied() {
     let mut world = World::unconfigured();
@@ -118,7 +118,7 @@
     assert!(!effects.iter().any(|it| matches!(it, Effect::Send(_))), "no engine is listed");
 }
 
-/// A box of the own data centre is asked before those of others.
+/// A box of the local data centre is asked before remote ones.
 #[test]
 fn remote_box_preferred() {
     let mut world = World::unconfigured();
@@ -138,7 +138,7 @@
     assert!(fetch_count.iter().all(|it| *it == Effect::Fetch(settings(5).peer)), "{fetch_count:?}");
 }
 
-/// A box that knows less is not asked.
+/// A box that knows less must not be asked.
 #[test]
 fn uninformed_box_asked() {
     let mut world = World::unconfigured();
@@ -151,14 +151,14 @@
     assert!(!effects.iter().any(|it| matches!(it, Effect::Fetch(_))));
 }
 
-/// Has an engine enter at a box.
+/// Adds an engine to a box.
 fn put_engine(world: &mut World, number: u8, revision: u64) {
     let change = EngineChange::Put(engine(number, PLAIN, None), revision.into());
     world.event(Event::Changed(vec![change]));
 }
 
-/// Boxes that had missed one datagram were handed the whole list, 10,000 engines each time: in the
-/// logs of 102 boxes 1,567 lines `snapshot fetched`, evenly to the end. They get what they lack.
+/// Boxes that missed one datagram got the whole list of 10,000 engines, 1,567 times at 102 boxes,
+/// instead of the changes that they lacked.
 #[test]
 fn whole_list_sent() {
     let (mut provider, mut behind) = (World::new(), World::numbered(2));
@@ -185,7 +185,7 @@
     assert_eq!((nothing.configuration, nothing.listing), (None, None));
 }
 
-/// What a list has changed is handed on as changes too, also an engine that has left.
+/// Changes that a list brought have to be in snapshots too, also the departure of an engine.
 #[test]
 fn list_changes_lost() {
     let (mut provider, mut behind) = (World::new(), World::numbered(2));
@@ -208,7 +208,7 @@
     assert_eq!(list(&behind), list(&provider));
 }
 
-/// Changes that are forgotten are not passed over: the whole list is handed over then.
+/// If older changes are forgotten, the snapshot has to contain the whole list.
 #[test]
 fn forgotten_changes_skipped() {
     let mut provider = World::new();
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -1,4 +1,4 @@
-//! Requests whose prompt an engine still keeps from an earlier run.
+//! Requests whose prompt an engine still caches from an earlier run.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
     MEMORY, World, engines, heartbeat, only_send, ran, read, request, turned_away,
 };
 
-/// Gives a request with a named prompt.
+/// Returns a request with a named prompt.
 fn request_with_prompt(route: &str) -> Request {
     Request { prompt: Some(PromptKey(7)), ..request(route) }
 }
 
-/// Gives a request of a client that goes on behind an event.
+/// Returns a request that resumes after an event.
 fn resuming() -> Request {
     Request {
         last_event: Some(4),
@@ -26,13 +26,13 @@
     }
 }
 
-/// Gives the word of another box that an engine keeps the prompt.
+/// Returns another box's announcement that an engine caches the prompt.
 fn cached_prompt_announcement(sequence: u64, engine: EngineKey) -> Event {
     let cached_prompts = vec![CachedPrompt { prompt: PromptKey(7), engine }];
     Event::Received(Message { cached_prompts, ..heartbeat(2, sequence, StoreView::default()) })
 }
 
-/// Has a stream begin whose client then leaves; gives its engines, the reading one first.
+/// Begins a stream whose client disconnects; returns its prefill and decode calls.
 fn abandoned_stream(world: &mut World) -> (Send, Send) {
     let (request_key, prefill_call) = world.sent(request_with_prompt("resumed"));
     let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
@@ -41,7 +41,7 @@
     (prefill_call, decode_call)
 }
 
-/// Gives the engine of a number.
+/// Returns the engine with a number.
 fn numbered(number: u8) -> Engine {
     let id = format!("engine-{number}");
     engines().into_iter().find(|it| *it.id == *id).expect("the number is in use")
@@ -105,7 +105,7 @@
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
 }
 
-/// The engine that generated has crashed; the one that read still has the prompt.
+/// After a crash of the decode engine, the prefill engine still caches the prompt.
 #[test]
 fn prefill_cache_ignored() {
     let mut world = World::new();
@@ -139,7 +139,7 @@
     assert_eq!(again.task, Task::Prefill);
 }
 
-/// Many clients may come back at once; an engine without room for them takes no more.
+/// Many clients may return at once: an engine without free capacity must not get more.
 #[test]
 fn full_cache_overloaded() {
     let mut world = World::new();
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -1,5 +1,4 @@
-//! How many boxes share customers' limits, as one box knows: from hearing, from others and from its
-//! settings.
+//! How many boxes share customers' limits, as one box knows from heartbeats, announcements and settings.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +19,13 @@
 /// The key of the customer.
 const CUSTOMER_KEY: &[u8] = b"press-key";
 
-/// Gives another box's heartbeat that tells how many boxes it knows.
+/// Returns another box's heartbeat with the number of boxes that it knows.
 fn heartbeat_with_count(number: u8, sequence: u64, peak_boxes: u32) -> Message {
     let usage = Usage { peak_boxes, ..Usage::default() };
     Message { usage, ..heartbeat(number, sequence, StoreView::default()) }
 }
 
-/// Lets time pass and gives how many boxes the box tells of in the end.
+/// Lets time pass and returns the number of boxes that the box last announces.
 fn announced_box_count(world: &mut World, duration: Duration) -> u32 {
     let end = world.now + duration;
     let mut boxes = None;
@@ -41,7 +40,7 @@
     boxes.expect("a heartbeat")
 }
 
-/// Makes a box that has heard nobody and knows a customer of 6,000 tokens a second.
+/// Makes a box without peers that knows a customer of 6,000 tokens a second.
 fn isolated_world(seeds: &[u8], boxes: Option<usize>) -> World {
     let mut world = World::unconfigured();
     let mut own = settings(1);
@@ -64,12 +63,12 @@
     world
 }
 
-/// Gives a request of the customer.
+/// Returns a request of the customer.
 fn request_with_key() -> Request {
     Request { credential: Some(KeyDigest::of(CUSTOMER_KEY)), ..request("once") }
 }
 
-/// Has a request of the customer refused; gives the time after which it may come back.
+/// Sends a request that is refused; returns its retry time.
 fn over_limit(world: &mut World) -> Duration {
     match only_refusal(&world.arrive(request_with_key()).1) {
         Refusal::OverLimit(_, wait) => wait,
@@ -77,8 +76,8 @@
     }
 }
 
-/// A box that starts in a part that is cut off learns from the boxes there how many there are, and
-/// tells those that start after it.
+/// A box that starts in a partition has to learn the number of boxes from its peers, and to announce
+/// it to later ones.
 #[test]
 fn peer_count_ignored() {
     let mut world = World::new();
@@ -86,7 +85,7 @@
     assert_eq!(announced_box_count(&mut world, Duration::from_millis(400)), 78);
 }
 
-/// A box that was stopped in order serves nobody and is not counted; it is when it comes back.
+/// A box that stops in order must not be counted until it returns.
 #[test]
 fn stopped_box_counted() {
     let mut world = World::new();
@@ -102,7 +101,7 @@
     assert_eq!(announced_box_count(&mut world, Duration::from_millis(400)), 3);
 }
 
-/// One that fell silent may have been cut off, and goes on serving.
+/// A silent box has to be counted, as it may be partitioned and still serve.
 #[test]
 fn silent_box_uncounted() {
     let mut world = World::new();
@@ -110,7 +109,7 @@
     assert_eq!(announced_box_count(&mut world, Duration::from_secs(5)), 2);
 }
 
-/// Long after they were stopped, boxes are forgotten and not counted again.
+/// Boxes that stopped long ago are forgotten and must not be counted again.
 #[test]
 fn forgotten_box_counted() {
     let mut world = World::new();
@@ -120,7 +119,7 @@
     assert_eq!(announced_box_count(&mut world, Duration::from_secs(70)), 39);
 }
 
-/// A box that has heard nobody although others are named takes a part that is surely small.
+/// A box that has received nothing although its settings name others must use a small share only.
 #[test]
 fn isolated_box_overspends() {
     let settled = |seeds: &[u8], boxes| {
@@ -134,8 +133,8 @@
     settled(&[2, 3], Some(1)).sent(request_with_key());
 }
 
-/// A box that has just started hears others within some tenths of a second: clients that it refuses
-/// meanwhile are told to come back then.
+/// A box that has just started receives heartbeats within some tenths of a second: clients that it
+/// refuses before get a retry time that short.
 #[test]
 fn early_retry_delayed() {
     let mut world = isolated_world(&[2, 3], None);
--- a/tests/tests/gateway_survey.rs
+++ b/tests/tests/gateway_survey.rs
@@ -1,4 +1,4 @@
-//! A box that starts asks engines which prompts they keep.
+//! A box that starts queries engines for their cached prompts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     MODEL, World, configuration, engine, engines, heartbeat, only_send, request, settings,
 };
 
-/// Gives a request of a client that goes on behind an event.
+/// Returns a request that resumes after an event.
 fn resuming() -> Request {
     Request { prompt: Some(PromptKey(7)), last_event: Some(4), ..request("resumed") }
 }
 
-/// Lets time pass, and gives the engines that were asked meanwhile.
+/// Lets time pass, and returns the engines that were queried.
 fn queried_within(world: &mut World, duration: Duration) -> Vec<EngineKey> {
     let end = world.now + duration;
     let mut keys = Vec::new();
@@ -34,7 +34,7 @@
     keys
 }
 
-/// Gives the engines that generate.
+/// Returns the decode engines.
 fn decode_engines() -> Vec<EngineKey> {
     let all = engines().into_iter().filter(|it| it.stage == Some(Stage::Decode));
     let mut keys: Vec<_> = all.map(|it| it.key).collect();
@@ -50,7 +50,7 @@
     assert_eq!(queried_within(&mut world, Duration::from_secs(5)), []);
 }
 
-/// Each engine is asked by one box.
+/// Boxes have to divide the engines: each engine is queried by one box.
 #[test]
 fn engines_queried_by_all() {
     let mut world = World::new();
@@ -58,11 +58,11 @@
         world.event(Event::Received(heartbeat(number, 1, StoreView::default())));
     }
     let queried_engines = queried_within(&mut world, Duration::from_millis(200));
-    assert!(queried_engines.len() < decode_engines().len(), "39 others ask the rest");
+    assert!(queried_engines.len() < decode_engines().len(), "39 others query the rest");
 }
 
-/// After a loss of all boxes each hears the others only after a while. Until then it would take
-/// itself for the only one and ask every engine.
+/// After a restart of all boxes, each takes itself for the only one until heartbeats arrive, and would
+/// query every engine.
 #[test]
 fn query_before_peers_known() {
     let mut world = World::unconfigured();
@@ -75,13 +75,13 @@
         world.event(Event::Received(heartbeat(number, 1, StoreView::default())));
         queried_engines.extend(queried_within(&mut world, Duration::from_millis(5)));
     }
-    assert_eq!(queried_engines, [], "others are still heard for the first time");
+    assert_eq!(queried_engines, [], "first heartbeats of other boxes still arrive");
     let queried_engines = queried_within(&mut world, Duration::from_millis(500));
-    assert!(queried_engines.len() < decode_engines().len(), "39 others ask the rest");
+    assert!(queried_engines.len() < decode_engines().len(), "39 others query the rest");
 }
 
-/// A box that hears nobody asks all the same, but not engines without bound: many such boxes may
-/// be cut off from each other.
+/// A box without peers queries a bounded number of engines only, as many boxes may be isolated at
+/// once.
 #[test]
 fn unbounded_queries() {
     let mut world = World::unconfigured();
@@ -93,7 +93,7 @@
     assert!((1..=16).contains(&queried_engines.len()), "{} engines", queried_engines.len());
 }
 
-/// What waits for the answers goes on soon after they have come, however late they were asked for.
+/// A request that waits for the answers has to be sent soon after them, also if the query was late.
 #[test]
 fn late_query_not_awaited() {
     let mut world = World::unconfigured();
@@ -115,7 +115,7 @@
     assert_eq!(queried_within(&mut world, Duration::from_secs(1)), []);
 }
 
-/// A box that stops before it has asked must not be woken over and over for it.
+/// A box that stops before its query must not be woken for it again and again.
 #[test]
 fn stopping_box_queries() {
     let mut world = World::new();
