--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -1,4 +1,4 @@
-//! Which boxes follow the store, and how the others keep up.
+//! Which boxes follow the store, and how the others stay up to date.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use hollyspoke_gateway::message::{EngineUpdate, Message, StoreView};
 use hollyspoke_tests::gateway::{PLAIN, World, engine, engines, heartbeat, request};
 
-/// What a box knows that follows the store and is not behind [`World::new`].
+/// The view of a box that follows the store and is as current as [`World::new`].
 const CURRENT_VIEW: StoreView =
     StoreView { version: 1, revision: Revision::new(0, 10), has_lost_store: false };
 
-/// Lets a second pass with heartbeats of boxes 2 to 9, and gives what the box did.
+/// Lets a second pass with heartbeats of boxes 2 to 9, and returns the effects.
 fn run_second(world: &mut World, sequence: u64, store_view: StoreView) -> Vec<Effect> {
     let mut effects = Vec::new();
     for step in 0..4 {
@@ -28,7 +28,7 @@
     effects
 }
 
-/// Gives the last word on following among effects.
+/// Returns the last decision on following the store among effects.
 fn last_watch_decision(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|it| match it {
         Effect::WatchStore(last_watch_decision) => Some(*last_watch_decision),
@@ -36,15 +36,15 @@
     })
 }
 
-/// Makes a box that three others spare from following. Whether box 1 itself is among the three
-/// depends on its hash, so that the test looks for a world in which it is not.
+/// Makes a box that does not follow the store, as three others do. Whether box 1 is among the three
+/// depends on its hash, which is checked.
 fn non_follower() -> World {
     let mut world = World::new();
     let effects = run_second(&mut world, 1, CURRENT_VIEW);
     assert_eq!(
         last_watch_decision(&effects),
         Some(false),
-        "node 1 is not among the first three of nine"
+        "box 1 is not among the first three of nine"
     );
     world
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// News after a gap is not taken, since what lies between is missing; the list is read.
+/// Changes after a gap must not be applied, as those before are missing: the list is read.
 #[test]
 fn update_gap_ignored() {
     let mut world = non_follower();
@@ -114,7 +114,7 @@
     assert!(effects.contains(&Effect::Read(Kind::Configuration)));
 }
 
-/// A newer version is read with the first heartbeat that tells of it, and once.
+/// A newer version has to be read at the first heartbeat that announces it, and once.
 #[test]
 fn configuration_read_delayed() {
     let mut world = non_follower();
@@ -126,7 +126,7 @@
     assert!(!second.contains(&Effect::Read(Kind::Configuration)));
 }
 
-/// What a follower reads goes to the others at once.
+/// A follower has to announce what it reads at once.
 #[test]
 fn change_not_announced() {
     let mut world = World::new();
@@ -144,7 +144,7 @@
     assert!(passed, "{effects:?}");
 }
 
-/// Gives the changes of engines that were passed on.
+/// Returns the changes of engines that were announced.
 fn announced_updates(effects: &[Effect]) -> Vec<EngineUpdate> {
     let news = effects.iter().filter_map(|it| match it {
         Effect::Announce(_, message) => message.engine_update.as_deref().cloned(),
@@ -153,8 +153,8 @@
     news.collect()
 }
 
-/// A follower that had to read the list again tells the others what is new in it, so that they
-/// need not all read it too.
+/// A follower that reads the list again has to announce what is new in it; otherwise all boxes read
+/// it.
 #[test]
 fn list_changes_not_announced() {
     let mut world = World::new();
@@ -167,14 +167,14 @@
     assert_eq!(announced_updates(&effects), [EngineUpdate { since: 10.into(), changes }]);
 }
 
-/// Gives 40 new engines, each with a revision of its own.
+/// Returns 40 new engines, each with a revision of its own.
 fn forty_changes() -> Vec<EngineChange> {
     (0..40)
         .map(|it| EngineChange::Put(engine(100 + it, PLAIN, None), (20 + u64::from(it)).into()))
         .collect()
 }
 
-/// Gives what a box does that hears datagrams of news.
+/// Applies datagrams with changes to a box.
 fn receive_updates(world: &mut World, news: impl IntoIterator<Item = EngineUpdate>) {
     for (sequence, news) in (2000..).zip(news) {
         let message =
@@ -183,7 +183,7 @@
     }
 }
 
-/// The engines of a large site enter by tens at once. Nobody is to read the list for that.
+/// Many engines may enter at once: boxes must not read the list for that.
 #[test]
 fn many_changes_lost() {
     let mut follower = World::new();
@@ -199,7 +199,7 @@
     assert!(!effects.contains(&Effect::Read(Kind::Engines)), "nothing is missing");
 }
 
-/// If one of these datagrams is lost, those behind it are not taken, and the list is read.
+/// If one of these datagrams is lost, later ones must not be applied, and the list is read.
 #[test]
 fn lost_update_ignored() {
     let mut follower = World::new();
@@ -215,8 +215,8 @@
     assert!(effects.contains(&Effect::Read(Kind::Engines)));
 }
 
-/// The store's revision rises with every change of anything. A list in which nothing is new must
-/// not make the others read it.
+/// The store's revision rises with every change of any object. A list without changes must not make
+/// the other boxes read it.
 #[test]
 fn unchanged_list_announced() {
     let mut world = World::new();
@@ -233,7 +233,7 @@
     assert_eq!(announced.max(), Some(Revision::default()), "no change of an engine is known");
 }
 
-/// Gives which of nine boxes follow the store while some of them get no answers from it.
+/// Returns which of nine boxes follow the store while some of them get no answers from it.
 fn followers(blind: &[u8]) -> Vec<u8> {
     let does_follow = |own: &u8| {
         let mut world = World::numbered(*own);
@@ -246,7 +246,7 @@
     (1..=9).filter(does_follow).collect()
 }
 
-/// For each follower that is cut off from the store one more box turns to it, not all.
+/// For each follower without the store one more box has to follow it, not all.
 #[test]
 fn wrong_replacement_count() {
     let first = followers(&[]);
@@ -254,11 +254,11 @@
     for blind in 1..=3 {
         let more = followers(&first[..blind]);
         assert_eq!(more.len(), 3 + blind);
-        assert!(first.iter().all(|it| more.contains(it)), "those that are blind go on trying");
+        assert!(first.iter().all(|it| more.contains(it)), "followers without the store keep trying");
     }
 }
 
-/// Lets time pass without a word from others.
+/// Lets time pass without datagrams of others.
 fn tick_for(world: &mut World, duration: Duration) -> Vec<Effect> {
     let end = world.now + duration;
     let mut effects = Vec::new();
@@ -269,7 +269,7 @@
     effects
 }
 
-/// Gives whether the last heartbeat called the box blind.
+/// Returns whether the last heartbeat announced a loss of the store.
 fn is_blind(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|it| match it {
         Effect::Announce(_, message) if message.is_whole => Some(message.store_view.has_lost_store),
@@ -277,7 +277,7 @@
     })
 }
 
-/// A follower whose calls fail says so soon, and takes it back with the next answer.
+/// A follower whose calls fail has to announce it soon, and withdraw it with the next answer.
 #[test]
 fn store_failure_not_announced() {
     let mut world = World::new();
@@ -296,7 +296,7 @@
     assert_eq!(is_blind(&tick_for(&mut world, Duration::from_millis(400))), Some(false));
 }
 
-/// A box that has just started hears the others before it follows; alone it follows all the same.
+/// A box that has just started waits for heartbeats before it follows the store; without any it follows.
 #[test]
 fn store_followed_early() {
     let mut world = World::unconfigured();
--- a/tests/tests/gateway_peers.rs
+++ b/tests/tests/gateway_peers.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other.
+//! Announcements between boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use hollyspoke_gateway::message::{Load, Message, Readiness, StoreView};
 use hollyspoke_tests::gateway::{self, MEMORY, World, request, settings};
 
-/// Gives a heartbeat of another box that knows nothing of the store.
+/// Returns a heartbeat of another box that knows nothing of the store.
 fn heartbeat(number: u8, sequence: u64) -> Message {
     gateway::heartbeat(number, sequence, StoreView::default())
 }
 
-/// Gives where a box listens for clients.
+/// Returns a box's address for callers.
 fn caller_address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 8000))
 }
@@ -37,7 +37,7 @@
     assert!(first.fronts(None).is_empty(), "neither knows a configuration");
 }
 
-/// All boxes may start at once, the seeds last: until one answers they are greeted often.
+/// Seeds may start last: until one answers they have to be greeted often.
 #[test]
 fn seed_greeted_rarely() {
     let mut node = Gateway::new(settings(1));
@@ -54,7 +54,7 @@
     assert!(due > Time::from_millis(1510), "it waits for its own heartbeat: {due:?}");
 }
 
-/// Two boxes that greet each other at once need no answers; one that starts after it was greeted does.
+/// Boxes that greet each other at once need no answers; one that starts after a greeting does.
 #[test]
 fn crossed_greetings_answered() {
     let other = settings(2).peer;
@@ -68,7 +68,7 @@
     assert!(answers(200));
 }
 
-/// A new box learns many others from the first that it greets.
+/// A new box has to learn many others from the first one that it greets.
 #[test]
 fn new_box_learns_few() {
     let mut world = World::new();
@@ -108,7 +108,7 @@
     assert_eq!(world.gateway.fronts(None), [caller_address(1)]);
 }
 
-/// If most boxes fall silent at once, it may be this one that is cut off.
+/// If most boxes time out at once, this box may be the one that is partitioned.
 #[test]
 fn isolated_box_drops_peers() {
     let mut world = World::new();
@@ -139,7 +139,7 @@
     assert_eq!(effects, [], "it waits");
     let effects = world.event(Event::Received(heartbeat(2, 2)));
     let sent = effects.iter().any(|it| matches!(it, Effect::Send(it) if it.task == Task::Prefill));
-    assert!(sent, "the room is free: {effects:?}");
+    assert!(sent, "the capacity is free: {effects:?}");
 }
 
 #[test]
@@ -166,7 +166,7 @@
     assert!(message.loads.iter().any(|(_, load)| load.prefill_tokens == 5000));
 }
 
-/// Gives the last datagram among effects and whom it goes to.
+/// Returns the last datagram among effects and its receivers.
 fn last_announcement(effects: &[Effect]) -> (Vec<SocketAddr>, Message) {
     let mut found = effects.iter().filter_map(|it| match it {
         Effect::Announce(to, message) => Some((to.clone(), (**message).clone())),
@@ -175,7 +175,7 @@
     found.next_back().expect("a datagram")
 }
 
-/// With many boxes heartbeats come less often, and silence is borne for longer.
+/// With many boxes heartbeats are sent less often, and the timeout is longer.
 #[test]
 fn large_site_peer_dropped() {
     let mut world = World::new();
@@ -205,13 +205,13 @@
     assert!(world.gateway.fronts(None).contains(&caller_address(3)));
 }
 
-/// Gives the number of datagrams among effects that tell of changed work.
+/// Returns the number of datagrams among effects that announce changed load.
 fn change_count(effects: &[Effect]) -> usize {
     let is_change = |it: &&Effect| matches!(it, Effect::Announce(_, it) if !it.is_whole);
     effects.iter().filter(is_change).count()
 }
 
-/// Lets time pass, and counts the datagrams that tell of changed work.
+/// Lets time pass, and counts the datagrams that announce changed load.
 fn change_count_within(world: &mut World, duration: Duration) -> usize {
     let end = world.now + duration;
     let mut count = 0;
@@ -222,7 +222,7 @@
     count
 }
 
-/// A plain call costs a datagram to each box, and engines tell their calls themselves.
+/// A datagram to each box for every plain call is too much; engines report their calls themselves.
 #[test]
 fn plain_calls_sent_separately() {
     let mut world = World::new();
--- a/tests/tests/gateway_plain.rs
+++ b/tests/tests/gateway_plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests: what may be sent again, and what a client is told.
+//! Plain requests: which may be sent again, and what their clients are answered.
 
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
     assert_ne!(first.engine.id, second.engine.id);
 }
 
-/// An engine that can't be reached runs nothing, and seemed to have the most room.
+/// An unreachable engine runs nothing, and so seems to have the most free capacity.
 #[test]
 fn unreachable_engine_preferred() {
     let mut world = World::new();
@@ -108,7 +108,7 @@
     only_send(&effects);
 }
 
-/// Silence gives no reason to end an answer where the request can't go elsewhere.
+/// A silent call must not be cancelled if no other attempt is left.
 #[test]
 fn silent_call_cancelled_early() {
     let single = Route { max_attempts: 1, ..route("safe", RouteKind::Safe, PLAIN) };
@@ -161,7 +161,7 @@
     assert!(matches!(only_refusal(&effects), Refusal::NotRun(..)));
 }
 
-/// An engine that answers well and late is avoided like one that fails.
+/// An engine that answers correctly but late is avoided like one that fails.
 #[test]
 fn slow_engine_preferred() {
     let mut world = World::new();
@@ -193,8 +193,8 @@
     assert!((40..=130).contains(&repeats), "{repeats} repeats of 400, bound 0.2 x 400 + 50");
 }
 
-/// A stream taken late in a planned stop outlived the process and was cut (hunt of apre-reventa,
-/// mix, seed 558146447575: taken 4.7 s after SIGTERM, cut at 7.6 s of 8).
+/// A stream that was accepted 4.7 s after SIGTERM was cut at 7.6 s, shortly before the process ended
+/// after 8 s.
 #[test]
 fn late_stream_cut() {
     let mut world = World::new();
--- a/tests/tests/gateway_streams.rs
+++ b/tests/tests/gateway_streams.rs
@@ -1,4 +1,4 @@
-//! Streams through engines that read prompts and engines that generate.
+//! Streams through prefill and decode engines.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     MEMORY, MODEL, World, engine, only_refusal, only_send, ran, read, request, turned_away,
 };
 
-/// Gives a request that fills an engine's memory.
+/// Returns a request that fills an engine's memory.
 fn filling_request(route: &str) -> Request {
     Request { prompt_tokens: Some(MEMORY * 9 / 10), ..request(route) }
 }
@@ -29,7 +29,7 @@
     assert_eq!(effects, [Effect::Finish(request_key)]);
 }
 
-/// A prompt read without room for it at an engine that generates is read for nothing.
+/// A prefill without free capacity at a decode engine is wasted.
 #[test]
 fn useless_prefill() {
     let mut world = World::new();
@@ -39,7 +39,7 @@
     assert_eq!(effects, []);
 }
 
-/// A client whose request is refused within a quarter of the target loses least by coming back.
+/// A request without free capacity is refused within a quarter of the target, so that a retry is cheap.
 #[test]
 fn overload_refusal_late() {
     let mut world = World::new();
@@ -62,13 +62,13 @@
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
-/// Gives a request of a client that has come back after a refusal.
+/// Returns a request of a client that returns after a refusal.
 fn returning_request(route: &str) -> Request {
     Request { deadline: Some(Duration::from_secs(10)), ..request(route) }
 }
 
-/// A request that has been given up on gets its answer at once, also if its client came back:
-/// engines that are full for this long stay full for longer than the client waits.
+/// A request is refused after the same wait if its client has returned: engines that are full for
+/// this long stay full for longer than the client waits.
 #[test]
 fn returning_request_waits_longer() {
     let mut world = World::new();
@@ -81,7 +81,7 @@
     assert_eq!(reason, NotRunReason::Overloaded);
 }
 
-/// A client that came back has no further try, so that its request goes before others.
+/// A client that returned has no further attempt, so that its request is sent before others.
 #[test]
 fn returning_request_delayed() {
     let mut world = World::new();
@@ -94,7 +94,7 @@
     assert_eq!(only_send(&effects).request, key);
 }
 
-/// The engine was full: the prompt is offered to a second one before it is read again.
+/// After a rejection the prompt is sent to a second engine before it is prefilled again.
 #[test]
 fn rejected_prompt_dropped() {
     let mut world = World::new();
@@ -108,7 +108,7 @@
     assert!(effects.iter().any(|it| matches!(it, Effect::Free(_))));
 }
 
-/// A prompt that is late for its own length would be late at any time; refusing it helps nobody.
+/// A prompt too long for the target would be late at any load, so that a refusal is of no use.
 #[test]
 fn long_prompt_refused() {
     let mut world = World::new();
@@ -196,7 +196,7 @@
     assert_eq!(send.task, Task::Prefill);
 }
 
-/// With all that read prompts gone, an engine that generates reads the prompt itself.
+/// Without prefill engines, a decode engine prefills the prompt itself.
 #[test]
 fn missing_prefill_engines_fatal() {
     let mut world = World::new();
@@ -214,5 +214,5 @@
         let (_, send) = world.sent(request("once"));
         direct_decode_count += u32::from(send.task == Task::Decode(Prompt::NotPrefilled));
     }
-    assert!(direct_decode_count > 0, "some prompts are read by the engines that generate");
+    assert!(direct_decode_count > 0, "some prompts are prefilled by decode engines");
 }
