--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -254,7 +254,10 @@
     for blind in 1..=3 {
         let more = followers(&first[..blind]);
         assert_eq!(more.len(), 3 + blind);
-        assert!(first.iter().all(|it| more.contains(it)), "followers without the store keep trying");
+        assert!(
+            first.iter().all(|it| more.contains(it)),
+            "followers without the store keep trying"
+        );
     }
 }
 
--- a/tests/tests/gateway_plain.rs
+++ b/tests/tests/gateway_plain.rs
@@ -193,8 +193,8 @@
     assert!((40..=130).contains(&repeats), "{repeats} repeats of 400, bound 0.2 x 400 + 50");
 }
 
-/// A stream that was accepted 4.7 s after SIGTERM was cut at 7.6 s, shortly before the process ended
-/// after 8 s.
+/// A stream that was accepted 4.7 s after SIGTERM was cut at 7.6 s, since the process ends within 8 s
+/// of the signal.
 #[test]
 fn late_stream_cut() {
     let mut world = World::new();
--- a/tests/tests/gateway_promises.rs
+++ b/tests/tests/gateway_promises.rs
@@ -94,7 +94,7 @@
                 let (request_key, effects) = self.world.arrive(request(route));
                 self.records
                     .insert(request_key, RequestRecord { route, ..RequestRecord::default() });
-                self.checker(effects);
+                self.check_effects(effects);
             }
             Step::Call(index, outcome) if !self.calls.is_empty() => {
                 let index = index.index(self.calls.len());
@@ -104,12 +104,12 @@
                 let request_key = self.calls[index.index(self.calls.len())].0.request;
                 self.records.get_mut(&request_key).expect("it arrived").is_disconnected = true;
                 let effects = self.world.event(Event::ClientDisconnected(request_key));
-                self.checker(effects);
+                self.check_effects(effects);
             }
             Step::Call(..) | Step::Disconnect(_) => {}
             Step::Wait(millis) => {
                 let effects = self.world.pass(Duration::from_millis(millis));
-                self.checker(effects);
+                self.check_effects(effects);
             }
         }
     }
@@ -150,11 +150,11 @@
             self.calls.remove(index);
         }
         let effects = self.world.call(send.call, event);
-        self.checker(effects);
+        self.check_effects(effects);
     }
 
     /// Records effects, and checks the guarantees.
-    fn checker(&mut self, effects: Vec<Effect>) {
+    fn check_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(send) => self.sent(send),
@@ -166,14 +166,14 @@
                     }
                 }
                 Effect::Refuse(request_key, refusal) => {
-                    let records = &self.records[&request_key];
+                    let record = &self.records[&request_key];
                     if matches!(refusal, Refusal::NotRun(..)) {
-                        assert_eq!(records.runs, 0, "it ran: {records:?}");
+                        assert_eq!(record.runs, 0, "it ran: {record:?}");
                         let is_under_way = self
                             .calls
                             .iter()
                             .any(|it| it.0.request == request_key && it.0.task != Task::Prefill);
-                        assert!(!is_under_way, "it may run yet: {records:?}");
+                        assert!(!is_under_way, "it may run yet: {record:?}");
                     }
                     self.ended(request_key);
                 }
@@ -185,9 +185,9 @@
 
     /// Records a call that was sent.
     fn sent(&mut self, send: Send) {
-        let records = &self.records[&send.request];
-        if send.task != Task::Prefill && matches!(records.route, "unsafe" | "once") {
-            assert_eq!(records.runs, 0, "it runs again: {records:?}");
+        let record = &self.records[&send.request];
+        if send.task != Task::Prefill && matches!(record.route, "unsafe" | "once") {
+            assert_eq!(record.runs, 0, "it runs again: {record:?}");
         }
         let is_doubled = self.calls.iter().any(|it| it.0.request == send.request);
         assert!(!is_doubled, "two calls at once: {send:?}");
@@ -205,9 +205,9 @@
 
     /// Records a final answer.
     fn ended(&mut self, request_key: RequestKey) {
-        let records = self.records.get_mut(&request_key).expect("it arrived");
-        records.final_answers += 1;
-        assert_eq!(records.final_answers, 1, "it ends again: {records:?}");
+        let record = self.records.get_mut(&request_key).expect("it arrived");
+        record.final_answers += 1;
+        assert_eq!(record.final_answers, 1, "it ends again: {record:?}");
     }
 }
 
@@ -226,8 +226,8 @@
             checker.apply(step);
         }
         checker.apply(Step::Wait(30_000));
-        for records in checker.records.values() {
-            prop_assert!(records.final_answers == 1 || records.is_disconnected, "it never ended: {records:?}");
+        for record in checker.records.values() {
+            prop_assert!(record.final_answers == 1 || record.is_disconnected, "it never ended: {record:?}");
         }
         prop_assert_eq!(checker.world.gateway.in_flight_count(), 0);
         prop_assert!(checker.calls.is_empty());
