--- a/crates/hollyspoke-gateway/src/back_off.rs
+++ b/crates/hollyspoke-gateway/src/back_off.rs
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct BackOff {
     /// Start time of the incarnation that asked for it.
-    born: Option<u64>,
+    started_at: Option<u64>,
     /// When the engine first asked for it.
-    began: Time,
+    began_at: Time,
     /// When it ends.
     until: Time,
     /// Maximum number of calls in progress once it has ended.
@@ -90,39 +90,39 @@
     pub fn learn(
         &mut self,
         engine: &Engine,
-        told: Reported,
+        reported: Reported,
         spread: impl FnOnce(Duration) -> Duration,
         now: Time,
     ) -> Option<Change> {
-        let span = match told {
+        let duration = match reported {
             Reported::Nothing => return None,
             Reported::Unreadable => {
                 return self.unreadable.insert(engine.key).then_some(Change::Unreadable);
             }
-            Reported::Duration(span) => span.min(MAX_DURATION),
+            Reported::Duration(duration) => duration.min(MAX_DURATION),
         };
         self.unreadable.remove(&engine.key);
-        if span.is_zero() {
+        if duration.is_zero() {
             return None;
         }
-        let until = now + span + spread(span);
+        let until = now + duration + spread(duration);
         let known =
             self.back_offs.get_mut(&engine.key).filter(|it| it.is_of(engine) && now < it.until);
         if let Some(back_off) = known {
             let is_news = until > back_off.until + MIN_LOGGED_EXTENSION;
             back_off.until = back_off.until.max(until);
-            return is_news.then_some(Change::Begun(span));
+            return is_news.then_some(Change::Begun(duration));
         }
         let back_off = BackOff {
-            born: engine.started_at,
-            began: now,
+            started_at: engine.started_at,
+            began_at: now,
             until,
             max_calls: 1,
             calls_in_progress: 0,
             is_end_reported: false,
         };
         self.back_offs.insert(engine.key, back_off);
-        Some(Change::Begun(span))
+        Some(Change::Begun(duration))
     }
 
     /// Returns whether an engine accepts no request from this box: during its back-off, or
@@ -191,7 +191,7 @@
             let is_over = back_off.until <= now || !is_left(engine, back_off);
             if is_over && !back_off.is_end_reported {
                 back_off.is_end_reported = true;
-                ended.push(Ended { engine, after: now.since(back_off.began) });
+                ended.push(Ended { engine, after: now.since(back_off.began_at) });
             }
         }
         self.back_offs.retain(|&engine, it| {
@@ -210,6 +210,6 @@
 impl BackOff {
     /// Returns whether the listed incarnation of an engine has asked for this back-off.
     fn is_of(&self, engine: &Engine) -> bool {
-        self.born.is_none() || self.born >= engine.started_at
+        self.started_at.is_none() || self.started_at >= engine.started_at
     }
 }
--- a/crates/hollyspoke-gateway/src/budget.rs
+++ b/crates/hollyspoke-gateway/src/budget.rs
@@ -37,13 +37,13 @@
 /// then.
 const MIN_CAPACITY_TOKENS: f64 = 1.0;
 
-/// The boxes that share a bound, from which the part of one box follows.
+/// A bound and the number of boxes that share it, from which the part of one box follows.
 #[derive(Debug, Clone, Copy)]
-pub struct Share<'a> {
+pub struct BoxShare<'a> {
     /// The bound.
     pub bound: &'a Bound,
     /// The number of boxes that may be alive.
-    pub boxes: usize,
+    pub box_count: usize,
 }
 
 /// The retries that one box may send for one service.
@@ -54,13 +54,13 @@
     /// When the bucket was last refilled; initially the start of the box.
     refilled_at: Time,
     /// The number of boxes that shared the bound at that time.
-    boxes: usize,
+    box_count: usize,
 }
 
-impl Share<'_> {
+impl BoxShare<'_> {
     /// Returns this box's part of the allowance.
     fn allowance(self) -> f64 {
-        self.bound.allowance * USED_SHARE / self.boxes.max(1) as f64
+        self.bound.allowance * USED_SHARE / self.box_count.max(1) as f64
     }
 
     /// Returns the capacity of the bucket, in tokens.
@@ -76,13 +76,13 @@
 
 impl Budget {
     /// Adds the tokens for a request that arrived.
-    pub fn add_request(&mut self, now: Time, share: Share<'_>) {
+    pub fn add_request(&mut self, now: Time, share: BoxShare<'_>) {
         self.refill(now, share);
         self.add(share.bound.ratio * USED_SHARE, share);
     }
 
     /// Takes a token for a retry. Returns whether one was available.
-    pub fn take(&mut self, now: Time, share: Share<'_>) -> bool {
+    pub fn take(&mut self, now: Time, share: BoxShare<'_>) -> bool {
         self.refill(now, share);
         let has_one = self.available >= 1.0;
         if has_one {
@@ -92,7 +92,7 @@
     }
 
     /// Returns the token of a call that turned out not to count.
-    pub fn refund(&mut self, now: Time, share: Share<'_>) {
+    pub fn refund(&mut self, now: Time, share: BoxShare<'_>) {
         self.refill(now, share);
         self.add(1.0, share);
     }
@@ -104,16 +104,16 @@
 
     /// Adds the tokens accrued up to a time. If there are fewer boxes than before, the time up to
     /// now accrues at the rate for the larger number.
-    fn refill(&mut self, now: Time, share: Share<'_>) {
-        let before = Share { boxes: share.boxes.max(self.boxes), ..share };
+    fn refill(&mut self, now: Time, share: BoxShare<'_>) {
+        let before = BoxShare { box_count: share.box_count.max(self.box_count), ..share };
         let elapsed = now.since(self.refilled_at);
         self.refilled_at = now;
-        self.boxes = share.boxes;
+        self.box_count = share.box_count;
         self.add(before.tokens_per_s() * elapsed.as_secs_f64(), share);
     }
 
     /// Adds tokens, up to the capacity of the bucket.
-    fn add(&mut self, tokens: f64, share: Share<'_>) {
+    fn add(&mut self, tokens: f64, share: BoxShare<'_>) {
         self.available = (self.available + tokens).min(share.capacity());
     }
 }
--- a/crates/hollyspoke-gateway/src/cold.rs
+++ b/crates/hollyspoke-gateway/src/cold.rs
@@ -25,11 +25,11 @@
 
 /// What determines a box's share of the requests that cold engines can handle.
 #[derive(Debug, Clone, Copy)]
-pub struct Part {
-    /// This box's number, which every box computes alike.
-    pub number: u64,
+pub struct BoxShare {
+    /// The hash of this box's address, which every box computes alike.
+    pub box_hash: u64,
     /// The number of boxes that may be alive.
-    pub boxes: usize,
+    pub box_count: usize,
 }
 
 /// When this box last sent to each cold engine.
@@ -42,9 +42,9 @@
 impl SendTimes {
     /// Returns whether a box may send a request to a cold engine that can handle `rate` requests
     /// per second.
-    pub fn may_send(&self, engine: EngineKey, rate: f64, part: Part, now: Time) -> bool {
-        let share = rate * USED_SHARE / part.boxes.max(1) as f64;
-        if draw(engine, part.number) >= share {
+    pub fn may_send(&self, engine: EngineKey, rate: f64, box_share: BoxShare, now: Time) -> bool {
+        let share = rate * USED_SHARE / box_share.box_count.max(1) as f64;
+        if unit_hash(engine, box_share.box_hash) >= share {
             return false;
         }
         let interval = MIN_INTERVAL.div_f64(share.max(1.0));
@@ -59,7 +59,7 @@
 }
 
 /// Returns a pseudorandom number from 0 to 1 that is always the same for an engine and a box.
-fn draw(engine: EngineKey, number: u64) -> f64 {
-    let hash = xxh3_64_with_seed(&engine.0.to_le_bytes(), number);
+fn unit_hash(engine: EngineKey, box_hash: u64) -> f64 {
+    let hash = xxh3_64_with_seed(&engine.0.to_le_bytes(), box_hash);
     hash as f64 / u64::MAX as f64
 }
--- a/crates/hollyspoke-gateway/src/customer.rs
+++ b/crates/hollyspoke-gateway/src/customer.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::credential::KeyDigest;
-use crate::region::Homes;
+use crate::region::AllowedRegions;
 use crate::request::Request;
 
 /// Short identifier of a customer: a hash of its name, the same on all boxes.
@@ -59,8 +59,8 @@
     pub unit: Unit,
     /// Its limit over all boxes, if it has one.
     pub limit: Option<Limit>,
-    /// The data centres in which its requests may be served.
-    pub homes: Homes,
+    /// The regions in which its requests may be served.
+    pub allowed_regions: AllowedRegions,
     /// The digests of its API keys.
     pub credentials: Vec<KeyDigest>,
 }
--- a/crates/hollyspoke-gateway/src/departure.rs
+++ b/crates/hollyspoke-gateway/src/departure.rs
@@ -49,7 +49,7 @@
 
 /// The reason that a shutdown is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// The engine is no longer listed.
     Gone,
     /// A later incarnation of the engine is listed.
@@ -62,7 +62,7 @@
     /// The key of the engine.
     pub engine: EngineKey,
     /// The reason that it is over.
-    pub end: End,
+    pub reason: EndReason,
     /// How long the shutdown had been known.
     pub age: Duration,
 }
@@ -151,18 +151,18 @@
         let mut ended = Vec::new();
         for (&engine, departure) in &mut self.departures {
             let entry = listed(engine);
-            let end = match entry {
+            let reason = match entry {
                 Some(entry) if departure.covers(entry.started_at) => {
                     departure.listed = now;
                     departure.has_ended = false;
                     continue;
                 }
-                Some(_) => End::Restarted,
-                None => End::Gone,
+                Some(_) => EndReason::Restarted,
+                None => EndReason::Gone,
             };
             if !departure.has_ended {
                 departure.has_ended = true;
-                ended.push(Ended { engine, end, age: departure.age(now) });
+                ended.push(Ended { engine, reason, age: departure.age(now) });
             }
         }
         self.departures.retain(|_, it| now.since(it.listed) < RETENTION);
--- a/crates/hollyspoke-gateway/src/directory.rs
+++ b/crates/hollyspoke-gateway/src/directory.rs
@@ -1,8 +1,8 @@
 //! The engines that the platform lists, and the state learned from their answers.
 
-mod departed;
 mod history;
 mod index;
+mod removed;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 
 pub use index::Group;
 
-use departed::Departures;
 use history::History;
 use index::Index;
+use removed::RemovedEngines;
 
 /// The prefill rate that is assumed before the first measurement, in tokens per millisecond.
 const INITIAL_PREFILL_RATE_TOKENS_PER_MS: f64 = 30.0;
@@ -35,7 +35,8 @@
 /// How long an engine's own measurements are preferred to those of its whole service.
 const MEASUREMENT_TTL: Duration = Duration::from_secs(8);
 
-/// The known state of one engine.
+/// The record of one engine in the [`Directory`]: its listed entry, and the state learned from its
+/// answers.
 #[derive(Debug, Clone)]
 pub struct Record {
     /// The engine's entry in the platform's list.
@@ -167,7 +168,7 @@
     /// The most recent changes.
     history: History,
     /// The engines that were removed recently.
-    departures: Departures,
+    removed: RemovedEngines,
     /// The revision at which the current era was entered, and the time until which lists may be as
     /// old as the copy of the store that it began with.
     entered: Option<(Revision, Time)>,
@@ -216,7 +217,7 @@
         for known in old.into_values() {
             match missing_until.filter(|_| !known.engine.is_draining) {
                 Some(until) => self.insert(known.mark_missing(until)),
-                None => self.record_departure(&known, now),
+                None => self.record_removal(&known, now),
             }
         }
         self.mark_all_replaced();
@@ -237,9 +238,9 @@
     /// does not undo that its engine drains.
     fn keep_draining(&self, engine: Engine, is_copy: bool) -> Engine {
         let known = self.engines.get(&engine.key).filter(|_| is_copy);
-        let leaves =
+        let drains =
             known.is_some_and(|it| it.engine.is_draining && it.engine.is_same_incarnation(&engine));
-        Engine { is_draining: engine.is_draining || leaves, ..engine }
+        Engine { is_draining: engine.is_draining || drains, ..engine }
     }
 
     /// Returns the changes that lead from the known engines to a list.
@@ -313,7 +314,7 @@
         let Some(known) = self.take(EngineKey::of(id)) else { return false };
         match missing_until.filter(|_| !known.engine.is_draining) {
             Some(until) => self.insert(known.mark_missing(until)),
-            None => self.record_departure(&known, now),
+            None => self.record_removal(&known, now),
         }
         true
     }
@@ -325,8 +326,8 @@
     }
 
     /// Records that an engine's entry is gone.
-    fn record_departure(&mut self, known: &Record, now: Time) {
-        self.departures.record(&known.engine, now);
+    fn record_removal(&mut self, known: &Record, now: Time) {
+        self.removed.record(&known.engine, now);
         self.record_end(known);
     }
 
@@ -354,7 +355,7 @@
         let is_evacuated = self.evacuated.contains(&engine.data_centre);
         let is_new = known.is_none();
         let unconfirmed_until = match (is_copy, self.entered) {
-            (true, Some((_, until))) if is_new && self.departures.includes(&engine, now) => {
+            (true, Some((_, until))) if is_new && self.removed.includes(&engine, now) => {
                 Some(until)
             }
             (true, _) => known.as_ref().and_then(|it| it.unconfirmed_until),
@@ -414,7 +415,7 @@
         let gone: Vec<_> = missing.filter(|it| is_gone(it)).map(|it| it.engine.clone()).collect();
         self.ended.extend(gone.iter().cloned());
         for engine in &gone {
-            self.departures.record(engine, now);
+            self.removed.record(engine, now);
             self.take(engine.key);
         }
         gone
--- a/crates/hollyspoke-gateway/src/directory/index.rs
+++ b/crates/hollyspoke-gateway/src/directory/index.rs
@@ -56,8 +56,8 @@
 
 impl Index {
     /// Adds an engine to the index.
-    pub(super) fn add(&mut self, known: &Record) {
-        let engine = &known.engine;
+    pub(super) fn add(&mut self, record: &Record) {
+        let engine = &record.engine;
         let groups = self.services.entry(engine.service.clone()).or_default();
         let place = groups.iter().position(|it| it.matches(engine)).unwrap_or_else(|| {
             let (data_centre, stage) = (engine.data_centre.clone(), engine.stage);
@@ -66,14 +66,14 @@
         });
         groups[place].add(engine.key);
         self.addresses.entry(engine.address).or_default().push(engine.key);
-        if known.is_missing() {
+        if record.is_missing() {
             self.missing.insert(engine.key);
         }
     }
 
     /// Removes an engine from the index.
-    pub(super) fn remove(&mut self, known: &Record) {
-        let engine = &known.engine;
+    pub(super) fn remove(&mut self, record: &Record) {
+        let engine = &record.engine;
         let groups = self.services.get_mut(&engine.service);
         if let Some(group) = groups.and_then(|it| it.iter_mut().find(|it| it.matches(engine))) {
             group.remove(engine.key);
--- a/crates/hollyspoke-gateway/src/directory/departed.rs
+++ b/crates/hollyspoke-gateway/src/directory/removed.rs
@@ -19,7 +19,7 @@
 
 /// An engine that was removed.
 #[derive(Debug, Clone, Copy)]
-struct Departed {
+struct RemovedEngine {
     /// The start time of the removed incarnation in milliseconds of Unix time, if known.
     started_at: Option<u64>,
     /// When it was removed.
@@ -28,17 +28,17 @@
 
 /// The engines that were removed recently.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Departures {
+pub(super) struct RemovedEngines {
     /// The removed engines by key.
-    engines: HashMap<EngineKey, Departed>,
+    engines: HashMap<EngineKey, RemovedEngine>,
     /// The keys and times of removals, oldest first.
     order: VecDeque<(EngineKey, Time)>,
 }
 
-impl Departures {
+impl RemovedEngines {
     /// Records that an engine was removed.
     pub(super) fn record(&mut self, engine: &Engine, now: Time) {
-        self.engines.insert(engine.key, Departed { started_at: engine.started_at, at: now });
+        self.engines.insert(engine.key, RemovedEngine { started_at: engine.started_at, at: now });
         self.order.push_back((engine.key, now));
         while self
             .order
@@ -54,8 +54,8 @@
 
     /// Returns whether an entry belongs to a removed engine and not to a later incarnation of it.
     pub(super) fn includes(&self, engine: &Engine, now: Time) -> bool {
-        let departed = self.engines.get(&engine.key).filter(|it| !is_old(it.at, now));
-        departed.is_some_and(|it| match (it.started_at, engine.started_at) {
+        let removed = self.engines.get(&engine.key).filter(|it| !is_old(it.at, now));
+        removed.is_some_and(|it| match (it.started_at, engine.started_at) {
             (Some(left), Some(listed)) => listed <= left,
             _ => true,
         })
--- a/crates/hollyspoke-gateway/src/effect.rs
+++ b/crates/hollyspoke-gateway/src/effect.rs
@@ -273,8 +273,8 @@
     ShutDown {
         /// The engine's id.
         id: Arc<str>,
-        /// How the end became known.
-        end: departure::End,
+        /// The reason that the shutdown is over.
+        end: departure::EndReason,
         /// The time since the shutdown became known.
         age: Duration,
     },
@@ -354,9 +354,9 @@
     /// Other boxes became reachable or timed out.
     Peers {
         /// The addresses of the boxes that were received from for the first time.
-        heard: Vec<SocketAddr>,
+        joined: Vec<SocketAddr>,
         /// The addresses of the boxes that timed out.
-        silent: Vec<SocketAddr>,
+        timed_out: Vec<SocketAddr>,
         /// The number of boxes that are alive now.
         alive: usize,
     },
--- a/crates/hollyspoke-gateway/src/event.rs
+++ b/crates/hollyspoke-gateway/src/event.rs
@@ -55,7 +55,7 @@
     Broken,
 }
 
-/// The kinds of objects in the platform's store.
+/// A kind of object in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// The configuration.
@@ -89,7 +89,7 @@
     /// Another incarnation has its address.
     Replaced,
     /// The engine accepts no connection or doesn't answer.
-    Silent,
+    NoAnswer,
 }
 
 /// An input of a gateway.
@@ -137,7 +137,7 @@
     /// answer whose body is not received yet, or never will be.
     Statement(EngineKey, Statement),
     /// An operator releases the quarantined requests whose signature has this prefix.
-    Lift(String),
+    Release(String),
     /// The machine was suspended for a time that has since been added to the clock.
     Suspended(Duration),
     /// The process was told to stop.
--- a/crates/hollyspoke-gateway/src/gateway.rs
+++ b/crates/hollyspoke-gateway/src/gateway.rs
@@ -131,7 +131,7 @@
     /// The data centres whose engines receive no requests.
     evacuations: Evacuations,
     /// When this box last sent requests to cold engines.
-    cold_turns: SendTimes,
+    cold_sends: SendTimes,
     /// The terms that engines have reported and that bind every sender.
     terms: Terms,
     /// The permits to send to rate-limited engines.
@@ -222,7 +222,7 @@
             are_engines_listed: false,
             directory: Directory::default(),
             evacuations: Evacuations::default(),
-            cold_turns: SendTimes::default(),
+            cold_sends: SendTimes::default(),
             terms: Terms::default(),
             permits: Permits::default(),
             ledger: Ledger::default(),
@@ -271,10 +271,10 @@
             }
             Event::SnapshotReceived(provider, snapshot) => self.apply_snapshot(provider, *snapshot),
             Event::StoreEra(era) => self.update_era(era, None),
-            Event::StoreAnswered(kind) => self.store_answered(kind),
-            Event::StoreFailed(kind) => self.store_failed(kind),
-            Event::Arrived(key, request) => self.arrive(key, request),
-            Event::ClientDisconnected(key) => self.client_left(key),
+            Event::StoreAnswered(kind) => self.record_store_answer(kind),
+            Event::StoreFailed(kind) => self.record_store_failure(kind),
+            Event::Arrived(key, request) => self.handle_arrival(key, request),
+            Event::ClientDisconnected(key) => self.handle_disconnect(key),
             Event::Call(call, event) => self.handle_call_event(call, event),
             Event::Received(message) => self.receive(&message),
             Event::Seeds(seeds) => self.members.add_seeds(self.settings.peer, seeds, self.now),
@@ -282,22 +282,22 @@
             Event::Stored(number, answer) => self.apply_store_answer(number, &answer),
             Event::OrderCount(engine, count) => self.apply_order_count(engine, count),
             Event::Ordered(engine, answer) => self.apply_order_answer(engine, answer),
-            Event::Probed(engine, probe) => self.probed(engine, probe),
-            Event::Statement(engine, says) => self.handle_statement(engine, &says),
-            Event::Lift(short) => self.release_held(&short),
-            Event::Suspended(span) => self.resume(span),
+            Event::Probed(engine, probe) => self.apply_probe(engine, probe),
+            Event::Statement(engine, statement) => self.handle_statement(engine, &statement),
+            Event::Release(short) => self.release_held(&short),
+            Event::Suspended(duration) => self.resume(duration),
             Event::Stop => self.stop(),
             Event::Tick => {}
         }
         self.remove_missing();
-        self.lift_expired();
-        self.take_ended();
+        self.lift_expired_evacuations();
+        self.handle_ended_engines();
         self.survey();
-        self.give_orders();
+        self.advance_stage_changes();
         if self.may_have_capacity {
             self.admit_waiting();
         }
-        self.expire();
+        self.check_due_requests();
         self.send_due_heartbeat();
         self.send_greetings();
         self.sync_cases();
@@ -311,14 +311,14 @@
     /// Returns the latest time at which the gateway needs a tick.
     pub fn next_due(&self) -> Time {
         let first = self.due.first().map(|&(it, _)| it);
-        let gathered = self.batch_due_at();
+        let batch_due = self.batch_due_at();
         let times = [
             first,
             self.directory.next_removal(),
             self.evacuations.next_expiry(),
             self.survey.due(),
             self.members.next_greeting_at(self.now),
-            gathered,
+            batch_due,
             self.stages.next_check_at(),
             self.cases_due(),
             self.permits.next_start(self.now),
@@ -329,7 +329,7 @@
 
     /// Returns whether clients should use this box.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Readiness::Ready
+        self.readiness() == Readiness::Ready
     }
 
     /// Returns whether the process was told to stop.
@@ -408,7 +408,7 @@
     }
 
     /// Returns the state of this box.
-    fn standing(&self) -> Readiness {
+    fn readiness(&self) -> Readiness {
         if self.stopped_at.is_some() {
             Readiness::Stopping
         } else if !self.may_serve() {
@@ -449,8 +449,8 @@
     }
 
     /// Resumes after the machine was suspended: state that was read before may be out of date.
-    fn resume(&mut self, span: Duration) {
-        self.log(LogEvent::Suspended(span));
+    fn resume(&mut self, duration: Duration) {
+        self.log(LogEvent::Suspended(duration));
         self.effects.push(Effect::Read(Kind::Configuration));
         self.effects.push(Effect::Read(Kind::Engines));
         self.effects.push(Effect::Read(Kind::Evacuations));
--- a/crates/hollyspoke-gateway/src/gateway/call.rs
+++ b/crates/hollyspoke-gateway/src/gateway/call.rs
@@ -20,7 +20,7 @@
 const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
 /// The lowest status that reports a failure of the engine itself.
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl Gateway {
     /// Handles an event of a call. Events of calls that were dropped before are ignored.
@@ -114,8 +114,8 @@
         if answer.execution == Execution::Replaced {
             self.directory.mark_misdirected(call.engine.key, now);
             self.unannounced.replaced.push(call.engine.key);
-        } else if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.record_rejection(call.load.held_tokens, now);
+        } else if let Some(record) = self.directory.get_mut(call.engine.key) {
+            record.record_rejection(call.load.held_tokens, now);
             self.unannounced
                 .rejections
                 .push(Rejection { engine: call.engine.key, held_tokens: call.load.held_tokens });
@@ -184,7 +184,7 @@
 
     /// An engine ran the request to its end.
     fn request_ran(&mut self, key: CallKey, call: &Call, answer: &Answer) {
-        let is_failure = answer.status >= SERVER_ERROR;
+        let is_failure = answer.status >= MIN_SERVER_ERROR_STATUS;
         let Some(in_flight) = self.in_flight.get_mut(&call.request) else { return };
         in_flight.trace.mark_sent();
         let signature = in_flight.signature;
@@ -296,15 +296,16 @@
         self.learn_limit(call, answer);
         self.learn_terms(call, &answer.statement);
         let now = self.now;
-        let is_good = answer.status < SERVER_ERROR && answer.execution == Execution::Ran;
+        let is_good = answer.status < MIN_SERVER_ERROR_STATUS && answer.execution == Execution::Ran;
         self.record_return_answer(call, is_good);
-        if let Some(known) = self.directory.get_mut(call.engine.key) {
-            known.reported_load = answer.statement.load.map(|it| (it, now)).or(known.reported_load);
+        if let Some(record) = self.directory.get_mut(call.engine.key) {
+            record.reported_load =
+                answer.statement.load.map(|it| (it, now)).or(record.reported_load);
             match self.in_flight.get(&call.request) {
                 Some(in_flight) if is_good && call.is_slow(now, in_flight) => {
-                    known.health.record_failure(now)
+                    record.health.record_failure(now)
                 }
-                _ if is_good => known.health.record_success(now),
+                _ if is_good => record.health.record_success(now),
                 _ => {}
             }
         }
@@ -327,9 +328,9 @@
     fn record_failure(&mut self, call: &Call) {
         let now = self.now;
         if self.is_current_incarnation(call)
-            && let Some(known) = self.directory.get_mut(call.engine.key)
+            && let Some(record) = self.directory.get_mut(call.engine.key)
         {
-            known.health.record_failure(now);
+            record.health.record_failure(now);
         }
     }
 
@@ -339,8 +340,8 @@
             return;
         }
         let now = self.now;
-        let Some(known) = self.directory.get_mut(call.engine.key) else { return };
-        let duration = known.health.record_unreachable(now);
+        let Some(record) = self.directory.get_mut(call.engine.key) else { return };
+        let duration = record.health.record_unreachable(now);
         self.unannounced.unreachable.push(call.engine.key);
         self.log(LogEvent::Avoided { id: call.engine.id.clone(), duration });
     }
--- a/crates/hollyspoke-gateway/src/gateway/capacity.rs
+++ b/crates/hollyspoke-gateway/src/gateway/capacity.rs
@@ -26,9 +26,9 @@
 impl Gateway {
     /// Returns whether an engine's memory is scarce.
     pub(super) fn is_scarce(&self, engine: EngineKey) -> bool {
-        let Some(known) = self.directory.get(engine) else { return false };
+        let Some(record) = self.directory.get(engine) else { return false };
         let configuration = self.configuration.as_ref();
-        let service = configuration.and_then(|it| it.service(&known.engine.service));
+        let service = configuration.and_then(|it| it.service(&record.engine.service));
         let Some(staged) = service.and_then(|it| it.staged) else { return false };
         let held = f64::from(self.ledger.at(engine).held_tokens);
         held >= staged.memory_tokens as f64 * SCARCE_SHARE
@@ -127,11 +127,11 @@
     /// Returns whether an engine could take the request if it had free capacity.
     fn may_get_capacity(&self, in_flight: &InFlight) -> bool {
         let mut open = self.directory.open(&in_flight.service.name, self.now);
-        let leaving_for = self.leaving_for(in_flight);
+        let max_drain_age = self.max_drain_age(in_flight);
         open.any(|it| {
             let is_able =
                 it.engine.stage == Some(Stage::Decode) && self.is_allowed_at(in_flight, it);
-            is_able && self.terms.is_usable(&it.engine, leaving_for, self.now)
+            is_able && self.terms.is_usable(&it.engine, max_drain_age, self.now)
         })
     }
 
@@ -154,9 +154,12 @@
     }
 
     /// Returns whether a request may be served in the data centre of an engine.
-    pub(super) fn is_allowed_at(&self, in_flight: &InFlight, known: &Record) -> bool {
+    pub(super) fn is_allowed_at(&self, in_flight: &InFlight, record: &Record) -> bool {
         let regions = &self.settings.regions;
-        in_flight.homes().iter().all(|it| it.include(&known.engine.data_centre, regions))
+        in_flight
+            .allowed_regions()
+            .iter()
+            .all(|it| it.includes_data_centre(&record.engine.data_centre, regions))
     }
 }
 
--- a/crates/hollyspoke-gateway/src/gateway/cases.rs
+++ b/crates/hollyspoke-gateway/src/gateway/cases.rs
@@ -143,17 +143,17 @@
     /// since announcements from and to those may be lost.
     fn read_interval(&self) -> Option<Duration> {
         let known = self.members.peak_serving()?;
-        let heard = self.members.count(self.now);
-        if heard * 2 <= known {
-            return (heard < known).then_some(ISOLATED_READ_INTERVAL);
+        let alive = self.members.count(self.now);
+        if alive * 2 <= known {
+            return (alive < known).then_some(ISOLATED_READ_INTERVAL);
         }
-        (heard < known && self.follows_store()).then_some(READ_INTERVAL)
+        (alive < known && self.follows_store()).then_some(READ_INTERVAL)
     }
 
     /// Returns whether boxes are missing that may be alive.
     fn has_missing_boxes(&self) -> bool {
-        let heard = self.members.count(self.now);
-        self.members.peak_serving().is_some_and(|it| heard < it)
+        let alive = self.members.count(self.now);
+        self.members.peak_serving().is_some_and(|it| alive < it)
     }
 
     /// Returns the minimum number of crashes with which a case is stored.
@@ -164,7 +164,7 @@
     /// Starts to read the cases.
     fn read_cases(&mut self) {
         let operation = Operation::Get { kind: KIND.to_owned(), name: NAME.to_owned() };
-        let number = self.begin_operation(operation);
+        let number = self.start_operation(operation);
         self.cases.pending = Some((number, false));
     }
 
@@ -177,7 +177,7 @@
         }
         self.cases.value.clone_from(&value);
         let (kind, name) = (KIND.to_owned(), NAME.to_owned());
-        let number = self.begin_operation(Operation::Put { kind, name, expected, value });
+        let number = self.start_operation(Operation::Put { kind, name, expected, value });
         self.cases.pending = Some((number, true));
     }
 
@@ -195,7 +195,7 @@
     /// Handles a possible loss of cases in the store. The boxes that follow the store write the
     /// cases again immediately; the others check later, spread over time, whether the store has
     /// them.
-    pub(super) fn cases_lost(&mut self) {
+    pub(super) fn invalidate_cases(&mut self) {
         self.cases.version = None;
         self.cases.value.clear();
         self.cases.pending = None;
@@ -206,7 +206,7 @@
 
     /// Handles the store's answer to an operation. Returns whether the operation belonged to the
     /// cases.
-    pub(super) fn cases_stored(&mut self, number: u64, answer: &Answer) -> bool {
+    pub(super) fn apply_cases_answer(&mut self, number: u64, answer: &Answer) -> bool {
         let Some((_, writes)) = self.cases.pending.take_if(|it| it.0 == number) else {
             return false;
         };
--- a/crates/hollyspoke-gateway/src/gateway/census.rs
+++ b/crates/hollyspoke-gateway/src/gateway/census.rs
@@ -102,7 +102,7 @@
     /// Starts reading the number.
     fn read_census(&mut self) {
         let operation = Operation::Get { kind: KIND.to_owned(), name: NAME.to_owned() };
-        let number = self.begin_operation(operation);
+        let number = self.start_operation(operation);
         self.census.under_way = Some((number, None));
     }
 
@@ -114,7 +114,7 @@
             expected: stored.version,
             value: boxes.to_string(),
         };
-        let number = self.begin_operation(operation);
+        let number = self.start_operation(operation);
         self.census.under_way = Some((number, Some(boxes)));
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/customer.rs
+++ b/crates/hollyspoke-gateway/src/gateway/customer.rs
@@ -124,9 +124,9 @@
 
     /// Refunds the units charged for a request that has not run.
     pub(super) fn refund_units(&mut self, key: RequestKey) {
-        let Some(flight) = self.in_flight.get_mut(&key) else { return };
-        let units = std::mem::take(&mut flight.units);
-        if let Some(customer) = &flight.customer
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        let units = std::mem::take(&mut in_flight.units);
+        if let Some(customer) = &in_flight.customer
             && units > 0
         {
             self.quota.give_back(customer.key, units);
@@ -148,12 +148,14 @@
     /// the request and returns `false` if the key is no longer known.
     pub(super) fn recheck_key(&mut self, key: RequestKey) -> bool {
         let Some(configuration) = &self.configuration else { return true };
-        let Some(flight) = self.in_flight.get_mut(&key) else { return true };
-        if flight.checked_version == configuration.version || is_allowed(configuration, flight) {
-            flight.checked_version = configuration.version;
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return true };
+        if in_flight.checked_version == configuration.version
+            || is_allowed(configuration, in_flight)
+        {
+            in_flight.checked_version = configuration.version;
             return true;
         }
-        if flight.trace.is_sent() {
+        if in_flight.trace.is_sent() {
             self.give_up(key, NotRunReason::Rejected);
             return false;
         }
@@ -170,11 +172,11 @@
         }
         self.box_count_due = self.now + SHARING_UPDATE_INTERVAL;
         let boxes = self.sharing_boxes();
-        let picture = match self.settings.sharing {
+        let visibility = match self.settings.sharing {
             Sharing::Parts => Visibility::isolated(boxes),
             Sharing::Totals => Visibility::connected(boxes, self.members.on_time_count(self.now)),
         };
-        self.quota.set_visibility(self.now, picture);
+        self.quota.set_visibility(self.now, visibility);
     }
 
     /// Returns how many boxes share a common bound: the configured number or that of live boxes if
@@ -243,8 +245,8 @@
 
 /// Returns whether a request's route accepts its key under a configuration. If the route is gone,
 /// the one that the request was accepted under counts.
-fn is_allowed(configuration: &Configuration, flight: &InFlight) -> bool {
-    let request = &flight.request;
-    let route = configuration.route(&request.host, &request.path).unwrap_or(&flight.route);
+fn is_allowed(configuration: &Configuration, in_flight: &InFlight) -> bool {
+    let request = &in_flight.request;
+    let route = configuration.route(&request.host, &request.path).unwrap_or(&in_flight.route);
     identify(configuration, route, request).is_ok()
 }
--- a/crates/hollyspoke-gateway/src/gateway/end.rs
+++ b/crates/hollyspoke-gateway/src/gateway/end.rs
@@ -14,18 +14,18 @@
 impl Gateway {
     /// Checks the requests that are due: their deadline has passed, or their engine has been silent
     /// too long.
-    pub(super) fn expire(&mut self) {
+    pub(super) fn check_due_requests(&mut self) {
         while let Some(&(due, key)) = self.due.first() {
             if due > self.now {
                 return;
             }
             self.due.pop_first();
-            self.expire_one(key);
+            self.check_due_request(key);
         }
     }
 
     /// Checks one request that is due.
-    fn expire_one(&mut self, key: RequestKey) {
+    fn check_due_request(&mut self, key: RequestKey) {
         let Some(in_flight) = self.in_flight.get(&key) else { return };
         if in_flight.deadline <= self.now {
             return self.time_out(key);
@@ -80,7 +80,7 @@
     }
 
     /// Ends a request whose client has disconnected.
-    pub(super) fn client_left(&mut self, key: RequestKey) {
+    pub(super) fn handle_disconnect(&mut self, key: RequestKey) {
         self.drop_call(key);
         if self.in_flight.get(&key).is_some_and(|it| !it.trace.is_sent()) {
             self.refund_units(key);
--- a/crates/hollyspoke-gateway/src/gateway/era.rs
+++ b/crates/hollyspoke-gateway/src/gateway/era.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Applies an era from the store's answer, or from the box `told_by`.
+    /// Applies an era from the store's answer, or from the box `announced_by`.
     pub(super) fn update_era(&mut self, era: u64, announced_by: Option<SocketAddr>) {
         let before = self.store.era;
         if before.is_some_and(|it| it >= era) {
@@ -47,7 +47,7 @@
     fn resync_with_store(&mut self) {
         self.store.engines_back = Some(self.now);
         self.invalidate_census();
-        self.cases_lost();
+        self.invalidate_cases();
         if self.store.follows {
             self.effects.extend(KINDS.map(Effect::Read));
         }
--- a/crates/hollyspoke-gateway/src/gateway/evacuation.rs
+++ b/crates/hollyspoke-gateway/src/gateway/evacuation.rs
@@ -34,7 +34,7 @@
     }
 
     /// Lifts evacuations that the store had lost, once their hold has expired.
-    pub(super) fn lift_expired(&mut self) {
+    pub(super) fn lift_expired_evacuations(&mut self) {
         if self.evacuations.next_expiry().is_some_and(|it| it <= self.now) {
             let difference = self.evacuations.sweep(self.now);
             self.apply_difference(difference);
--- a/crates/hollyspoke-gateway/src/gateway/limit.rs
+++ b/crates/hollyspoke-gateway/src/gateway/limit.rs
@@ -24,19 +24,26 @@
         if !call.has_begun {
             let may_lift =
                 answer.execution == Execution::Ran && answer.status < MIN_UNSUCCESSFUL_STATUS;
-            self.learn_limit_of(call.engine.key, answer.statement.limit, call.sent, may_lift);
+            self.apply_limit_report(call.engine.key, answer.statement.limit, call.sent, may_lift);
         }
     }
 
     /// Applies a limit that an engine reports in its answer to an order or a query.
-    pub(super) fn learn_reported_limit(&mut self, engine: EngineKey, told: Reported) {
-        self.learn_limit_of(engine, told, Time::ZERO, false);
+    pub(super) fn learn_reported_limit(&mut self, engine: EngineKey, reported: Reported) {
+        self.apply_limit_report(engine, reported, Time::ZERO, false);
     }
 
     /// Applies what an engine reported in the answer to something sent at `sent`.
-    fn learn_limit_of(&mut self, engine: EngineKey, told: Reported, sent: Time, may_lift: bool) {
-        let Some(known) = self.directory.get(engine) else { return };
-        let change = self.terms.limits.apply_report(&known.engine, told, sent, may_lift, self.now);
+    fn apply_limit_report(
+        &mut self,
+        engine: EngineKey,
+        reported: Reported,
+        sent: Time,
+        may_lift: bool,
+    ) {
+        let Some(record) = self.directory.get(engine) else { return };
+        let change =
+            self.terms.limits.apply_report(&record.engine, reported, sent, may_lift, self.now);
         if let Some(change) = change {
             self.unannounced.limits.push(engine);
             self.handle_limit_change(engine, change, None, Duration::ZERO);
@@ -44,21 +51,21 @@
     }
 
     /// Handles the limits in another box's announcement or permit questions.
-    pub(super) fn receive_limits(&mut self, sender: SocketAddr, told: &Extension) {
-        let asked = told.asks.iter().map(|it| &it.word);
-        for word in told.limits.iter().chain(asked) {
-            self.receive_limit(word, sender);
+    pub(super) fn receive_limits(&mut self, sender: SocketAddr, extension: &Extension) {
+        let in_questions = extension.asks.iter().map(|it| &it.limit);
+        for announcement in extension.limits.iter().chain(in_questions) {
+            self.receive_limit(announcement, sender);
         }
     }
 
     /// Handles another box's announcement of one engine's limit.
-    fn receive_limit(&mut self, word: &Announcement, sender: SocketAddr) {
-        let Some(known) = self.directory.get(word.engine) else { return };
+    fn receive_limit(&mut self, announcement: &Announcement, sender: SocketAddr) {
+        let Some(record) = self.directory.get(announcement.engine) else { return };
         if let Some(change) =
-            self.terms.limits.apply_announcement(word, known.engine.started_at, self.now)
+            self.terms.limits.apply_announcement(announcement, record.engine.started_at, self.now)
         {
-            let age = Duration::from_millis(u64::from(word.age_ms));
-            self.handle_limit_change(word.engine, change, Some(sender), age);
+            let age = Duration::from_millis(u64::from(announcement.age_ms));
+            self.handle_limit_change(announcement.engine, change, Some(sender), age);
         }
     }
 
@@ -77,10 +84,10 @@
         age: Duration,
     ) {
         self.permits.held.clear_refusal(engine);
-        self.begin_to_issue(engine);
+        self.start_issuing(engine);
         self.may_have_capacity = true;
-        if let Some(known) = self.directory.get(engine) {
-            let id = known.engine.id.clone();
+        if let Some(record) = self.directory.get(engine) {
+            let id = record.engine.id.clone();
             self.log(LogEvent::Limited { id, change, announced_by, age });
         }
     }
--- a/crates/hollyspoke-gateway/src/gateway/peers.rs
+++ b/crates/hollyspoke-gateway/src/gateway/peers.rs
@@ -32,11 +32,11 @@
 const MIN_FREED_MEMORY_DELAY: Duration = Duration::from_millis(3);
 
 /// The increase per box of the maximum of that time.
-const FREED_MEMORY_DELAY_PER_NODE: Duration = Duration::from_micros(500);
+const FREED_MEMORY_DELAY_PER_BOX: Duration = Duration::from_micros(500);
 
 /// The time per box for which changes that aren't urgent are batched. With more boxes, each change
 /// costs more datagrams and matters less.
-const BATCH_DELAY_PER_NODE: Duration = Duration::from_millis(4);
+const BATCH_DELAY_PER_BOX: Duration = Duration::from_millis(4);
 
 /// What this box has found out about engines and not announced yet.
 #[derive(Debug, Clone, Default)]
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerChanges {
     /// The boxes that joined.
-    heard: Vec<SocketAddr>,
+    joined: Vec<SocketAddr>,
     /// The boxes that timed out.
-    silent: Vec<SocketAddr>,
+    timed_out: Vec<SocketAddr>,
 }
 
 impl Unannounced {
@@ -91,13 +91,13 @@
         }
         self.receive_era(message.era, message.sender);
         let knows_this_one = self.members.was_greeted(message.sender, self.now);
-        let hearing = self.members.receive(message, self.now);
-        if hearing == Receipt::Stale {
+        let receipt = self.members.receive(message, self.now);
+        if receipt == Receipt::Stale {
             return;
         }
-        if hearing == Receipt::New {
+        if receipt == Receipt::New {
             self.ledger.forget(message.sender);
-            self.peer_changes.heard.push(message.sender);
+            self.peer_changes.joined.push(message.sender);
             if !knows_this_one && self.should_answer(message) {
                 self.answer_new_peer(message);
             }
@@ -109,27 +109,27 @@
         if message.evacuation.revision > self.evacuations.newest().revision {
             self.apply_evacuation(message.evacuation.clone());
         }
-        if let Some(news) = &message.engine_update {
-            self.apply_engine_update(news);
+        if let Some(update) = &message.engine_update {
+            self.apply_engine_update(update);
         }
         for &engine in &message.replaced {
             self.directory.mark_misdirected(engine, self.now);
         }
-        for switching in &message.stage_switches {
-            self.apply_stage_switch(switching);
+        for stage_switch in &message.stage_switches {
+            self.apply_stage_switch(stage_switch);
         }
         for &engine in &message.unreachable {
-            if let Some(known) = self.directory.get_mut(engine) {
-                known.health.suspect(message.sender, self.now);
+            if let Some(record) = self.directory.get_mut(engine) {
+                record.health.suspect(message.sender, self.now);
             }
         }
-        for full in &message.rejections {
-            if let Some(known) = self.directory.get_mut(full.engine) {
-                known.record_rejection(full.held_tokens, self.now);
+        for rejection in &message.rejections {
+            if let Some(record) = self.directory.get_mut(rejection.engine) {
+                record.record_rejection(rejection.held_tokens, self.now);
             }
         }
-        for &kept in &message.cached_prompts {
-            self.prompts.record(kept, self.now);
+        for &cached in &message.cached_prompts {
+            self.prompts.record(cached, self.now);
         }
         let until = self.now + self.draw_freed_memory_delay();
         let loads = &message.loads;
@@ -166,9 +166,9 @@
             return;
         }
         self.next_heartbeat = self.now + self.cadence().local_interval();
-        for silent in self.members.sweep(self.now) {
-            self.ledger.forget(silent);
-            self.peer_changes.silent.push(silent);
+        for address in self.members.sweep(self.now) {
+            self.ledger.forget(address);
+            self.peer_changes.timed_out.push(address);
         }
         self.log_peer_changes();
         self.log_engine_change_counts();
@@ -200,10 +200,10 @@
 
     /// Logs the boxes that joined or timed out since the last heartbeat, in a single line.
     fn log_peer_changes(&mut self) {
-        let PeerChanges { heard, silent } = std::mem::take(&mut self.peer_changes);
-        if !heard.is_empty() || !silent.is_empty() {
+        let PeerChanges { joined, timed_out } = std::mem::take(&mut self.peer_changes);
+        if !joined.is_empty() || !timed_out.is_empty() {
             let alive = self.members.alive().len();
-            self.log(LogEvent::Peers { heard, silent, alive });
+            self.log(LogEvent::Peers { joined, timed_out, alive });
         }
     }
 
@@ -236,7 +236,7 @@
     fn draw_freed_memory_delay(&mut self) -> Duration {
         let spread = self.draw() % 1000;
         let longest = MIN_FREED_MEMORY_DELAY
-            + FREED_MEMORY_DELAY_PER_NODE * self.members.max_receivers() as u32;
+            + FREED_MEMORY_DELAY_PER_BOX * self.members.max_receivers() as u32;
         MIN_FREED_MEMORY_DELAY + longest.mul_f64(spread as f64 / 1000.0)
     }
 
@@ -258,21 +258,22 @@
     /// Announces changed work, newly cached prompts, and engines that were replaced, unreachable or
     /// full.
     pub(super) fn send_changes(&mut self) {
-        let has_urgent_kept = self.prompts.has_unannounced() && !self.members.is_large();
-        let is_urgent = self.ledger.is_urgent() || has_urgent_kept || !self.unannounced.is_empty();
+        let has_urgent_prompts = self.prompts.has_unannounced() && !self.members.is_large();
+        let is_urgent =
+            self.ledger.is_urgent() || has_urgent_prompts || !self.unannounced.is_empty();
         if !is_urgent && !self.is_batch_due() {
             return;
         }
         self.batch_started_at = None;
-        let kept = self.prompts.take_unannounced();
-        let untold = std::mem::take(&mut self.unannounced);
+        let cached_prompts = self.prompts.take_unannounced();
+        let unannounced = std::mem::take(&mut self.unannounced);
         let changed = self.ledger.take_changed();
         let mut message = self.message(false);
         message.loads = changed;
-        message.cached_prompts = kept;
-        message.replaced = untold.replaced;
-        message.unreachable = untold.unreachable;
-        message.rejections = untold.rejections;
+        message.cached_prompts = cached_prompts;
+        message.replaced = unannounced.replaced;
+        message.unreachable = unannounced.unreachable;
+        message.rejections = unannounced.rejections;
         message.usage = self.changed_usage();
         self.send_to_concerned(message);
     }
@@ -289,21 +290,21 @@
     /// Returns the latest time at which the batched changes are sent.
     pub(super) fn batch_due_at(&self) -> Option<Time> {
         let nodes = u32::try_from(self.members.peak_count()).unwrap_or(u32::MAX);
-        let span = BATCH_DELAY_PER_NODE.saturating_mul(nodes).min(self.cadence().local_interval());
-        self.batch_started_at.map(|it| it + span)
+        let delay = BATCH_DELAY_PER_BOX.saturating_mul(nodes).min(self.cadence().local_interval());
+        self.batch_started_at.map(|it| it + delay)
     }
 
     /// Forwards engine changes that were read from the store.
-    pub(super) fn send_engine_update(&mut self, news: EngineUpdate) {
+    pub(super) fn send_engine_update(&mut self, update: EngineUpdate) {
         let mut message = self.message(false);
-        message.engine_update = Some(Box::new(news));
+        message.engine_update = Some(Box::new(update));
         self.send_to_all(message);
     }
 
     /// Sends a datagram to boxes, if there are any.
-    pub(super) fn send_to(&mut self, audience: Vec<SocketAddr>, message: Message) {
-        if !audience.is_empty() {
-            self.effects.push(Effect::Announce(audience, Box::new(message)));
+    pub(super) fn send_to(&mut self, recipients: Vec<SocketAddr>, message: Message) {
+        if !recipients.is_empty() {
+            self.effects.push(Effect::Announce(recipients, Box::new(message)));
         }
     }
 
@@ -313,9 +314,9 @@
         let loads: Vec<(EngineKey, Load)> = if is_whole { self.ledger.own() } else { Vec::new() };
         let demand = if is_whole { self.own_demand() } else { Vec::new() };
         let stage_switches = if is_whole { self.own_stage_switches() } else { Vec::new() };
-        let most_named =
+        let max_peers =
             if self.is_starting_up() { MAX_PEERS_TO_NEW } else { MAX_PEERS_PER_DATAGRAM };
-        let peers = if is_whole { self.sample_peers(most_named) } else { Vec::new() };
+        let peers = if is_whole { self.sample_peers(max_peers) } else { Vec::new() };
         Message {
             incarnation: self.settings.incarnation,
             sequence: self.next_sequence,
@@ -323,7 +324,7 @@
             front: self.settings.front,
             data_centre: self.data_centre(),
             is_relayed: false,
-            readiness: self.standing(),
+            readiness: self.readiness(),
             loads,
             is_whole,
             cadence: is_whole.then(|| self.cadence()),
@@ -356,12 +357,12 @@
     }
 
     /// Returns a random sample of the live boxes.
-    fn sample_peers(&mut self, most: usize) -> Vec<PeerAddress> {
+    fn sample_peers(&mut self, max_count: usize) -> Vec<PeerAddress> {
         let mut alive = self.members.peer_addresses();
-        if alive.len() > most {
+        if alive.len() > max_count {
             let first = (self.draw() % alive.len() as u64) as usize;
             alive.rotate_left(first);
-            alive.truncate(most);
+            alive.truncate(max_count);
         }
         alive
     }
--- a/crates/hollyspoke-gateway/src/gateway/permits.rs
+++ b/crates/hollyspoke-gateway/src/gateway/permits.rs
@@ -13,14 +13,14 @@
 use crate::permit::{
     ANSWER_TIMEOUT, Ask, Holder, Issuer, Outcome, PART_COUNT, RETRY_DELAY, Reply, Side,
 };
-use crate::placement::PermitWait;
+use crate::placement::PermitState;
 use crate::rate_limit::Announcement;
 use crate::request::RequestKey;
 use crate::terms::Restriction;
 
 /// Maximum number of permit questions per call. Each takes a datagram and its answer, and when all
 /// engines of a service are rate-limited, a fifth question seldom succeeds where four did not.
-const MAX_ASKS: u32 = 4;
+const MAX_QUESTION_COUNT: u32 = 4;
 
 /// Share of the latency target for which a request waits for permits before it is refused, the same
 /// as for free capacity.
@@ -29,7 +29,7 @@
 /// Maximum number of rate-limited engines per heartbeat for which a box checks whether it issues
 /// their permits. Each check iterates over all boxes, and the cost of a heartbeat must not grow
 /// with boxes times engines.
-const MAX_CHECKED_PER_HEARTBEAT: usize = 256;
+const MAX_CHECKED_ENGINES_PER_HEARTBEAT: usize = 256;
 
 /// How long a question is retained for its answer.
 const QUESTION_RETENTION: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Question {
     /// The request that waits for the permit.
-    flight: RequestKey,
+    request: RequestKey,
     /// The engine asked about.
     engine: EngineKey,
     /// When the question was sent.
@@ -82,15 +82,15 @@
 
 impl Gateway {
     /// Returns whether a request may ask for permits, and from which engines.
-    pub(super) fn asking(&self, flight: &InFlight) -> PermitWait {
-        match flight.permit_request {
-            Some(asked) if self.is_waiting_for(&asked) => PermitWait::At(asked.engine),
-            _ if flight.permit_request_count >= MAX_ASKS
-                || self.permit_deadline(flight) <= self.now =>
+    pub(super) fn permit_state(&self, in_flight: &InFlight) -> PermitState {
+        match in_flight.permit_request {
+            Some(asked) if self.is_waiting_for(&asked) => PermitState::Requested(asked.engine),
+            _ if in_flight.permit_request_count >= MAX_QUESTION_COUNT
+                || self.permit_deadline(in_flight) <= self.now =>
             {
-                PermitWait::Never
+                PermitState::Exhausted
             }
-            _ => PermitWait::Open(self.patience(flight)),
+            _ => PermitState::MayRequest(self.patience(in_flight)),
         }
     }
 
@@ -101,18 +101,18 @@
     }
 
     /// Returns whether a request's question for a permit can no longer succeed.
-    pub(super) fn has_failed_question(&self, flight: &InFlight) -> bool {
-        flight.permit_request.is_some_and(|it| !self.is_waiting_for(&it))
+    pub(super) fn has_failed_question(&self, in_flight: &InFlight) -> bool {
+        in_flight.permit_request.is_some_and(|it| !self.is_waiting_for(&it))
     }
 
     /// Returns until when a request may wait for permits.
-    pub(super) fn permit_deadline(&self, flight: &InFlight) -> Time {
-        let duration = flight.route.target_latency.mul_f64(WAIT_SHARE);
-        if flight.source.is_some() {
-            return flight.handle_end();
+    pub(super) fn permit_deadline(&self, in_flight: &InFlight) -> Time {
+        let duration = in_flight.route.target_latency.mul_f64(WAIT_SHARE);
+        if in_flight.source.is_some() {
+            return in_flight.handle_end();
         }
-        let begun = if flight.call_count == 0 { flight.arrived } else { self.now };
-        (begun + duration).min(flight.deadline)
+        let begun = if in_flight.call_count == 0 { in_flight.arrived } else { self.now };
+        (begun + duration).min(in_flight.deadline)
     }
 
     /// Obtains or asks for a permit for a request that is about to be sent to an engine, if the
@@ -122,11 +122,11 @@
             return Permission::Granted;
         }
         self.drop_failed_question(key);
-        let Some(flight) = self.in_flight.get_mut(&key) else { return Permission::Refused };
-        if flight.permit_request.is_some_and(|it| it.engine == engine) {
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return Permission::Refused };
+        if in_flight.permit_request.is_some_and(|it| it.engine == engine) {
             return Permission::Pending;
         }
-        flight.permit_request_count += 1;
+        in_flight.permit_request_count += 1;
         let patience = self.in_flight.get(&key).map_or(Duration::ZERO, |it| self.patience(it));
         let issuer = self.issuer(engine);
         if issuer == self.settings.peer {
@@ -153,9 +153,9 @@
     /// Records that a request's question for an engine's permit has failed. The request may have
     /// asked for another engine's since.
     fn end_question(&mut self, key: RequestKey, engine: EngineKey) {
-        let Some(flight) = self.in_flight.get_mut(&key) else { return };
-        flight.permit_request.take_if(|it| it.engine == engine);
-        flight.exclude(Exclusion { engine, reason: Restriction::RateLimit });
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        in_flight.permit_request.take_if(|it| it.engine == engine);
+        in_flight.exclude(Exclusion { engine, reason: Restriction::RateLimit });
     }
 
     /// Issues a permit to a request of this box.
@@ -193,15 +193,15 @@
         patience: Duration,
         issuer: SocketAddr,
     ) {
-        let Some(word) = self.terms.limits.announcement(engine, self.now) else { return };
+        let Some(limit) = self.terms.limits.announcement(engine, self.now) else { return };
         self.permits.last_number += 1;
         let number = self.permits.last_number;
         let patience_ms = millis_rounded_up(patience);
-        let question = Question { flight: key, engine, at: self.now };
+        let question = Question { request: key, engine, at: self.now };
         self.permits.questions.insert(number, question);
         let until = self.now + ANSWER_TIMEOUT;
         self.await_permit(key, PermitRequest { engine, until, is_issued: false });
-        let asks = vec![Ask { number, word, patience_ms }];
+        let asks = vec![Ask { number, limit, patience_ms }];
         let extension = Extension { asks, ..Extension::default() }.non_empty();
         let message = Message { extension, ..self.message(false) };
         self.send_to(vec![issuer], message);
@@ -209,17 +209,17 @@
 
     /// Returns how long a request may wait for a permit. A higher priority waits longer, so that
     /// later permits are left to the higher priorities.
-    fn patience(&self, flight: &InFlight) -> Duration {
-        let left = self.permit_deadline(flight).since(self.now);
-        left / (1 + u32::from(flight.priority()))
+    fn patience(&self, in_flight: &InFlight) -> Duration {
+        let left = self.permit_deadline(in_flight).since(self.now);
+        left / (1 + u32::from(in_flight.priority()))
     }
 
     /// Lets a request wait for a permit.
     fn await_permit(&mut self, key: RequestKey, asked: PermitRequest) {
-        let Some(flight) = self.in_flight.get_mut(&key) else { return };
-        flight.permit_request = Some(asked);
-        flight.waits_for_permit |= flight.waits_until.is_none();
-        let until = flight.waits_until.map_or(asked.until, |it| it.max(asked.until));
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        in_flight.permit_request = Some(asked);
+        in_flight.waits_for_permit |= in_flight.waits_until.is_none();
+        let until = in_flight.waits_until.map_or(asked.until, |it| it.max(asked.until));
         self.wait_until(key, until);
         self.wake_at(key, Some(asked.until));
     }
@@ -232,8 +232,8 @@
 
     /// Returns the box that issues an engine's permits.
     fn issuer(&self, engine: EngineKey) -> SocketAddr {
-        let known = self.directory.get(engine);
-        let data_centre = known.map(|it| DataCentreKey::of(&it.engine.data_centre));
+        let record = self.directory.get(engine);
+        let data_centre = record.map(|it| DataCentreKey::of(&it.engine.data_centre));
         let data_centre = data_centre.unwrap_or_default();
         self.members.issuer(self.settings.peer, self.is_ready(), engine, data_centre)
     }
@@ -263,14 +263,14 @@
     }
 
     /// Handles another box's permit questions, and its answers to this box's questions.
-    pub(super) fn receive_permits(&mut self, sender: SocketAddr, told: &Extension) {
-        let replies: Vec<_> = told.asks.iter().map(|it| self.answer(it)).collect();
+    pub(super) fn receive_permits(&mut self, sender: SocketAddr, extension: &Extension) {
+        let replies: Vec<_> = extension.asks.iter().map(|it| self.answer(it)).collect();
         if !replies.is_empty() {
             let extension = Extension { replies, ..Extension::default() }.non_empty();
             let answer = Message { extension, ..self.message(false) };
             self.send_to(vec![sender], answer);
         }
-        for reply in &told.replies {
+        for reply in &extension.replies {
             self.handle_reply(reply);
         }
     }
@@ -278,7 +278,7 @@
     /// Answers a permit question. A box that is not the engine's issuer by its own view of the
     /// boxes refuses it, since two issuers would exceed the limit.
     fn answer(&mut self, ask: &Ask) -> Reply {
-        let engine = ask.word.engine;
+        let engine = ask.limit.engine;
         let outcome = if self.issuer(engine) == self.settings.peer {
             self.issue(engine, millis(ask.patience_ms))
         } else {
@@ -290,7 +290,7 @@
     /// Handles the answer to a permit question.
     fn handle_reply(&mut self, reply: &Reply) {
         let Some(question) = self.permits.questions.remove(&reply.number) else { return };
-        let Question { flight: key, engine, at } = question;
+        let Question { request: key, engine, at } = question;
         if engine != reply.engine || self.now.since(at) > ANSWER_TIMEOUT {
             return;
         }
@@ -328,16 +328,20 @@
     pub(super) fn sweep_permits(&mut self) {
         let now = self.now;
         let directory = &self.directory;
-        self.terms.limits.sweep(now, |engine, born| {
-            directory.get(engine).is_some_and(|it| born.is_none() || it.engine.started_at <= born)
+        self.terms.limits.sweep(now, |engine, started_at| {
+            directory
+                .get(engine)
+                .is_some_and(|it| started_at.is_none() || it.engine.started_at <= started_at)
         });
         self.permits.held.sweep(now);
         self.permits.questions.retain(|_, it| now.since(it.at) < QUESTION_RETENTION);
         let limits = &self.terms.limits;
         self.permits.issuer.retain(|it| limits.of(it).is_some());
-        let checked =
-            self.terms.limits.limited_after(self.permits.last_checked, MAX_CHECKED_PER_HEARTBEAT);
-        let has_more = checked.len() == MAX_CHECKED_PER_HEARTBEAT;
+        let checked = self
+            .terms
+            .limits
+            .limited_after(self.permits.last_checked, MAX_CHECKED_ENGINES_PER_HEARTBEAT);
+        let has_more = checked.len() == MAX_CHECKED_ENGINES_PER_HEARTBEAT;
         self.permits.last_checked = checked.last().copied().filter(|_| has_more);
         let (issued, others): (Vec<_>, Vec<_>) =
             checked.into_iter().partition(|&it| self.issues(it));
@@ -356,7 +360,7 @@
 
     /// Begins to issue the permits of an engine that has just reported a limit, if this box is its
     /// issuer.
-    pub(super) fn begin_to_issue(&mut self, engine: EngineKey) {
+    pub(super) fn start_issuing(&mut self, engine: EngineKey) {
         if self.terms.limits.of(engine).is_some() && self.issues(engine) {
             self.permits.issuer.begin(engine, self.now);
         }
--- a/crates/hollyspoke-gateway/src/gateway/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/gateway/quarantine.rs
@@ -59,13 +59,14 @@
     /// Records that a call broke, or that its engine timed out. At an engine that is shutting down
     /// this proves nothing, since the engine may have stopped as planned.
     pub(super) fn suspect(&mut self, call: &Call) {
-        let Some(known) = self.directory.get(call.engine.key) else { return };
-        if known.engine.is_draining || known.is_missing() || self.terms.is_leaving(&known.engine) {
+        let Some(record) = self.directory.get(call.engine.key) else { return };
+        if record.engine.is_draining || record.is_missing() || self.terms.is_leaving(&record.engine)
+        {
             return;
         }
-        let is_back = known.engine.started_at != call.engine.started_at;
-        let Some(flight) = self.in_flight.get(&call.request) else { return };
-        let (signature, about) = (flight.signature, summary(flight));
+        let is_back = record.engine.started_at != call.engine.started_at;
+        let Some(in_flight) = self.in_flight.get(&call.request) else { return };
+        let (signature, about) = (in_flight.signature, summary(in_flight));
         let engine = &call.engine;
         if !self.quarantine.suspect(signature, call.case_state, engine, about, self.now) {
             return;
@@ -82,7 +83,7 @@
     }
 
     /// Handles the result of an engine's liveness probe.
-    pub(super) fn probed(&mut self, engine: EngineKey, probe: Probe) {
+    pub(super) fn apply_probe(&mut self, engine: EngineKey, probe: Probe) {
         self.probing.remove(&engine);
         let asked = Incarnation { engine, started_at: None };
         match probe {
@@ -92,7 +93,7 @@
                 self.confirm(asked, Proof::Proven);
             }
             Probe::Replaced => self.confirm(asked, Proof::Proven),
-            Probe::Silent => self.confirm(asked, Proof::Likely),
+            Probe::NoAnswer => self.confirm(asked, Proof::Likely),
         }
     }
 
@@ -105,7 +106,7 @@
 
     /// Handles engines that ended without announcing it: every call that broke there is attributed
     /// to a crash, and whatever was known of the engine is dropped.
-    pub(super) fn take_ended(&mut self) {
+    pub(super) fn handle_ended_engines(&mut self) {
         for engine in self.directory.take_ended() {
             // An engine that announced its shutdown has stopped as planned.
             if !self.terms.is_leaving(&engine) {
@@ -124,8 +125,8 @@
     /// Drops the prefilled prompts at an engine that no request has used yet: the engine no longer
     /// holds them.
     fn drop_handles(&mut self, engine: &Engine) {
-        for flight in self.in_flight.values_mut() {
-            flight.source.take_if(|it| it.address == engine.address);
+        for in_flight in self.in_flight.values_mut() {
+            in_flight.source.take_if(|it| it.address == engine.address);
         }
     }
 
@@ -161,19 +162,19 @@
 
     /// Returns an engine's id, or its key in hexadecimal if it is no longer listed.
     pub(super) fn engine_name(&self, engine: EngineKey) -> String {
-        let known = self.directory.get(engine);
-        known.map_or_else(|| format!("{:016x}", engine.0), |it| it.engine.id.to_string())
+        let record = self.directory.get(engine);
+        record.map_or_else(|| format!("{:016x}", engine.0), |it| it.engine.id.to_string())
     }
 
     /// Returns whether a request may be sent now. If not, it waits or is refused.
     pub(super) fn may_run(&mut self, key: RequestKey) -> bool {
-        let Some(flight) = self.in_flight.get(&key) else { return false };
-        let signature = flight.signature;
+        let Some(in_flight) = self.in_flight.get(&key) else { return false };
+        let signature = in_flight.signature;
         let verdict = self.quarantine.verdict(signature);
         if verdict == Verdict::Clear {
             return true;
         }
-        let about = summary(flight);
+        let about = summary(in_flight);
         self.quarantine.record_seen(signature, self.now, || about);
         match verdict {
             Verdict::Clear | Verdict::Suspect => return true,
@@ -190,8 +191,8 @@
     /// Refuses a held request with an answer that does not invite a retry. A request that has run
     /// at an engine can't be reported as not run.
     fn refuse_held(&mut self, key: RequestKey) {
-        let Some(flight) = self.in_flight.get(&key) else { return };
-        let Some(proof) = flight.trace.not_run().filter(|_| !flight.has_begun) else {
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        let Some(proof) = in_flight.trace.not_run().filter(|_| !in_flight.has_begun) else {
             return self.give_up(key, NotRunReason::UnderSuspicion);
         };
         self.refund_units(key);
@@ -207,12 +208,12 @@
 
     /// Lets a request wait until the running try of the same request has ended.
     fn wait_for_trial(&mut self, key: RequestKey) {
-        let Some(flight) = self.in_flight.get_mut(&key) else { return };
-        if flight.waits_until.is_some() {
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        if in_flight.waits_until.is_some() {
             return;
         }
-        let until = flight.deadline.min(self.now + MAX_TRIAL_WAIT);
-        flight.waits_until = Some(until);
+        let until = in_flight.deadline.min(self.now + MAX_TRIAL_WAIT);
+        in_flight.waits_until = Some(until);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
     }
@@ -260,9 +261,9 @@
         }
         for (incarnation, since) in self.quarantine.unproven() {
             let is_gone = match self.directory.get(incarnation.engine) {
-                Some(known) => {
+                Some(record) => {
                     incarnation.started_at.is_some()
-                        && known.engine.started_at > incarnation.started_at
+                        && record.engine.started_at > incarnation.started_at
                 }
                 None => self.now.since(since) >= UNLISTED_PROOF_DELAY,
             };
@@ -292,15 +293,15 @@
     /// Returns whether a call was sent to the currently listed incarnation of its engine. The
     /// outcome of a call to an earlier one says nothing about the current one.
     pub(super) fn is_current_incarnation(&self, call: &Call) -> bool {
-        let known = self.directory.get(call.engine.key);
-        known.is_none_or(|it| it.engine.started_at == call.engine.started_at)
+        let record = self.directory.get(call.engine.key);
+        record.is_none_or(|it| it.engine.started_at == call.engine.started_at)
     }
 }
 
 /// Returns the summary of a request for operators.
-fn summary(flight: &InFlight) -> RequestSummary {
+fn summary(in_flight: &InFlight) -> RequestSummary {
     RequestSummary {
-        customer: flight.customer.as_ref().map(|it| it.name.clone()),
-        path: flight.request.path.as_str().into(),
+        customer: in_flight.customer.as_ref().map(|it| it.name.clone()),
+        path: in_flight.request.path.as_str().into(),
     }
 }
--- a/crates/hollyspoke-gateway/src/gateway/relay.rs
+++ b/crates/hollyspoke-gateway/src/gateway/relay.rs
@@ -41,18 +41,18 @@
             return Reach::All;
         }
         let loads = message.loads.iter().map(|it| it.0);
-        let kept = message.cached_prompts.iter().map(|it| it.engine);
-        let full = message.rejections.iter().map(|it| it.engine);
-        let missed = message.unreachable.iter().copied();
+        let caching = message.cached_prompts.iter().map(|it| it.engine);
+        let rejecting = message.rejections.iter().map(|it| it.engine);
+        let unreachable = message.unreachable.iter().copied();
         let replaced = message.replaced.iter().copied();
-        let engines = loads.chain(kept).chain(full).chain(missed).chain(replaced);
+        let engines = loads.chain(caching).chain(rejecting).chain(unreachable).chain(replaced);
         Reach::DataCentres(self.data_centres_of(engines))
     }
 
     /// Returns the data centres of the engines that are known.
     fn data_centres_of(&self, engines: impl Iterator<Item = EngineKey>) -> BTreeSet<DataCentreKey> {
-        let known = engines.filter_map(|it| self.directory.get(it));
-        known.map(|it| DataCentreKey::of(&it.engine.data_centre)).collect()
+        let record = engines.filter_map(|it| self.directory.get(it));
+        record.map(|it| DataCentreKey::of(&it.engine.data_centre)).collect()
     }
 
     /// Sends a datagram to the live boxes within a reach. All changes of this box take the same
@@ -60,12 +60,12 @@
     pub(super) fn send_within(&mut self, reach: &Reach, message: Message) {
         let own = address_hash(&self.settings.peer);
         let subject = if message.is_whole { own.wrapping_add(message.sequence) } else { own };
-        let audience = self.members.recipients(reach, subject);
-        if !audience.relays.is_empty() {
+        let recipients = self.members.recipients(reach, subject);
+        if !recipients.relays.is_empty() {
             let relayed = Message { is_relayed: true, ..message.clone() };
-            self.send_to(audience.relays, relayed);
+            self.send_to(recipients.relays, relayed);
         }
-        self.send_to(audience.direct, message);
+        self.send_to(recipients.direct, message);
     }
 
     /// Forwards a datagram to the other boxes of this data centre.
--- a/crates/hollyspoke-gateway/src/gateway/retries.rs
+++ b/crates/hollyspoke-gateway/src/gateway/retries.rs
@@ -5,7 +5,7 @@
 //! retry takes its token when it is sent.
 
 use super::Gateway;
-use crate::budget::Share;
+use crate::budget::BoxShare;
 use crate::effect::LogEvent;
 use crate::in_flight::Call;
 use crate::request::RequestKey;
@@ -14,7 +14,7 @@
 impl Gateway {
     /// Credits a request to the retry budget of its service.
     pub(super) fn earn_retries(&mut self, service: &Service) {
-        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        let share = BoxShare { bound: &self.settings.retry_bound, box_count: self.sharing_boxes() };
         self.budgets.entry(service.name.clone()).or_default().add_request(self.now, share);
     }
 
@@ -22,7 +22,7 @@
     /// available.
     pub(super) fn take_retry(&mut self, key: RequestKey) -> bool {
         let boxes = self.sharing_boxes();
-        let share = Share { bound: &self.settings.retry_bound, boxes };
+        let share = BoxShare { bound: &self.settings.retry_bound, box_count: boxes };
         let Some(in_flight) = self.in_flight.get(&key) else { return false };
         let Some(budget) = self.budgets.get_mut(&in_flight.service.name) else { return false };
         let is_sent = budget.take(self.now, share);
@@ -39,7 +39,7 @@
         if !call.is_retry {
             return;
         }
-        let share = Share { bound: &self.settings.retry_bound, boxes: self.sharing_boxes() };
+        let share = BoxShare { bound: &self.settings.retry_bound, box_count: self.sharing_boxes() };
         let service = self.in_flight.get(&call.request).map(|it| &it.service.name);
         if let Some(budget) = service.and_then(|it| self.budgets.get_mut(it)) {
             budget.refund(self.now, share);
--- a/crates/hollyspoke-gateway/src/gateway/stages.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages.rs
@@ -37,7 +37,7 @@
 
 /// The minimum number of recent requests for an estimate of the load. With this many, the mean
 /// prompt length is known to about 10 %.
-const MIN_REQUESTS: u32 = 16;
+const MIN_REQUEST_COUNT: u32 = 16;
 
 /// The maximum share of a service's engines that change their stage at the same time.
 const MAX_SWITCHING_SHARE: f64 = 0.25;
@@ -67,11 +67,11 @@
 impl Throughput {
     /// Returns the throughput for requests like the recent ones.
     fn of(demand: Demand, capacity: Capacity) -> Throughput {
-        let asked = f64::from(demand.requests) / DECAY_TIME.as_secs_f64();
-        let borne = |by_one: f64, in_all: u32| by_one * asked / f64::from(in_all.max(1));
+        let requests_per_s = f64::from(demand.requests) / DECAY_TIME.as_secs_f64();
+        let of_type = |by_one: f64, in_all: u32| by_one * requests_per_s / f64::from(in_all.max(1));
         Throughput {
-            prefill: borne(capacity.prefill_rate, demand.prefill_tokens_per_s),
-            decode: borne(capacity.memory_tokens, demand.held_tokens),
+            prefill: of_type(capacity.prefill_rate, demand.prefill_tokens_per_s),
+            decode: of_type(capacity.memory_tokens, demand.held_tokens),
         }
     }
 }
@@ -79,7 +79,7 @@
 /// The progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The boxes have been told to send the engine nothing.
+    /// The change is announced to the boxes, which send the engine nothing.
     Announced,
     /// The order was sent.
     Sent,
@@ -183,9 +183,9 @@
 
     /// Applies the announcement of a stage change: nothing new is sent to the engine for its
     /// duration.
-    pub(super) fn apply_stage_switch(&mut self, switching: &StageSwitch) {
-        let span = Duration::from_millis(u64::from(switching.duration_ms));
-        self.directory.set_switching(switching.engine, switching.stage, self.now + span);
+    pub(super) fn apply_stage_switch(&mut self, stage_switch: &StageSwitch) {
+        let duration = Duration::from_millis(u64::from(stage_switch.duration_ms));
+        self.directory.set_switching(stage_switch.engine, stage_switch.stage, self.now + duration);
     }
 
     /// Plans stage changes that the load requires, if this box is the leader.
@@ -224,7 +224,7 @@
         let hash = service_hash(&service.name);
         let own = self.own_demand().into_iter().find(|it| it.0 == hash);
         let demand = self.members.demand(hash).plus(own.map(|it| it.1).unwrap_or_default());
-        if demand.requests < MIN_REQUESTS {
+        if demand.requests < MIN_REQUEST_COUNT {
             return;
         }
         let capacity = Capacity {
@@ -235,8 +235,8 @@
             let (split, working) = self.count_stages(&service.name, demand, capacity);
             let engines = split.prefill + split.decode;
             let changing = engines - working.prefill - working.decode;
-            let most = (f64::from(engines) * MAX_SWITCHING_SHARE).max(1.0) as u32;
-            if changing >= most {
+            let max = (f64::from(engines) * MAX_SWITCHING_SHARE).max(1.0) as u32;
+            if changing >= max {
                 return;
             }
             let Some(change) = ratio::change(demand, capacity, split, working) else { return };
@@ -262,16 +262,16 @@
     fn count_stages(&self, service: &str, demand: Demand, capacity: Capacity) -> (Split, Split) {
         let mut split = Split { prefill: 0, decode: 0 };
         let mut working = split;
-        let bears = Throughput::of(demand, capacity);
-        for known in self.staying(service) {
-            let is_reader = known.next_stage(self.now) == Some(Stage::Prefill);
-            let usual = if is_reader { bears.prefill } else { bears.decode };
-            let limit = self.terms.limits.of(known.engine.key);
+        let throughput = Throughput::of(demand, capacity);
+        for record in self.active_engines(service) {
+            let is_prefill = record.next_stage(self.now) == Some(Stage::Prefill);
+            let usual = if is_prefill { throughput.prefill } else { throughput.decode };
+            let limit = self.terms.limits.of(record.engine.key);
             if limit.is_some_and(|it| it.rate < usual * MIN_COUNTED_SHARE) {
                 continue;
             }
-            let works = u32::from(known.switching(self.now).is_none());
-            if is_reader {
+            let works = u32::from(record.switching(self.now).is_none());
+            if is_prefill {
                 split.prefill += 1;
                 working.prefill += works;
             } else {
@@ -283,7 +283,7 @@
     }
 
     /// Returns the engines of a service that are not shutting down.
-    fn staying(&self, service: &str) -> impl Iterator<Item = &Record> {
+    fn active_engines(&self, service: &str) -> impl Iterator<Item = &Record> {
         self.directory.active(service, self.now).filter(|it| !self.terms.is_leaving(&it.engine))
     }
 
@@ -295,22 +295,22 @@
             Change::ToDecode => Stage::Prefill,
             Change::ToPrefill => Stage::Decode,
         };
-        let mut readers_in: HashMap<&str, i64> = HashMap::new();
-        for known in self.staying(service) {
-            let is_reader = known.next_stage(self.now) == Some(Stage::Prefill);
-            *readers_in.entry(&known.engine.data_centre).or_default() += i64::from(is_reader);
+        let mut prefill_counts: HashMap<&str, i64> = HashMap::new();
+        for record in self.active_engines(service) {
+            let is_prefill = record.next_stage(self.now) == Some(Stage::Prefill);
+            *prefill_counts.entry(&record.engine.data_centre).or_default() += i64::from(is_prefill);
         }
-        let readers_near =
-            |it: &Record| readers_in.get(&*it.engine.data_centre).copied().unwrap_or_default();
+        let local_prefill_count =
+            |it: &Record| prefill_counts.get(&*it.engine.data_centre).copied().unwrap_or_default();
         let open = self.directory.open(service, self.now);
         // Orders are requests too, and an engine that is rate-limited or shutting down is of little
         // use in another stage.
         let candidates = open.filter(|it| it.engine.stage == Some(from));
         let candidates = candidates.filter(|it| self.accepts_auxiliary(it.engine.key));
         let chosen = candidates.min_by_key(|it| {
-            let readers = readers_near(it);
-            let readers = if change == Change::ToDecode { -readers } else { readers };
-            (readers, self.ledger.at(it.engine.key).held_tokens, it.engine.key)
+            let count = local_prefill_count(it);
+            let count = if change == Change::ToDecode { -count } else { count };
+            (count, self.ledger.at(it.engine.key).held_tokens, it.engine.key)
         });
         chosen.map(|it| it.engine.key)
     }
@@ -332,10 +332,10 @@
         };
         self.stages.changes.push(stage_change);
         self.stages.last_change = Some((change, planned_at));
-        if let Some(known) = self.directory.get(engine) {
-            let known = known.engine.clone();
-            self.log(LogEvent::Switch { id: known.id.clone(), stage, engines, demand });
-            self.effects.push(Effect::QueryOrderCount(known));
+        if let Some(record) = self.directory.get(engine) {
+            let record = record.engine.clone();
+            self.log(LogEvent::Switch { id: record.id.clone(), stage, engines, demand });
+            self.effects.push(Effect::QueryOrderCount(record));
         }
         self.announce_change(&stage_change);
     }
@@ -352,10 +352,10 @@
     }
 
     /// Announces a stage change to all boxes, including this one.
-    fn announce_stage_switch(&mut self, switching: StageSwitch) {
-        self.apply_stage_switch(&switching);
+    fn announce_stage_switch(&mut self, stage_switch: StageSwitch) {
+        self.apply_stage_switch(&stage_switch);
         let mut message = self.message(false);
-        message.stage_switches = vec![switching];
+        message.stage_switches = vec![stage_switch];
         self.send_to_all(message);
     }
 
--- a/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
+++ b/crates/hollyspoke-gateway/src/gateway/stages/orders.rs
@@ -15,7 +15,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The maximum number of times that an order without an answer is sent.
-const MAX_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPT_COUNT: u32 = 3;
 
 /// The pause after a cancelled change before another one is planned.
 const CANCEL_PAUSE: Duration = Duration::from_secs(4);
@@ -32,7 +32,7 @@
 
 impl Gateway {
     /// Advances the planned changes and sends the orders that can be sent now.
-    pub(in crate::gateway) fn give_orders(&mut self) {
+    pub(in crate::gateway) fn advance_stage_changes(&mut self) {
         if self.stages.changes.is_empty() && !self.wants_lease() {
             self.stages.next_check = None;
             return;
@@ -52,26 +52,26 @@
     /// Acquires or renews the lease while there is an order to send.
     fn tick_lease(&mut self) {
         let wanted = self.wants_lease();
-        let (number, begun) = (self.stages.last_operation + 1, &mut None);
+        let (number, started) = (self.stages.last_operation + 1, &mut None);
         self.stages.lease.tick(self.now, wanted, |operation| {
-            *begun = Some(operation);
+            *started = Some(operation);
             number
         });
-        self.begin(number, begun.take());
+        self.begin(number, started.take());
         self.log_lease();
     }
 
     /// Handles the store's answer to an operation.
     pub(in crate::gateway) fn apply_store_answer(&mut self, number: u64, answer: &Answer) {
-        if self.apply_census_answer(number, answer) || self.cases_stored(number, answer) {
+        if self.apply_census_answer(number, answer) || self.apply_cases_answer(number, answer) {
             return;
         }
-        let (next, begun) = (self.stages.last_operation + 1, &mut None);
+        let (next, started) = (self.stages.last_operation + 1, &mut None);
         self.stages.lease.answer(self.now, number, answer, |operation| {
-            *begun = Some(operation);
+            *started = Some(operation);
             next
         });
-        self.begin(next, begun.take());
+        self.begin(next, started.take());
         self.log_lease();
         if self.may_order() {
             self.balance_stages();
@@ -79,7 +79,7 @@
     }
 
     /// Starts an operation on the store and returns its number.
-    pub(in crate::gateway) fn begin_operation(&mut self, operation: Operation) -> u64 {
+    pub(in crate::gateway) fn start_operation(&mut self, operation: Operation) -> u64 {
         let number = self.stages.last_operation + 1;
         self.begin(number, Some(operation));
         number
@@ -119,19 +119,19 @@
         let Some(held) = self.stages.lease.held(now).filter(|_| self.may_order()) else { return };
         for index in 0..self.stages.changes.len() {
             let change = self.stages.changes[index];
-            let reading = self.ledger.at(change.engine).prefill_tokens;
+            let prefill_tokens = self.ledger.at(change.engine).prefill_tokens;
             let waited = now.since(change.planned_at);
             let is_settled =
-                waited >= ANNOUNCEMENT_DELAY && (reading == 0 || waited >= MAX_PREFILL_WAIT);
+                waited >= ANNOUNCEMENT_DELAY && (prefill_tokens == 0 || waited >= MAX_PREFILL_WAIT);
             let Some(expected_count) = change.order_count else { continue };
             if change.phase != Phase::Announced || !is_settled {
                 continue;
             }
-            let known = self.directory.get(change.engine);
-            let Some(known) = known.filter(|_| self.accepts_auxiliary(change.engine)) else {
+            let record = self.directory.get(change.engine);
+            let Some(record) = record.filter(|_| self.accepts_auxiliary(change.engine)) else {
                 continue;
             };
-            let engine = known.engine.clone();
+            let engine = record.engine.clone();
             self.stages.changes[index].phase = Phase::Sent;
             self.stages.changes[index].attempts += 1;
             let (id, stage, token) = (engine.id.clone(), change.stage, held.token);
@@ -175,7 +175,7 @@
             OrderAnswer::Accepted => self.mark_under_way(engine, "taken"),
             OrderAnswer::AlreadyApplied => self.mark_under_way(engine, "held already"),
             OrderAnswer::Conflict if was_sent_before => self.mark_under_way(engine, "taken before"),
-            OrderAnswer::Unknown if change.attempts < MAX_ATTEMPTS && is_leader => {
+            OrderAnswer::Unknown if change.attempts < MAX_ATTEMPT_COUNT && is_leader => {
                 change.phase = Phase::Announced;
                 self.stages.next_check = Some(now);
             }
@@ -187,9 +187,9 @@
 
     /// Records that an engine carries out its order.
     fn mark_under_way(&mut self, engine: EngineKey, outcome: &'static str) {
-        let Some(known) = self.directory.get(engine) else { return };
-        let id = known.engine.id.clone();
-        let until = self.now + self.switch_span(&known.engine.service.clone()) + MAX_DRAIN;
+        let Some(record) = self.directory.get(engine) else { return };
+        let id = record.engine.id.clone();
+        let until = self.now + self.switch_duration(&record.engine.service.clone()) + MAX_DRAIN;
         let Some(change) = self.stages.find(engine) else { return };
         change.phase = Phase::UnderWay(until);
         let change = *change;
@@ -198,7 +198,7 @@
     }
 
     /// Returns how long a service's engines take to change their stage.
-    fn switch_span(&self, service: &str) -> Duration {
+    fn switch_duration(&self, service: &str) -> Duration {
         let service = self.configuration.as_ref().and_then(|it| it.service(service));
         service.and_then(|it| it.staged?.switch_duration).unwrap_or_default()
     }
@@ -208,15 +208,15 @@
         let Some(change) = self.stages.find(engine).copied() else { return };
         self.stages.changes.retain(|it| it.engine != engine);
         self.stages.paused_until = self.now + CANCEL_PAUSE;
-        if let Some(known) = self.directory.get(engine) {
-            let id = known.engine.id.clone();
+        if let Some(record) = self.directory.get(engine) {
+            let id = record.engine.id.clone();
             self.log(LogEvent::OrderEnded { id, outcome });
         }
         self.announce_cancelled(&change);
     }
 
-    /// Cancels the change of an engine that has ended. The engine's next incarnation knows of no
-    /// order.
+    /// Cancels the change of an engine that has ended. The engine's next incarnation has
+    /// received no order.
     pub(in crate::gateway) fn drop_change(&mut self, engine: EngineKey) {
         if self.stages.find(engine).is_some() {
             self.cancel_change(engine, "engine ended");
@@ -244,8 +244,8 @@
         let now = self.now;
         let directory = &self.directory;
         let is_finished = |it: &StageChange| {
-            let known = directory.get(it.engine);
-            let is_done = known.is_none_or(|known| known.engine.stage == Some(it.stage));
+            let record = directory.get(it.engine);
+            let is_done = record.is_none_or(|record| record.engine.stage == Some(it.stage));
             is_done || matches!(it.phase, Phase::UnderWay(until) if until <= now)
         };
         self.stages.changes.retain(|it| !is_finished(it));
--- a/crates/hollyspoke-gateway/src/gateway/start.rs
+++ b/crates/hollyspoke-gateway/src/gateway/start.rs
@@ -57,9 +57,9 @@
 
 impl Gateway {
     /// Handles a request that has been received completely.
-    pub(super) fn arrive(&mut self, key: RequestKey, request: Request) {
-        let knows_rest = self.knows_cases() && self.knows_evacuation();
-        let configuration = self.configuration.clone().filter(|_| knows_rest);
+    pub(super) fn handle_arrival(&mut self, key: RequestKey, request: Request) {
+        let is_loaded = self.knows_cases() && self.knows_evacuation();
+        let configuration = self.configuration.clone().filter(|_| is_loaded);
         let Some(configuration) = configuration else {
             let reason = NotRunReason::NoConfiguration;
             return self.refuse_on_arrival(key, &request, reason, NO_CONFIGURATION_RETRY);
@@ -201,14 +201,14 @@
             data_centre: &self.settings.data_centre,
             knows_remote: !self.members.is_large(),
             tried: &in_flight.tried,
-            homes: in_flight.homes(),
+            allowed_regions: in_flight.allowed_regions(),
             regions: &self.settings.regions,
-            cold_sends: &self.cold_turns,
+            cold_sends: &self.cold_sends,
             cold_share: self.cold_share(),
             terms: &self.terms,
             permits: &self.permits.held,
-            permit_wait: self.asking(in_flight),
-            max_drain_age: self.leaving_for(in_flight),
+            permit_state: self.permit_state(in_flight),
+            max_drain_age: self.max_drain_age(in_flight),
             is_suspect: verdict != Verdict::Clear,
             trials: &trials,
             now: self.now,
@@ -309,8 +309,8 @@
 
     /// Refuses a request that would be served too late.
     pub(super) fn refuse_overloaded(&mut self, key: RequestKey, wait: Duration) {
-        let (least, most) = RETRY_AFTER_RANGE;
-        self.give_up_with_retry(key, NotRunReason::Overloaded, wait.clamp(least, most));
+        let (min, max) = RETRY_AFTER_RANGE;
+        self.give_up_with_retry(key, NotRunReason::Overloaded, wait.clamp(min, max));
     }
 
     /// Refuses a request before it becomes in-flight.
--- a/crates/hollyspoke-gateway/src/gateway/store.rs
+++ b/crates/hollyspoke-gateway/src/gateway/store.rs
@@ -24,7 +24,7 @@
 
 /// One more box follows the store per this many boxes. In larger deployments a failed box is
 /// detected later, so that more followers may be lost at once.
-const NODES_PER_FOLLOWER: usize = 100;
+const BOXES_PER_FOLLOWER: usize = 100;
 
 /// The maximum number of additional followers while others get no answers. If the store is
 /// unreachable for all boxes, a few are enough to detect its return.
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether this box follows the store but gets no answers.
-    fn is_blind(&self, now: Time) -> bool {
+    fn has_lost_store(&self, now: Time) -> bool {
         let contacts = [self.configuration, self.engines, self.evacuations];
         self.follows && contacts.iter().any(|it| it.is_lost(now, self.since))
     }
@@ -251,18 +251,19 @@
 
     /// Applies changes that another box forwarded, if none is missing between them and this box's
     /// list.
-    pub(super) fn apply_engine_update(&mut self, news: &EngineUpdate) {
+    pub(super) fn apply_engine_update(&mut self, update: &EngineUpdate) {
         let own = self.directory.complete();
-        let last = news.changes.last().map_or(news.since, EngineChange::revision);
+        let last = update.changes.last().map_or(update.since, EngineChange::revision);
         let enters_era = last.era > own.era;
         // A box at another revision may know changes of the previous era that the new one has lost.
-        if enters_era && self.are_engines_listed && own != news.since {
+        if enters_era && self.are_engines_listed && own != update.since {
             return self.request_snapshot();
         }
-        if !self.are_engines_listed || own < news.since {
+        if !self.are_engines_listed || own < update.since {
             return;
         }
-        let newer: Vec<_> = news.changes.iter().filter(|it| it.revision() > own).cloned().collect();
+        let newer: Vec<_> =
+            update.changes.iter().filter(|it| it.revision() > own).cloned().collect();
         self.apply(&newer);
     }
 
@@ -313,9 +314,9 @@
     /// Applies an addition or change of an engine.
     fn apply_put(&mut self, engine: &Engine, revision: Revision) -> Option<LogEvent> {
         let old = self.directory.get(engine.key).map(|it| it.engine.is_draining);
-        let is_news = old != Some(engine.is_draining);
+        let is_relevant = old != Some(engine.is_draining);
         let is_taken = self.directory.apply_change(engine.clone(), revision, self.now);
-        (is_taken && is_news).then(|| {
+        (is_taken && is_relevant).then(|| {
             let (id, address) = (engine.id.clone(), engine.address);
             LogEvent::Engine { id, address, is_draining: engine.is_draining }
         })
@@ -329,19 +330,19 @@
     }
 
     /// Records that the store answered.
-    pub(super) fn store_answered(&mut self, kind: Kind) {
+    pub(super) fn record_store_answer(&mut self, kind: Kind) {
         let now = self.now;
         let contact = self.store.contact(kind);
         contact.last_answer = Some(now);
-        let away = contact.failing_since.take();
-        let was_away = away.is_some_and(|it| now.since(it) >= MIN_OUTAGE);
+        let failing_since = contact.failing_since.take();
+        let was_away = failing_since.is_some_and(|it| now.since(it) >= MIN_OUTAGE);
         if kind == Kind::Engines && was_away {
             self.store.engines_back = Some(now);
         }
     }
 
     /// Records that the store did not answer.
-    pub(super) fn store_failed(&mut self, kind: Kind) {
+    pub(super) fn record_store_failure(&mut self, kind: Kind) {
         self.store.contact(kind).failing_since.get_or_insert(self.now);
     }
 
@@ -374,7 +375,7 @@
         StoreView {
             version: self.version().unwrap_or(0),
             revision: self.directory.changed(),
-            has_lost_store: self.store.is_blind(self.now),
+            has_lost_store: self.store.has_lost_store(self.now),
         }
     }
 
@@ -453,7 +454,7 @@
 
     /// Returns whether this box should follow the store.
     fn should_follow(&self) -> bool {
-        let count = MIN_FOLLOWERS + self.members.peak_count() / NODES_PER_FOLLOWER;
+        let count = MIN_FOLLOWERS + self.members.peak_count() / BOXES_PER_FOLLOWER;
         self.members.is_follower(
             self.settings.peer,
             count,
--- a/crates/hollyspoke-gateway/src/gateway/survey.rs
+++ b/crates/hollyspoke-gateway/src/gateway/survey.rs
@@ -95,10 +95,10 @@
         nodes.push(self.settings.peer);
         let own = address_hash(&self.settings.peer);
         let engines = self.directory.all().filter(|it| self.accepts_auxiliary(it.engine.key));
-        let generators = engines.filter(|it| it.engine.stage == Some(Stage::Decode));
+        let decode_engines = engines.filter(|it| it.engine.stage == Some(Stage::Decode));
         let is_assigned =
             |engine: EngineKey| rank::first(engine.0, nodes.iter().map(address_hash)) == Some(own);
-        let chosen = generators.filter(|it| is_assigned(it.engine.key));
+        let chosen = decode_engines.filter(|it| is_assigned(it.engine.key));
         let chosen: Vec<_> = chosen.take(MAX_ASKED_ENGINES).map(|it| it.engine.clone()).collect();
         self.effects.extend(chosen.into_iter().map(Effect::QueryCachedPrompts));
     }
@@ -123,22 +123,22 @@
     /// Returns until when a request waits for the survey. A request that resumes after an event has
     /// run before and is late already, so that only its first attempt waits, and only while no
     /// engine is known to cache its prompt.
-    pub(super) fn survey_wait_until(&self, flight: &InFlight) -> Option<Time> {
-        flight.request.last_event?;
-        let prompt = flight.request.prompt?;
+    pub(super) fn survey_wait_until(&self, in_flight: &InFlight) -> Option<Time> {
+        in_flight.request.last_event?;
+        let prompt = in_flight.request.prompt?;
         let end = self.survey.end()?;
         let is_known = self.prompts.caching_engines(prompt).next().is_some();
-        let is_first = flight.call_count == 0 && flight.service.staged.is_some();
+        let is_first = in_flight.call_count == 0 && in_flight.service.staged.is_some();
         (is_first && !is_known && self.now < end).then_some(end)
     }
 
     /// Lets a request wait for the answers of the engines.
     pub(super) fn wait_for_survey(&mut self, key: RequestKey, until: Time) {
-        let Some(flight) = self.in_flight.get_mut(&key) else { return };
-        if flight.waits_until.is_some() {
+        let Some(in_flight) = self.in_flight.get_mut(&key) else { return };
+        if in_flight.waits_until.is_some() {
             return;
         }
-        flight.waits_until = Some(flight.deadline);
+        in_flight.waits_until = Some(in_flight.deadline);
         self.waiting.push(key);
         self.wake_at(key, Some(until));
     }
--- a/crates/hollyspoke-gateway/src/gateway/terms.rs
+++ b/crates/hollyspoke-gateway/src/gateway/terms.rs
@@ -29,19 +29,19 @@
 
 /// Maximum number of engines that are shutting down for which a box checks with one heartbeat
 /// whether it announces them. Each check iterates over all boxes.
-const MAX_CHECKED_PER_HEARTBEAT: usize = 256;
+const MAX_CHECKED_ENGINES_PER_HEARTBEAT: usize = 256;
 
 /// Maximum number of shutdowns announced with one heartbeat, about 25 bytes each.
 const MAX_ANNOUNCED: usize = 32;
 
 /// Maximum number of shutdowns announced at once to a box that has just started.
-const MAX_ANNOUNCED_TO_NEW: usize = 128;
+const MAX_ANNOUNCED_TO_NEW_COUNT: usize = 128;
 
 /// Maximum number of excluded engines recorded for one request.
-const MAX_LOGGED: usize = 8;
+const MAX_LOGGED_COUNT: usize = 8;
 
 /// Maximum number of a service's engines that are compared for a retry delay.
-const MAX_COMPARED: usize = 64;
+const MAX_COMPARED_COUNT: usize = 64;
 
 /// Minimum retry delay for a client whose request all engines exclude by their own reports.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -61,28 +61,33 @@
 impl Gateway {
     /// Handles what an engine reports in an answer to anything other than a call. Reports of an
     /// earlier incarnation are ignored.
-    pub(super) fn handle_statement(&mut self, engine: EngineKey, says: &Statement) {
+    pub(super) fn handle_statement(&mut self, engine: EngineKey, statement: &Statement) {
         let listed = self.directory.get(engine).map(|it| it.engine.started_at);
-        if says.born.is_some() && listed.is_some_and(|it| says.born < it) {
+        if statement.born.is_some() && listed.is_some_and(|it| statement.born < it) {
             return;
         }
-        self.learn_reported_limit(engine, says.limit);
-        let incarnation = says.born.or(listed.flatten());
-        self.learn_departure(engine, incarnation, says);
-        self.learn_back_off(engine, says.back_off);
+        self.learn_reported_limit(engine, statement.limit);
+        let incarnation = statement.born.or(listed.flatten());
+        self.learn_departure(engine, incarnation, statement);
+        self.learn_back_off(engine, statement.back_off);
     }
 
     /// Applies what an engine reports in its answer to a call.
-    pub(super) fn learn_terms(&mut self, call: &Call, says: &Statement) {
-        self.learn_departure(call.engine.key, call.engine.started_at, says);
+    pub(super) fn learn_terms(&mut self, call: &Call, statement: &Statement) {
+        self.learn_departure(call.engine.key, call.engine.started_at, statement);
         if !call.has_begun {
-            self.learn_back_off(call.engine.key, says.back_off);
+            self.learn_back_off(call.engine.key, statement.back_off);
         }
     }
 
     /// Records whether an incarnation of an engine is shutting down.
-    fn learn_departure(&mut self, engine: EngineKey, incarnation: Option<u64>, says: &Statement) {
-        if says.is_leaving && self.terms.departures.record_own(engine, incarnation, self.now) {
+    fn learn_departure(
+        &mut self,
+        engine: EngineKey,
+        incarnation: Option<u64>,
+        statement: &Statement,
+    ) {
+        if statement.is_leaving && self.terms.departures.record_own(engine, incarnation, self.now) {
             self.unannounced.departures.push(engine);
             self.handle_departure(engine, None, Duration::ZERO);
         }
@@ -92,12 +97,12 @@
     pub(super) fn receive_departures(
         &mut self,
         sender: SocketAddr,
-        told: &[departure::Announcement],
+        announcements: &[departure::Announcement],
     ) {
-        for word in told {
-            if self.terms.departures.receive(word, self.now) {
-                let age = Duration::from_millis(u64::from(word.age_ms));
-                self.handle_departure(word.engine, Some(sender), age);
+        for announcement in announcements {
+            if self.terms.departures.receive(announcement, self.now) {
+                let age = Duration::from_millis(u64::from(announcement.age_ms));
+                self.handle_departure(announcement.engine, Some(sender), age);
             }
         }
     }
@@ -119,8 +124,8 @@
     /// Announces to all boxes immediately the engines that have reported their shutdown to this
     /// box.
     pub(super) fn announce_departures(&mut self) {
-        let told = std::mem::take(&mut self.unannounced.departures);
-        let departures = self.departure_announcements(told);
+        let engines = std::mem::take(&mut self.unannounced.departures);
+        let departures = self.departure_announcements(engines);
         if !departures.is_empty() {
             let extension = Extension { departures, ..Extension::default() }.non_empty();
             let message = Message { extension, ..self.message(false) };
@@ -135,10 +140,10 @@
             return Vec::new();
         }
         let mut leaving: Vec<_> = self.terms.departures.engines().collect();
-        if leaving.len() > MAX_CHECKED_PER_HEARTBEAT {
+        if leaving.len() > MAX_CHECKED_ENGINES_PER_HEARTBEAT {
             let first = (self.draw() % leaving.len() as u64) as usize;
             leaving.rotate_left(first);
-            leaving.truncate(MAX_CHECKED_PER_HEARTBEAT);
+            leaving.truncate(MAX_CHECKED_ENGINES_PER_HEARTBEAT);
         }
         let now = self.now;
         leaving.retain(|&it| self.terms.departures.is_fresh(it, now) || self.issues(it));
@@ -149,7 +154,7 @@
     /// Returns all known shutdowns for a box that has just started, as far as they fit into a
     /// datagram.
     pub(super) fn all_departures(&self) -> Vec<departure::Announcement> {
-        let leaving = self.terms.departures.engines().take(MAX_ANNOUNCED_TO_NEW);
+        let leaving = self.terms.departures.engines().take(MAX_ANNOUNCED_TO_NEW_COUNT);
         self.departure_announcements(leaving.collect())
     }
 
@@ -163,12 +168,12 @@
     /// request; `None` if another engine can serve the request. Such an engine keeps serving for
     /// its drain time, counted from its entry, which this box may not have seen, so only half of
     /// the drain time is relied on.
-    pub(super) fn leaving_for(&self, flight: &InFlight) -> Option<Duration> {
+    pub(super) fn max_drain_age(&self, in_flight: &InFlight) -> Option<Duration> {
         if self.terms.departures.is_empty() {
             return None;
         }
-        let is_able = |it: &&Record| is_able(it) && self.is_allowed_at(flight, it);
-        let mut open = self.directory.open(&flight.service.name, self.now).filter(is_able);
+        let is_able = |it: &&Record| is_able(it) && self.is_allowed_at(in_flight, it);
+        let mut open = self.directory.open(&in_flight.service.name, self.now).filter(is_able);
         let is_last = open.all(|it| self.terms.is_leaving(&it.engine));
         is_last.then(|| self.settings.drain.mul_f64(DRAIN_USED_SHARE))
     }
@@ -176,52 +181,53 @@
     /// Returns whether an engine may be probed. Rate-limited engines are probed too, since nothing
     /// else shows whether a request has crashed them.
     pub(super) fn accepts_probe(&self, engine: EngineKey) -> bool {
-        let known = self.directory.get(engine).filter(|it| !it.is_evacuated());
-        let restriction = known.map(|it| self.terms.restriction(&it.engine, None, self.now));
+        let record = self.directory.get(engine).filter(|it| !it.is_evacuated());
+        let restriction = record.map(|it| self.terms.restriction(&it.engine, None, self.now));
         matches!(restriction, Some(None | Some(Restriction::RateLimit)))
     }
 
     /// Records, for the log, which engines are excluded for a request by their own reports.
     pub(super) fn record_exclusions(&mut self, key: RequestKey) {
-        let Some(flight) = self.in_flight.get(&key) else { return };
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
         let leaving = self.terms.departures.engines();
-        let leaving = leaving.map(|engine| Exclusion { engine, reason: Restriction::Leaving });
+        let leaving = leaving.map(|engine| Exclusion { engine, reason: Restriction::ShuttingDown });
         let backing_off = self.terms.back_offs.engines(self.now);
         let backing_off =
             backing_off.map(|engine| Exclusion { engine, reason: Restriction::BackOff });
-        let kept = leaving.chain(backing_off);
+        let exclusions = leaving.chain(backing_off);
         let is_concerned = |it: &Exclusion| {
-            let known = self.directory.get(it.engine);
-            let known = known.filter(|it| it.engine.service == flight.service.name);
-            known.is_some_and(|it| it.is_open(self.now) && self.is_allowed_at(flight, it))
+            let record = self.directory.get(it.engine);
+            let record = record.filter(|it| it.engine.service == in_flight.service.name);
+            record.is_some_and(|it| it.is_open(self.now) && self.is_allowed_at(in_flight, it))
         };
-        let kept: Vec<_> = kept.filter(is_concerned).take(MAX_LOGGED).collect();
-        if let Some(flight) = self.in_flight.get_mut(&key) {
-            kept.into_iter().for_each(|it| flight.exclude(it));
+        let exclusions: Vec<_> = exclusions.filter(is_concerned).take(MAX_LOGGED_COUNT).collect();
+        if let Some(in_flight) = self.in_flight.get_mut(&key) {
+            exclusions.into_iter().for_each(|it| in_flight.exclude(it));
         }
     }
 
     /// Returns whether something other than a request may be sent to an engine: a query, an order,
     /// the release of a prompt. All of these can be omitted.
     pub(super) fn accepts_auxiliary(&self, engine: EngineKey) -> bool {
-        let known = self.directory.get(engine).filter(|it| !it.is_evacuated());
-        known.is_some_and(|it| self.terms.restriction(&it.engine, None, self.now).is_none())
+        let record = self.directory.get(engine).filter(|it| !it.is_evacuated());
+        record.is_some_and(|it| self.terms.restriction(&it.engine, None, self.now).is_none())
     }
 
     /// Records for how long an engine asks this box to back off.
-    fn learn_back_off(&mut self, engine: EngineKey, told: back_off::Reported) {
-        if told == back_off::Reported::Nothing {
+    fn learn_back_off(&mut self, engine: EngineKey, reported: back_off::Reported) {
+        if reported == back_off::Reported::Nothing {
             return;
         }
         let boxes = u32::try_from(self.members.count(self.now)).unwrap_or(u32::MAX);
         let random = (self.draw() % 1000) as f64 / 1000.0;
-        let spread = |span: Duration| {
-            let most = span.mul_f64(SPREAD_SHARE) + SPREAD_PER_BOX.saturating_mul(boxes);
-            most.min(span).mul_f64(random)
+        let spread = |duration: Duration| {
+            let max = duration.mul_f64(SPREAD_SHARE) + SPREAD_PER_BOX.saturating_mul(boxes);
+            max.min(duration).mul_f64(random)
         };
-        let Some(known) = self.directory.get(engine) else { return };
-        if let Some(change) = self.terms.back_offs.learn(&known.engine, told, spread, self.now) {
-            let id = known.engine.id.clone();
+        let Some(record) = self.directory.get(engine) else { return };
+        if let Some(change) = self.terms.back_offs.learn(&record.engine, reported, spread, self.now)
+        {
+            let id = record.engine.id.clone();
             self.log(LogEvent::BackOff { id, change });
             if matches!(change, back_off::Change::Begun(_)) {
                 self.drop_unordered(engine, "engine rests");
@@ -238,20 +244,20 @@
 
     /// Returns how long all engines that could serve a request exclude it by their own reports, and
     /// by which restriction. `None` if one of them accepts it.
-    pub(super) fn blocked_for(&self, flight: &InFlight) -> Option<Wait> {
+    pub(super) fn blocked_for(&self, in_flight: &InFlight) -> Option<Wait> {
         let Terms { limits, back_offs, .. } = &self.terms;
         if limits.is_empty() && back_offs.is_empty() {
             return None;
         }
-        let leaving_for = self.leaving_for(flight);
+        let max_drain_age = self.max_drain_age(in_flight);
         let is_able = |it: &&Record| {
-            let is_usable = self.terms.is_usable(&it.engine, leaving_for, self.now);
-            is_able(it) && self.is_allowed_at(flight, it) && is_usable
+            let is_usable = self.terms.is_usable(&it.engine, max_drain_age, self.now);
+            is_able(it) && self.is_allowed_at(in_flight, it) && is_usable
         };
-        let engines = self.directory.open(&flight.service.name, self.now).filter(is_able);
+        let engines = self.directory.open(&in_flight.service.name, self.now).filter(is_able);
         let mut shortest: Option<Wait> = None;
-        for known in engines.take(MAX_COMPARED) {
-            let wait = self.wait_for(&known.engine, leaving_for)?;
+        for record in engines.take(MAX_COMPARED_COUNT) {
+            let wait = self.wait_for(&record.engine, max_drain_age)?;
             shortest = Some(
                 shortest.map_or(wait, |it| if wait.duration < it.duration { wait } else { it }),
             );
@@ -260,9 +266,9 @@
     }
 
     /// Returns how long an engine's own reports exclude requests, and by which restriction.
-    fn wait_for(&self, engine: &Engine, leaving_for: Option<Duration>) -> Option<Wait> {
+    fn wait_for(&self, engine: &Engine, max_drain_age: Option<Duration>) -> Option<Wait> {
         let limited = self.permit_wait(engine.key);
-        match self.terms.restriction(engine, leaving_for, self.now)? {
+        match self.terms.restriction(engine, max_drain_age, self.now)? {
             Restriction::BackOff => {
                 // An engine whose back-off has ended may accept more after its next answer.
                 let back_off = self.terms.back_offs.wait(engine, self.now).unwrap_or_default();
@@ -270,14 +276,14 @@
                 Some(Wait { duration, by: Restriction::BackOff })
             }
             Restriction::RateLimit => Some(Wait { duration: limited?, by: Restriction::RateLimit }),
-            Restriction::Leaving => None,
+            Restriction::ShuttingDown => None,
         }
     }
 
     /// Lets a request wait if a back-off ends in time, and refuses it otherwise.
     pub(super) fn wait_or_refuse(&mut self, key: RequestKey, wait: Wait) {
-        let Some(flight) = self.in_flight.get(&key) else { return };
-        let until = flight.waits_until.unwrap_or_else(|| self.permit_deadline(flight));
+        let Some(in_flight) = self.in_flight.get(&key) else { return };
+        let until = in_flight.waits_until.unwrap_or_else(|| self.permit_deadline(in_flight));
         if wait.by == Restriction::BackOff && self.now + wait.duration < until {
             return self.wait_until(key, until);
         }
@@ -290,7 +296,7 @@
         let retry = wait.duration.max(MIN_RETRY_DELAY).mul_f64(1.0 + RETRY_SPREAD * spread);
         let reason = match wait.by {
             Restriction::BackOff => NotRunReason::BackingOff,
-            Restriction::Leaving => NotRunReason::ShuttingDown,
+            Restriction::ShuttingDown => NotRunReason::ShuttingDown,
             Restriction::RateLimit => NotRunReason::RateLimited,
         };
         self.give_up_with_retry(key, reason, retry);
@@ -304,7 +310,7 @@
         let ended_back_offs = self.terms.back_offs.sweep(now, listed);
         for ended in left {
             let id = self.engine_name(ended.engine).into();
-            self.log(LogEvent::ShutDown { id, end: ended.end, age: ended.age });
+            self.log(LogEvent::ShutDown { id, end: ended.reason, age: ended.age });
         }
         for ended in ended_back_offs {
             let id = self.engine_name(ended.engine).into();
@@ -314,6 +320,6 @@
 }
 
 /// Returns whether an engine can serve a request to its end, which prefill engines can't.
-fn is_able(known: &Record) -> bool {
-    known.engine.stage != Some(Stage::Prefill)
+fn is_able(record: &Record) -> bool {
+    record.engine.stage != Some(Stage::Prefill)
 }
--- a/crates/hollyspoke-gateway/src/in_flight.rs
+++ b/crates/hollyspoke-gateway/src/in_flight.rs
@@ -11,7 +11,7 @@
 use crate::engine::{Engine, EngineKey};
 use crate::message::Load;
 use crate::quarantine::Progress;
-use crate::region::{ANYWHERE, Homes};
+use crate::region::{ALL_REGIONS, AllowedRegions};
 use crate::request::{CallKey, Request, RequestKey};
 use crate::route::{Route, RouteKind, Service};
 use crate::signature::Signature;
@@ -166,9 +166,9 @@
     }
 
     /// Returns the regions where the request may be served, by its route and by its customer.
-    pub fn homes(&self) -> [&Homes; 2] {
-        let customer = self.customer.as_ref().map_or(&ANYWHERE, |it| &it.homes);
-        [&self.route.homes, customer]
+    pub fn allowed_regions(&self) -> [&AllowedRegions; 2] {
+        let customer = self.customer.as_ref().map_or(&ALL_REGIONS, |it| &it.allowed_regions);
+        [&self.route.allowed_regions, customer]
     }
 
     /// Returns the event id after which a stream resumes: the last forwarded, or the client's own.
@@ -188,8 +188,8 @@
 
     /// Returns the time until which the prompt at `source` is expected to exist.
     pub fn handle_end(&self) -> Time {
-        let life = self.service.staged.map_or(Duration::ZERO, |it| it.handle_ttl);
-        self.prefilled_at + life.mul_f64(HANDLE_TTL_SHARE)
+        let ttl = self.service.staged.map_or(Duration::ZERO, |it| it.handle_ttl);
+        self.prefilled_at + ttl.mul_f64(HANDLE_TTL_SHARE)
     }
 
     /// Returns the silence between events after which a stream counts as broken.
--- a/crates/hollyspoke-gateway/src/lib.rs
+++ b/crates/hollyspoke-gateway/src/lib.rs
@@ -5,10 +5,11 @@
 //! store answers into events and executes the effects.
 //!
 //! Imports are acyclic. `route`, `engine` and `request` import the least, with what engines report
-//! about themselves (`statement`; `intake`, `departure` and `rest` store it, and `terms` combines
-//! them). `message`, `event` and `effect` build on these. Then each mechanism has a file (`budget`,
-//! `health`, `load`, `directory`, `member`, `placement`, `demand`, `ratio`, `evacuation`, `region`,
-//! `cold`, `permit`). `flight` follows one request, and `gateway` combines everything.
+//! about themselves (`statement`; `rate_limit`, `departure` and `back_off` store it, and `terms`
+//! combines them). `message`, `event` and `effect` build on these. Then each mechanism has a module
+//! (`budget`, `health`, `load`, `directory`, `member`, `placement`, `demand`, `ratio`,
+//! `evacuation`, `region`, `cold`, `permit`, `quarantine`). `in_flight` tracks one request, and
+//! `gateway` combines everything.
 
 pub mod back_off;
 pub mod budget;
--- a/crates/hollyspoke-gateway/src/load.rs
+++ b/crates/hollyspoke-gateway/src/load.rs
@@ -83,9 +83,9 @@
     ) -> bool {
         let mut received: Vec<_> = loads.to_vec();
         if is_whole && let Some(known) = self.peers.get(&peer) {
-            let named: BTreeSet<_> = loads.iter().map(|it| it.0).collect();
-            let unnamed = known.keys().filter(|it| !named.contains(it));
-            received.extend(unnamed.map(|&it| (it, Load::default())));
+            let listed: BTreeSet<_> = loads.iter().map(|it| it.0).collect();
+            let omitted = known.keys().filter(|it| !listed.contains(it));
+            received.extend(omitted.map(|&it| (it, Load::default())));
         }
         let mut has_freed = false;
         for (engine, load) in received {
--- a/crates/hollyspoke-gateway/src/member.rs
+++ b/crates/hollyspoke-gateway/src/member.rs
@@ -91,7 +91,7 @@
     peers: BTreeMap<SocketAddr, Peer>,
     /// The boxes listed by the settings or by peers and not received from yet, with the time of
     /// their last greeting.
-    unheard: BTreeMap<SocketAddr, Option<Time>>,
+    pending_peers: BTreeMap<SocketAddr, Option<Time>>,
     /// The number of live boxes in each data centre.
     alive_counts: BTreeMap<DataCentreKey, usize>,
     /// The time since which some boxes have not been greeted at all.
@@ -117,7 +117,7 @@
         Members {
             own,
             peers: BTreeMap::new(),
-            unheard: BTreeMap::new(),
+            pending_peers: BTreeMap::new(),
             alive_counts: BTreeMap::new(),
             ungreeted_since: None,
             last_greeting: None,
@@ -148,7 +148,7 @@
 
     /// Records a datagram.
     pub fn receive(&mut self, message: &Message, now: Time) -> Receipt {
-        self.unheard.remove(&message.sender);
+        self.pending_peers.remove(&message.sender);
         let cadence = self.cadence(false);
         let peer = self
             .peers
@@ -158,7 +158,7 @@
         if is_same_incarnation && peer.sequence >= message.sequence {
             return Receipt::Stale;
         }
-        let is_known = !peer.is_silent;
+        let is_known = !peer.has_timed_out;
         peer.update(message, self.own, now);
         self.reported_peak_count = self.reported_peak_count.max(message.usage.peak_boxes as usize);
         if is_known {
@@ -175,22 +175,22 @@
     pub fn sweep(&mut self, now: Time) -> Vec<SocketAddr> {
         self.forget(now);
         let (local, remote) = self.min_dead_after();
-        let mut silent = Vec::new();
+        let mut timed_out = Vec::new();
         for (&address, peer) in &mut self.peers {
             let minimum = if peer.data_centre == self.own { local } else { remote };
-            if !peer.is_silent && now.since(peer.last_received) > peer.dead_after.max(minimum) {
-                peer.is_silent = true;
-                silent.push(address);
+            if !peer.has_timed_out && now.since(peer.last_received) > peer.dead_after.max(minimum) {
+                peer.has_timed_out = true;
+                timed_out.push(address);
             }
         }
         self.count_alive();
-        silent
+        timed_out
     }
 
     /// Counts the live boxes of each data centre.
     fn count_alive(&mut self) {
         self.alive_counts.clear();
-        for peer in self.peers.values().filter(|it| !it.is_silent) {
+        for peer in self.peers.values().filter(|it| !it.has_timed_out) {
             *self.alive_counts.entry(peer.data_centre).or_default() += 1;
         }
     }
@@ -206,12 +206,12 @@
 
     /// Returns the live boxes.
     pub fn alive(&self) -> Vec<SocketAddr> {
-        self.peers.iter().filter(|(_, it)| !it.is_silent).map(|(&address, _)| address).collect()
+        self.peers.iter().filter(|(_, it)| !it.has_timed_out).map(|(&address, _)| address).collect()
     }
 
     /// Returns the live boxes with their data centres, as listed in datagrams.
     pub fn peer_addresses(&self) -> Vec<PeerAddress> {
-        let alive = self.peers.iter().filter(|(_, it)| !it.is_silent);
+        let alive = self.peers.iter().filter(|(_, it)| !it.has_timed_out);
         alive
             .map(|(&address, peer)| PeerAddress { address, data_centre: peer.data_centre })
             .collect()
@@ -220,7 +220,7 @@
     /// Returns the live boxes of a data centre.
     pub fn alive_in(&self, data_centre: DataCentreKey) -> Vec<SocketAddr> {
         let alive =
-            self.peers.iter().filter(|(_, it)| !it.is_silent && it.data_centre == data_centre);
+            self.peers.iter().filter(|(_, it)| !it.has_timed_out && it.data_centre == data_centre);
         alive.map(|(&address, _)| address).collect()
     }
 
@@ -229,7 +229,7 @@
     /// which one.
     pub fn recipients(&self, reach: &Reach, subject: u64) -> Recipients {
         let mut data_centres: BTreeMap<DataCentreKey, Vec<(SocketAddr, u64)>> = BTreeMap::new();
-        for (&address, peer) in self.peers.iter().filter(|(_, it)| !it.is_silent) {
+        for (&address, peer) in self.peers.iter().filter(|(_, it)| !it.has_timed_out) {
             if peer.data_centre == self.own || reach.includes(peer.data_centre) {
                 data_centres
                     .entry(peer.data_centre)
@@ -237,24 +237,24 @@
                     .push((address, peer.address_hash));
             }
         }
-        let mut audience = Recipients::default();
+        let mut recipients = Recipients::default();
         for (data_centre, nodes) in data_centres {
             if data_centre == self.own || nodes.len() < MIN_RELAYED_BOXES {
-                audience.direct.extend(nodes.iter().map(|it| it.0));
+                recipients.direct.extend(nodes.iter().map(|it| it.0));
                 continue;
             }
             let first = rank::first(subject, nodes.iter().map(|it| it.1));
             let relay = nodes.iter().find(|it| Some(it.1) == first);
-            audience.relays.extend(relay.map(|it| it.0));
+            recipients.relays.extend(relay.map(|it| it.0));
         }
-        audience
+        recipients
     }
 
     /// Returns whether all boxes that this one knows of were received from, the last of them at
     /// least `quiet_for` ago. Other boxes then see the same membership.
     pub fn is_settled(&self, now: Time, quiet_for: Duration) -> bool {
         let is_quiet = self.last_joined.is_none_or(|it| now.since(it) >= quiet_for);
-        self.unheard.is_empty() && is_quiet
+        self.pending_peers.is_empty() && is_quiet
     }
 
     /// Returns where clients may connect besides this box. In a large deployment, these are the
@@ -270,11 +270,11 @@
         let serving = |it: &&Peer| it.readiness == Readiness::Ready;
         let mut all: Vec<_> = self.peers.values().filter(serving).collect();
         let is_inside = |it: &&Peer| inside.contains(&it.data_centre);
-        let has_inside = all.iter().any(|it| is_inside(it) && !it.is_silent);
+        let has_inside = all.iter().any(|it| is_inside(it) && !it.has_timed_out);
         if has_inside || inside.contains(&self.own) {
             all.retain(is_inside);
         }
-        let alive: Vec<_> = all.iter().copied().filter(|it| !it.is_silent).collect();
+        let alive: Vec<_> = all.iter().copied().filter(|it| !it.has_timed_out).collect();
         let local: Vec<_> = alive.iter().copied().filter(|it| it.data_centre == self.own).collect();
         let chosen = if self.is_large() && local.len() >= MIN_LOCAL_FRONTS {
             local
@@ -289,16 +289,16 @@
 
     /// Returns the demand for a service at the live boxes other than this one.
     pub fn demand(&self, service: u64) -> Demand {
-        let alive = self.peers.values().filter(|it| !it.is_silent);
-        let told = alive.flat_map(|it| &it.demand).filter(|it| it.0 == service);
-        told.fold(Demand::default(), |sum, (_, it)| sum.plus(*it))
+        let alive = self.peers.values().filter(|it| !it.has_timed_out);
+        let reported = alive.flat_map(|it| &it.demand).filter(|it| it.0 == service);
+        reported.fold(Demand::default(), |sum, (_, it)| sum.plus(*it))
     }
 
     /// Returns the number of boxes whose heartbeat is not overdue. This is a stricter test than
     /// whether a box counts as dead, since what a box admits unseen counts.
     pub fn on_time_count(&self, now: Time) -> usize {
-        let is_punctual = |it: &&Peer| now.since(it.last_received) <= it.overdue_after(self.own);
-        self.peers.values().filter(is_punctual).count()
+        let is_on_time = |it: &&Peer| now.since(it.last_received) <= it.overdue_after(self.own);
+        self.peers.values().filter(is_on_time).count()
     }
 
     /// Returns the peak number of live boxes that this box and the others know of, without those
@@ -306,8 +306,8 @@
     /// some are listed. Boxes that have timed out otherwise may be cut off and still serve.
     pub fn peak_serving(&self) -> Option<usize> {
         let stopped = self.peers.values().filter(|it| it.has_stopped()).count();
-        let most = self.peak_count.max(self.reported_peak_count);
-        (!self.has_heard_nobody()).then_some(most.saturating_sub(stopped).max(1))
+        let peak = self.peak_count.max(self.reported_peak_count);
+        (!self.has_received_nothing()).then_some(peak.saturating_sub(stopped).max(1))
     }
 
     /// Returns whether a box with an IP address was received from.
@@ -316,13 +316,13 @@
     }
 
     /// Returns whether no box was ever received from although some are listed.
-    fn has_heard_nobody(&self) -> bool {
-        self.peers.is_empty() && !self.unheard.is_empty()
+    fn has_received_nothing(&self) -> bool {
+        self.peers.is_empty() && !self.pending_peers.is_empty()
     }
 
     /// Returns the newest state of the store that any live box knows.
     pub fn newest_store_view(&self) -> StoreView {
-        let alive = self.peers.values().filter(|it| !it.is_silent);
+        let alive = self.peers.values().filter(|it| !it.has_timed_out);
         alive.fold(StoreView::default(), |newest, peer| StoreView {
             version: newest.version.max(peer.store_view.version),
             revision: newest.revision.max(peer.store_view.revision),
@@ -349,11 +349,11 @@
     /// Returns the number of live boxes, including this one.
     pub fn count(&self, now: Time) -> usize {
         let (local, remote) = self.min_dead_after();
-        let lives = |it: &&Peer| {
+        let is_alive = |it: &&Peer| {
             let minimum = if it.data_centre == self.own { local } else { remote };
             now.since(it.last_received) <= it.dead_after.max(minimum)
         };
-        1 + self.peers.values().filter(lives).count()
+        1 + self.peers.values().filter(is_alive).count()
     }
 
     /// Returns the peak number of live boxes, including this one.
--- a/crates/hollyspoke-gateway/src/member/duty.rs
+++ b/crates/hollyspoke-gateway/src/member/duty.rs
@@ -14,13 +14,19 @@
 impl Members {
     /// Returns whether this box follows the store: whether it is among the first `count` live boxes
     /// in an order that is equal on all boxes. Boxes without answers from the store follow too and
-    /// are not counted; `most` limits the number of all together. If `has_eras`, boxes of an older
+    /// are not counted; `max_count` limits the number of all together. If `has_eras`, boxes of an older
     /// version, which don't report eras, aren't counted either.
-    pub fn is_follower(&self, own: SocketAddr, count: usize, most: usize, has_eras: bool) -> bool {
-        let tells = |it: &Peer| !has_eras || it.format >= Format::Eras;
-        let before: Vec<_> = self.alive_before(own).filter(|it| tells(it)).collect();
+    pub fn is_follower(
+        &self,
+        own: SocketAddr,
+        count: usize,
+        max_count: usize,
+        has_eras: bool,
+    ) -> bool {
+        let counts = |it: &Peer| !has_eras || it.format >= Format::Eras;
+        let before: Vec<_> = self.alive_before(own).filter(|it| counts(it)).collect();
         let answered = before.iter().filter(|it| !it.store_view.has_lost_store).count();
-        before.len() < most && answered < count
+        before.len() < max_count && answered < count
     }
 
     /// Returns whether this box is the first of the live ones that are ready and get answers from
@@ -32,14 +38,14 @@
 
     /// Returns whether all live boxes support eras of the store.
     pub fn all_support_eras(&self) -> bool {
-        self.peers.values().all(|it| it.is_silent || it.format >= Format::Eras)
+        self.peers.values().all(|it| it.has_timed_out || it.format >= Format::Eras)
     }
 
     /// Returns the live boxes before this one in the order that is equal on all boxes.
     fn alive_before(&self, own: SocketAddr) -> impl Iterator<Item = &Peer> {
         let place = |number: u64| rank::sort_key(0, number);
         let own = place(address_hash(&own));
-        self.peers.values().filter(move |it| !it.is_silent && place(it.address_hash) < own)
+        self.peers.values().filter(move |it| !it.has_timed_out && place(it.address_hash) < own)
     }
 
     /// Chooses a live, ready box with the newest version of the configuration, which is at least
@@ -59,7 +65,7 @@
         let is_able =
             |it: &Peer| it.readiness == Readiness::Ready && it.store_view.version >= newest;
         let able: Vec<_> =
-            self.peers.iter().filter(|(_, it)| !it.is_silent && is_able(it)).collect();
+            self.peers.iter().filter(|(_, it)| !it.has_timed_out && is_able(it)).collect();
         let is_local = |it: &Peer| it.data_centre == self.own;
         let is_ahead = |it: &Peer| it.store_view.revision > revision;
         let place = |it: &Peer| (!is_ahead(it), !is_local(it));
@@ -80,7 +86,7 @@
         data_centre: DataCentreKey,
     ) -> SocketAddr {
         let is_able = |it: &Peer| {
-            !it.is_silent && it.readiness == Readiness::Ready && it.format >= Format::Permits
+            !it.has_timed_out && it.readiness == Readiness::Ready && it.format >= Format::Permits
         };
         let others = self.peers.iter().filter(|(_, it)| is_able(it));
         let others = others.map(|(&node, it)| (node, it.address_hash, it.data_centre));
@@ -102,7 +108,7 @@
         boxes: usize,
     ) -> usize {
         let others = self.peers.values().filter(|it| !it.has_stopped());
-        let others = others.map(|it| (it.address_hash, !it.is_silent));
+        let others = others.map(|it| (it.address_hash, !it.has_timed_out));
         let mut all: Vec<_> = others.chain([(address_hash(&own), true)]).collect();
         if all.len() < boxes {
             return 0;
--- a/crates/hollyspoke-gateway/src/member/greeting.rs
+++ b/crates/hollyspoke-gateway/src/member/greeting.rs
@@ -62,15 +62,16 @@
 
     /// Returns whether to greet one more box of a remote data centre.
     fn needs_remote_peer(&self, data_centre: DataCentreKey) -> bool {
-        let is_many = self.peers.len() + self.unheard.len() >= ALL_TO_ALL_MAX_BOXES;
+        let is_many = self.peers.len() + self.pending_peers.len() >= ALL_TO_ALL_MAX_BOXES;
         !is_many || self.alive_counts.get(&data_centre).is_none_or(|&it| it < MAX_GREETED_REMOTE)
     }
 
     /// Adds a box to be greeted, unless it is known.
     fn add_to_greet(&mut self, own: SocketAddr, address: SocketAddr, now: Time) {
-        let is_known = self.peers.contains_key(&address) || self.unheard.contains_key(&address);
+        let is_known =
+            self.peers.contains_key(&address) || self.pending_peers.contains_key(&address);
         if address != own && !is_known {
-            self.unheard.insert(address, None);
+            self.pending_peers.insert(address, None);
             self.ungreeted_since.get_or_insert(now);
         }
     }
@@ -78,37 +79,38 @@
     /// Returns whether a box that was not received from yet was greeted just now, and therefore
     /// knows this one.
     pub fn was_greeted(&self, node: SocketAddr, now: Time) -> bool {
-        let greeted = self.unheard.get(&node).copied().flatten();
+        let greeted = self.pending_peers.get(&node).copied().flatten();
         greeted.is_some_and(|it| now.since(it) < GREETING_ARRIVAL_TIME)
     }
 
     /// Returns the boxes to greet now: those never greeted, and at every interval those that have
     /// timed out or were not received from yet.
     pub fn due_greetings(&mut self, now: Time) -> Vec<SocketAddr> {
-        let mut audience = Vec::new();
+        let mut recipients = Vec::new();
         let pause =
             if self.greets_seeds_often(now) { SEED_GREETING_INTERVAL } else { GREETING_INTERVAL };
         let is_turn = self.last_greeting.is_none_or(|it| now.since(it) >= pause);
         if is_turn {
             self.last_greeting = Some(now);
             self.first_greeting.get_or_insert(now);
-            audience.extend(self.peers.iter().filter(|(_, it)| it.is_silent).map(|(&it, _)| it));
+            recipients
+                .extend(self.peers.iter().filter(|(_, it)| it.has_timed_out).map(|(&it, _)| it));
         }
-        for (&node, greeted) in &mut self.unheard {
+        for (&node, greeted) in &mut self.pending_peers {
             if is_turn || greeted.is_none() {
-                audience.push(node);
+                recipients.push(node);
                 *greeted = Some(now);
             }
         }
         self.ungreeted_since = None;
-        audience
+        recipients
     }
 
     /// Returns whether no box was ever received from and the seeds are still greeted at the short
     /// interval, in the first second after the start.
     pub fn greets_seeds_often(&self, now: Time) -> bool {
         let is_early = self.first_greeting.is_none_or(|it| now.since(it) < SEED_GREETING_DURATION);
-        is_early && self.peers.is_empty() && !self.unheard.is_empty()
+        is_early && self.peers.is_empty() && !self.pending_peers.is_empty()
     }
 
     /// Returns when to greet boxes before the next heartbeat: the seeds while no box was ever
--- a/crates/hollyspoke-gateway/src/member/peer.rs
+++ b/crates/hollyspoke-gateway/src/member/peer.rs
@@ -35,7 +35,7 @@
     /// The time of its last datagram.
     pub(super) last_received: Time,
     /// Whether it has timed out.
-    pub(super) is_silent: bool,
+    pub(super) has_timed_out: bool,
     /// The format that it supports.
     pub(super) format: Format,
 }
@@ -55,7 +55,7 @@
             cadence,
             dead_after: cadence.dead_after(message.data_centre == own),
             last_received: Time::ZERO,
-            is_silent: true,
+            has_timed_out: true,
             format: Format::default(),
         }
     }
@@ -78,12 +78,12 @@
             self.demand.clone_from(&message.demand);
         }
         self.last_received = now;
-        self.is_silent = false;
+        self.has_timed_out = false;
     }
 
     /// Returns whether it was shut down, so that nobody waits for it.
     pub(super) fn has_stopped(&self) -> bool {
-        self.is_silent && self.readiness == Readiness::Stopping
+        self.has_timed_out && self.readiness == Readiness::Stopping
     }
 
     /// Returns the time without a heartbeat after which the next one is overdue.
--- a/crates/hollyspoke-gateway/src/message.rs
+++ b/crates/hollyspoke-gateway/src/message.rs
@@ -256,12 +256,12 @@
 
     /// Returns the eras of the revisions in the datagram.
     pub fn eras(&self) -> Eras {
-        let news = self.engine_update.as_ref();
+        let update = self.engine_update.as_ref();
         Eras {
             store: self.era,
             engines: self.store_view.revision.era,
-            since: news.map_or(0, |it| it.since.era),
-            changes: news.and_then(|it| it.changes.last()).map_or(0, |it| it.revision().era),
+            since: update.map_or(0, |it| it.since.era),
+            changes: update.and_then(|it| it.changes.last()).map_or(0, |it| it.revision().era),
             evacuation: self.evacuation.revision.era,
         }
     }
@@ -271,10 +271,10 @@
         self.era = eras.store;
         self.store_view.revision.era = eras.engines;
         self.evacuation.revision.era = eras.evacuation;
-        if let Some(news) = &mut self.engine_update {
-            news.since.era = eras.since;
-            let changes = std::mem::take(&mut news.changes).into_iter();
-            news.changes = changes.map(|it| it.in_era(eras.changes)).collect();
+        if let Some(update) = &mut self.engine_update {
+            update.since.era = eras.since;
+            let changes = std::mem::take(&mut update.changes).into_iter();
+            update.changes = changes.map(|it| it.in_era(eras.changes)).collect();
         }
     }
 }
--- a/crates/hollyspoke-gateway/src/permit.rs
+++ b/crates/hollyspoke-gateway/src/permit.rs
@@ -11,7 +11,7 @@
 //! parts of those that it reaches. Engines count over 4 s. In any such window, restarts included
 //! since a restarted box begins with no permits, the sum is at most
 //!
-//! - `USED_SHARE` of the limit over the window and a permit's lifetime, and `BURST`;
+//! - `USED_SHARE` of the limit over the window and a permit's lifetime, and `BURST_PERMIT_COUNT`;
 //! - [`PART_COUNT`] times `PART_SHARE` of the limit over the same time, and one for each part;
 //! - what a side keeps issuing until it misses the boxes that were cut off: `USED_SHARE` for that
 //!   long.
@@ -34,7 +34,7 @@
 /// Maximum number of permits that such a side issues at once after an idle time. With a load of
 /// twice a limit of 1 to 3.5 requests per second on 66 boxes, a burst of one leaves 0.28 to 0.32 of
 /// the limit unused, and a burst of two leaves 0.07 to 0.09.
-const BURST: f64 = 2.0;
+const BURST_PERMIT_COUNT: f64 = 2.0;
 
 /// Number of parts of a limit that belong to boxes that are not in contact with a majority of the
 /// others.
@@ -67,7 +67,7 @@
     /// Number of the question at the box that asks.
     pub number: u64,
     /// The engine's limit as known to the box that asks.
-    pub word: Announcement,
+    pub limit: Announcement,
     /// How long the request may wait for its permit, in milliseconds.
     pub patience_ms: u32,
 }
@@ -116,7 +116,7 @@
     /// Returns the side's share of a limit, if it has any.
     fn share(self, limit: f64) -> Option<Share> {
         match self {
-            Side::Majority => Some(Share { rate: limit * USED_SHARE, burst: BURST }),
+            Side::Majority => Some(Share { rate: limit * USED_SHARE, burst: BURST_PERMIT_COUNT }),
             Side::Minority(0) => None,
             Side::Minority(parts) => {
                 let parts = parts as f64;
--- a/crates/hollyspoke-gateway/src/placement.rs
+++ b/crates/hollyspoke-gateway/src/placement.rs
@@ -5,12 +5,12 @@
 
 use hollyspoke::time::Time;
 
-use crate::cold::{Part, SendTimes};
+use crate::cold::{BoxShare, SendTimes};
 use crate::directory::{Directory, Group, Record};
 use crate::engine::{Engine, EngineKey, Stage};
 use crate::load::Ledger;
 use crate::permit::Holder;
-use crate::region::{Homes, Regions};
+use crate::region::{AllowedRegions, Regions};
 use crate::route::{Service, Staged};
 use crate::terms::{Restriction, Terms};
 
@@ -69,15 +69,15 @@
 /// all in 96 of 100 cases, and the cost of a choice does not grow with the number of engines.
 const SAMPLE_COUNT: usize = 64;
 
-/// Whether a request may ask for a permit to use a rate-limited engine.
+/// Whether a request may request a permit to use a rate-limited engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PermitWait {
-    /// It can wait for this time, and may ask at any engine whose next permit is due within it.
-    Open(Duration),
-    /// It has asked at this engine, and waits for the permit.
-    At(EngineKey),
-    /// It may not ask any more.
-    Never,
+pub enum PermitState {
+    /// It can wait for this time, and may request one of any engine whose next permit is due within it.
+    MayRequest(Duration),
+    /// It has requested one of this engine, and waits for it.
+    Requested(EngineKey),
+    /// It may request no more permits.
+    Exhausted,
 }
 
 /// An engine selected for a call.
@@ -91,7 +91,7 @@
     pub queued_tokens: u64,
 }
 
-/// The inputs of a selection.
+/// The selection of engines for one request, with all inputs that it depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Selector<'a> {
     /// The known engines.
@@ -107,19 +107,19 @@
     /// Engines that the request was already sent to.
     pub tried: &'a [EngineKey],
     /// The regions that the request may be served in: by its route, and by its customer.
-    pub homes: [&'a Homes; 2],
+    pub allowed_regions: [&'a AllowedRegions; 2],
     /// The region of each data centre.
     pub regions: &'a Regions,
     /// When this box last sent a request to each cold engine.
     pub cold_sends: &'a SendTimes,
     /// What determines this box's share of the requests that cold engines can handle.
-    pub cold_share: Part,
+    pub cold_share: BoxShare,
     /// The restrictions that engines have announced: shutdowns, back-offs and rate limits.
     pub terms: &'a Terms,
     /// This box's permits to use rate-limited engines.
     pub permits: &'a Holder,
     /// Whether the request may wait for another permit.
-    pub permit_wait: PermitWait,
+    pub permit_state: PermitState,
     /// How long ago an engine may have announced its shutdown and still be used, because no other
     /// engine can serve the request. `None` if another can.
     pub max_drain_age: Option<Duration>,
@@ -137,12 +137,12 @@
     /// Selects an engine for a plain request; `None` if all queues are too long.
     pub fn choose_plain(&self) -> Option<Choice> {
         let candidates = self.candidates(None, self.data_centre, None, |_| true);
-        let (known, cost) = self.cheapest(&candidates, |it| self.plain_cost(it))?;
-        if self.queue(known) > MAX_QUEUE_RATIO {
+        let (record, cost) = self.cheapest(&candidates, |it| self.plain_cost(it))?;
+        if self.queue(record) > MAX_QUEUE_RATIO {
             return None;
         }
         let expected = Duration::from_secs_f64((cost * 0.1).clamp(0.0, 10.0));
-        Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
+        Some(Choice { engine: record.engine.clone(), expected, queued_tokens: 0 })
     }
 
     /// Selects an engine to prefill a prompt for another engine.
@@ -150,18 +150,18 @@
         let has_capacity = |it: &Record| self.has_memory(it, staged, tokens);
         let stage = Some(Stage::Prefill);
         let candidates = self.candidates(stage, self.data_centre, None, has_capacity);
-        let (known, _) = self.cheapest(&candidates, |it| {
+        let (record, _) = self.cheapest(&candidates, |it| {
             let distance =
                 OTHER_DATA_CENTRE_TRANSFER.mul_f64(self.distance(it) / OTHER_DATA_CENTRE_SHARE);
             let staleness_cost = self.staleness_cost(it);
             (self.prefill_time(it, tokens) + distance + staleness_cost + self.failure_cost(it))
                 .as_secs_f64()
         })?;
-        let expected = self.prefill_time(known, tokens) + self.transfer_time(staged, tokens);
+        let expected = self.prefill_time(record, tokens) + self.transfer_time(staged, tokens);
         Some(Choice {
-            engine: known.engine.clone(),
+            engine: record.engine.clone(),
             expected,
-            queued_tokens: self.queued_tokens(known) + tokens,
+            queued_tokens: self.queued_tokens(record) + tokens,
         })
     }
 
@@ -170,7 +170,7 @@
         let has_capacity = |it: &Record| self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
         let candidates = self.candidates(stage, self.data_centre, None, has_capacity);
-        let (known, cost) = self.cheapest(&candidates, |it| {
+        let (record, cost) = self.cheapest(&candidates, |it| {
             let load = self.ledger.at(it.engine.key);
             let interference = STREAM_INTERFERENCE_COST * load.calls.min(4);
             let staleness_cost = self.staleness_cost(it);
@@ -179,9 +179,9 @@
         })?;
         let expected = Duration::from_secs_f64(cost);
         Some(Choice {
-            engine: known.engine.clone(),
+            engine: record.engine.clone(),
             expected,
-            queued_tokens: self.queued_tokens(known) + tokens,
+            queued_tokens: self.queued_tokens(record) + tokens,
         })
     }
 
@@ -201,7 +201,7 @@
         let has_capacity = |it: &Record| is_reserved(it) || self.has_memory(it, staged, held);
         let stage = Some(Stage::Decode);
         let candidates = self.candidates(stage, source_data_centre, preferred, has_capacity);
-        let (known, _) = self.cheapest(&candidates, |it| {
+        let (record, _) = self.cheapest(&candidates, |it| {
             if is_reserved(it) {
                 return 0.0;
             }
@@ -216,17 +216,17 @@
                 + it.health.failure_rate(self.now) * FAILURE_SHARE
         })?;
         let expected = CALL_OVERHEAD + self.transfer_time(staged, held);
-        Some(Choice { engine: known.engine.clone(), expected, queued_tokens: 0 })
+        Some(Choice { engine: record.engine.clone(), expected, queued_tokens: 0 })
     }
 
     /// Returns the choice of an engine that has the prompt cached.
-    pub fn choose_cached(known: &Record) -> Choice {
-        Choice { engine: known.engine.clone(), expected: CALL_OVERHEAD, queued_tokens: 0 }
+    pub fn choose_cached(record: &Record) -> Choice {
+        Choice { engine: record.engine.clone(), expected: CALL_OVERHEAD, queued_tokens: 0 }
     }
 
     /// Returns whether an engine accepts new requests and has memory for one.
-    pub fn has_capacity(&self, known: &Record, staged: &Staged, held: u64) -> bool {
-        self.is_allowed(known) && self.has_memory(known, staged, held)
+    pub fn has_capacity(&self, record: &Record, staged: &Staged, held: u64) -> bool {
+        self.is_allowed(record) && self.has_memory(record, staged, held)
     }
 
     /// Returns the engines that can serve the call and have free capacity: untried ones in good
@@ -288,28 +288,28 @@
     /// Returns whether the request may be sent to an engine at all: the engine accepts new requests
     /// by its entry and its own announcements, lies in an allowed region, and is not cold or can
     /// handle one more request.
-    pub fn is_allowed(&self, known: &Record) -> bool {
-        known.is_open(self.now)
-            && self.is_region_allowed(&known.engine.data_centre)
-            && !self.is_too_cold(known)
-            && self.is_admitted(known)
+    pub fn is_allowed(&self, record: &Record) -> bool {
+        record.is_open(self.now)
+            && self.is_region_allowed(&record.engine.data_centre)
+            && !self.is_too_cold(record)
+            && self.is_admitted(record)
     }
 
     /// Returns whether an engine's own announcements allow the request.
-    fn is_admitted(&self, known: &Record) -> bool {
-        let engine = known.engine.key;
-        match self.terms.restriction(&known.engine, self.max_drain_age, self.now) {
+    fn is_admitted(&self, record: &Record) -> bool {
+        let engine = record.engine.key;
+        match self.terms.restriction(&record.engine, self.max_drain_age, self.now) {
             None => true,
-            Some(Restriction::Leaving | Restriction::BackOff) => false,
+            Some(Restriction::ShuttingDown | Restriction::BackOff) => false,
             Some(Restriction::RateLimit) => {
                 !self.needs_permit(engine) || self.may_request_permit(engine)
             }
         }
     }
 
-    /// Returns a selector for the same request as if it had not asked for a permit yet.
+    /// Returns a selector for the same request as if it had not requested a permit yet.
     pub fn before_permit(&self) -> Selector<'_> {
-        Selector { permit_wait: PermitWait::Open(Duration::ZERO), ..*self }
+        Selector { permit_state: PermitState::MayRequest(Duration::ZERO), ..*self }
     }
 
     /// Returns whether the request needs a permit for an engine that this box does not hold yet.
@@ -319,23 +319,25 @@
 
     /// Returns whether the request may wait for a permit for an engine.
     fn may_request_permit(&self, engine: EngineKey) -> bool {
-        match self.permit_wait {
-            PermitWait::Open(patience) => !self.permits.is_refused(engine, patience, self.now),
-            PermitWait::At(asked) => asked == engine,
-            PermitWait::Never => false,
+        match self.permit_state {
+            PermitState::MayRequest(patience) => {
+                !self.permits.is_refused(engine, patience, self.now)
+            }
+            PermitState::Requested(asked) => asked == engine,
+            PermitState::Exhausted => false,
         }
     }
 
     /// Returns whether the request may be served in a data centre.
     fn is_region_allowed(&self, data_centre: &str) -> bool {
-        self.homes.iter().all(|it| it.include(data_centre, self.regions))
+        self.allowed_regions.iter().all(|it| it.includes_data_centre(data_centre, self.regions))
     }
 
     /// Returns whether an engine is cold and can't accept another request of this box now.
-    fn is_too_cold(&self, known: &Record) -> bool {
-        let rate = self.service.cold_rate.filter(|_| known.is_cold(self.now));
+    fn is_too_cold(&self, record: &Record) -> bool {
+        let rate = self.service.cold_rate.filter(|_| record.is_cold(self.now));
         rate.is_some_and(|it| {
-            !self.cold_sends.may_send(known.engine.key, it, self.cold_share, self.now)
+            !self.cold_sends.may_send(record.engine.key, it, self.cold_share, self.now)
         })
     }
 
@@ -371,31 +373,31 @@
     }
 
     /// Returns the cost of a plain request at an engine.
-    fn plain_cost(&self, known: &Record) -> f64 {
-        let staleness_share = self.staleness_share(known);
-        let one = 1.0 / f64::from(known.engine.slots.max(1));
-        let work = (self.queue(known) + one) * self.pace(known);
-        work + self.distance(known)
+    fn plain_cost(&self, record: &Record) -> f64 {
+        let staleness_share = self.staleness_share(record);
+        let one = 1.0 / f64::from(record.engine.slots.max(1));
+        let work = (self.queue(record) + one) * self.pace(record);
+        work + self.distance(record)
             + staleness_share
-            + known.health.failure_rate(self.now) * FAILURE_SHARE
+            + record.health.failure_rate(self.now) * FAILURE_SHARE
     }
 
     /// Returns how long work at an engine takes now, relative to its usual time.
-    fn pace(&self, known: &Record) -> f64 {
+    fn pace(&self, record: &Record) -> f64 {
         let reported =
-            known.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
+            record.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
         reported.map_or(1.0, |(it, _)| f64::from(it.pace) / USUAL_PACE_PERCENT)
     }
 
     /// Returns the cost of the distance to an engine, as a share of a full engine's load.
-    fn distance(&self, known: &Record) -> f64 {
-        self.distance_from(self.data_centre, known)
+    fn distance(&self, record: &Record) -> f64 {
+        self.distance_from(self.data_centre, record)
     }
 
     /// Returns the cost of the distance from a data centre to an engine, as a share of a full
     /// engine's load.
-    fn distance_from(&self, data_centre: &str, known: &Record) -> f64 {
-        let other = &*known.engine.data_centre;
+    fn distance_from(&self, data_centre: &str, record: &Record) -> f64 {
+        let other = &*record.engine.data_centre;
         if other == data_centre {
             0.0
         } else if self.regions.of(other) == self.regions.of(data_centre) {
@@ -406,8 +408,8 @@
     }
 
     /// Returns the time penalty for outdated knowledge of an engine's load.
-    fn staleness_cost(&self, known: &Record) -> Duration {
-        if self.knows_remote || self.is_local(known) {
+    fn staleness_cost(&self, record: &Record) -> Duration {
+        if self.knows_remote || self.is_local(record) {
             Duration::ZERO
         } else {
             REMOTE_STALENESS_COST
@@ -416,28 +418,28 @@
 
     /// Returns the penalty for outdated knowledge of an engine's load, as a share of a full
     /// engine's load.
-    fn staleness_share(&self, known: &Record) -> f64 {
-        if self.knows_remote || self.is_local(known) { 0.0 } else { REMOTE_STALENESS_SHARE }
+    fn staleness_share(&self, record: &Record) -> f64 {
+        if self.knows_remote || self.is_local(record) { 0.0 } else { REMOTE_STALENESS_SHARE }
     }
 
     /// Returns the number of calls per slot at an engine.
-    fn queue(&self, known: &Record) -> f64 {
-        let sent = self.ledger.at(known.engine.key).calls;
+    fn queue(&self, record: &Record) -> f64 {
+        let sent = self.ledger.at(record.engine.key).calls;
         let reported =
-            known.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
+            record.reported_load.filter(|(_, at)| self.now.since(*at) < REPORTED_LOAD_TTL);
         let reported = reported.map_or(0, |(it, _)| it.running + it.waiting);
-        f64::from(sent.max(reported)) / f64::from(known.engine.slots.max(1))
+        f64::from(sent.max(reported)) / f64::from(record.engine.slots.max(1))
     }
 
     /// Returns the number of tokens that an engine has yet to prefill.
-    fn queued_tokens(&self, known: &Record) -> u64 {
-        u64::from(self.ledger.at(known.engine.key).prefill_tokens)
+    fn queued_tokens(&self, record: &Record) -> u64 {
+        u64::from(self.ledger.at(record.engine.key).prefill_tokens)
     }
 
     /// Returns the time until an engine would have prefilled a prompt.
-    fn prefill_time(&self, known: &Record, tokens: u64) -> Duration {
-        let rate = self.directory.prefill_rate(known, self.now).max(0.1);
-        let millis = (self.queued_tokens(known) + tokens) as f64 / rate;
+    fn prefill_time(&self, record: &Record, tokens: u64) -> Duration {
+        let rate = self.directory.prefill_rate(record, self.now).max(0.1);
+        let millis = (self.queued_tokens(record) + tokens) as f64 / rate;
         CALL_OVERHEAD + Duration::from_secs_f64(millis / 1e3)
     }
 
@@ -449,17 +451,17 @@
     }
 
     /// Returns the time penalty for an engine's failures.
-    fn failure_cost(&self, known: &Record) -> Duration {
-        FAILURE_COST.mul_f64(known.health.failure_rate(self.now))
+    fn failure_cost(&self, record: &Record) -> Duration {
+        FAILURE_COST.mul_f64(record.health.failure_rate(self.now))
     }
 
     /// Returns whether an engine has memory for more tokens. An empty engine always has, so that a
     /// request that is too large for every engine gets the engine's own answer.
-    fn has_memory(&self, known: &Record, staged: &Staged, tokens: u64) -> bool {
-        if known.is_full(tokens, self.now) {
+    fn has_memory(&self, record: &Record, staged: &Staged, tokens: u64) -> bool {
+        if record.is_full(tokens, self.now) {
             return false;
         }
-        let engine = known.engine.key;
+        let engine = record.engine.key;
         let held = u64::from(self.ledger.at(engine).held_tokens);
         let memory = staged.memory_tokens as f64;
         let is_contested = self.ledger.is_contested(engine, self.now);
@@ -468,7 +470,7 @@
     }
 
     /// Returns whether an engine is in this box's data centre.
-    fn is_local(&self, known: &Record) -> bool {
-        *known.engine.data_centre == *self.data_centre
+    fn is_local(&self, record: &Record) -> bool {
+        *record.engine.data_centre == *self.data_centre
     }
 }
--- a/crates/hollyspoke-gateway/src/quarantine.rs
+++ b/crates/hollyspoke-gateway/src/quarantine.rs
@@ -72,7 +72,7 @@
     pub fn suspect(
         &mut self,
         signature: Signature,
-        stand: Progress,
+        progress: Progress,
         engine: &Engine,
         about: RequestSummary,
         now: Time,
@@ -80,7 +80,7 @@
         self.evict_for(signature);
         let case = self.cases.entry(signature).or_insert_with(|| Case::new(now));
         case.about.get_or_insert(about);
-        if case.epoch != stand.epoch || case.count() > stand.crashes {
+        if case.epoch != progress.epoch || case.count() > progress.crashes {
             return false;
         }
         if !case.suspect(engine) {
@@ -235,15 +235,15 @@
 
     /// Returns the latest cases with at least `min` crashes for the store, at most `max`.
     pub fn to_save(&self, min: usize, max: usize) -> Vec<(Announcement, Option<RequestSummary>)> {
-        let mut mark_saved: Vec<_> = self
+        let mut cases: Vec<_> = self
             .cases
             .iter()
             .filter(|(_, it)| it.count() >= min)
             .map(|(&signature, it)| (it.announcement(signature), it.about.clone()))
             .collect();
-        mark_saved.sort_by_key(|(it, _)| (std::cmp::Reverse(it.at), it.signature));
-        mark_saved.truncate(max);
-        mark_saved
+        cases.sort_by_key(|(it, _)| (std::cmp::Reverse(it.at), it.signature));
+        cases.truncate(max);
+        cases
     }
 
     /// Records that the pending cases have been sent to the store.
--- a/crates/hollyspoke-gateway/src/quarantine/case.rs
+++ b/crates/hollyspoke-gateway/src/quarantine/case.rs
@@ -244,9 +244,9 @@
     pub(super) fn suspect(&mut self, engine: &Engine) -> bool {
         let Engine { key, started_at: born, .. } = *engine;
         let is_counted = self.crashes().any(|it| (it.engine, it.born) == (key, born));
-        let place = self.crashes.iter_mut().find(|it| it.is_none());
-        let Some(place) = place.filter(|_| !is_counted) else { return false };
-        *place = Some(Crash { engine: key, born, proof: Proof::Asked });
+        let slot = self.crashes.iter_mut().find(|it| it.is_none());
+        let Some(slot) = slot.filter(|_| !is_counted) else { return false };
+        *slot = Some(Crash { engine: key, born, proof: Proof::Asked });
         true
     }
 
--- a/crates/hollyspoke-gateway/src/rate_limit.rs
+++ b/crates/hollyspoke-gateway/src/rate_limit.rs
@@ -49,7 +49,7 @@
     /// The start time of the engine's incarnation that reported the limit, if known.
     born: Option<u64>,
     /// When the limit was last reported.
-    named_at: Time,
+    reported_at: Time,
 }
 
 /// An announcement of an engine's rate limit by a box.
@@ -70,7 +70,7 @@
 pub enum Change {
     /// A limit was reported, in requests per second; the second value is the limit that is kept for
     /// it.
-    Named(f64, f64),
+    Set(f64, f64),
     /// A value that is not a number was reported; the known limit is kept.
     Unreadable,
     /// The limit was lifted.
@@ -127,8 +127,9 @@
             return self.lift(engine.key, now);
         }
         let rate = reported.max(MIN_RATE_PER_S);
-        let is_new = self.set(engine.key, Limit { rate, born: engine.started_at, named_at: now });
-        is_new.then_some(Change::Named(reported, rate))
+        let is_new =
+            self.set(engine.key, Limit { rate, born: engine.started_at, reported_at: now });
+        is_new.then_some(Change::Set(reported, rate))
     }
 
     /// Sets an engine's limit. Returns whether the rate changed.
@@ -140,7 +141,7 @@
 
     /// Lifts an engine's limit, if it was last reported no later than `sent`.
     fn lift(&mut self, engine: EngineKey, sent: Time) -> Option<Change> {
-        let limit = *self.limits.get(&engine).filter(|it| it.named_at <= sent)?;
+        let limit = *self.limits.get(&engine).filter(|it| it.reported_at <= sent)?;
         self.limits.remove(&engine);
         self.unreadable.remove(&engine);
         self.lifted.insert(engine, (limit.born, sent));
@@ -159,16 +160,16 @@
             return None;
         }
         let at = now - Duration::from_millis(u64::from(announcement.age_ms));
-        let known = self.limits.get(&announcement.engine).map(|it| (it.born, it.named_at));
+        let known = self.limits.get(&announcement.engine).map(|it| (it.born, it.reported_at));
         let known = known.or_else(|| self.lifted.get(&announcement.engine).copied());
         if known.is_some_and(|known| (announcement.born, at) <= known) {
             return None;
         }
         match announcement.rate.filter(|it| it.is_finite()) {
             Some(rate) => {
-                let kept = rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S);
-                let limit = Limit { rate: kept, born: announcement.born, named_at: at };
-                self.set(announcement.engine, limit).then_some(Change::Named(rate, kept))
+                let applied = rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S);
+                let limit = Limit { rate: applied, born: announcement.born, reported_at: at };
+                self.set(announcement.engine, limit).then_some(Change::Set(rate, applied))
             }
             None => {
                 self.lifted.insert(announcement.engine, (announcement.born, at));
@@ -182,17 +183,17 @@
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         if let Some(limit) = self.limits.get(&engine) {
             let (born, rate) = (limit.born, Some(limit.rate));
-            return Some(Announcement { engine, born, rate, age_ms: age(limit.named_at) });
+            return Some(Announcement { engine, born, rate, age_ms: age(limit.reported_at) });
         }
         let &(born, at) = self.lifted.get(&engine)?;
         Some(Announcement { engine, born, rate: None, age_ms: age(at) })
     }
 
-    /// Returns up to `most` engines that have a limit, in key order after `after` or from the
+    /// Returns up to `max_count` engines that have a limit, in key order after `after` or from the
     /// first.
-    pub fn limited_after(&self, after: Option<EngineKey>, most: usize) -> Vec<EngineKey> {
+    pub fn limited_after(&self, after: Option<EngineKey>, max_count: usize) -> Vec<EngineKey> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        self.limits.range((from, Bound::Unbounded)).take(most).map(|(&it, _)| it).collect()
+        self.limits.range((from, Bound::Unbounded)).take(max_count).map(|(&it, _)| it).collect()
     }
 
     /// Returns the engines whose limit was lifted recently.
--- a/crates/hollyspoke-gateway/src/ratio.rs
+++ b/crates/hollyspoke-gateway/src/ratio.rs
@@ -64,8 +64,8 @@
 
 /// Returns the pressure on the scarcer side of a split.
 pub fn pressure(demand: Demand, capacity: Capacity, split: Split) -> f64 {
-    let reading = prefill_pressure(demand, capacity, split.prefill);
-    reading.max(memory_pressure(demand, capacity, split.decode))
+    let prefill = prefill_pressure(demand, capacity, split.prefill);
+    prefill.max(memory_pressure(demand, capacity, split.decode))
 }
 
 /// Returns the split with the least pressure that has at least one engine on each side.
@@ -83,14 +83,14 @@
     if now < MIN_PRESSURE_RATIO || gain < now * MIN_GAIN_SHARE {
         return None;
     }
-    let is_bearable = if best.prefill < split.prefill {
+    let stays_within_limit = if best.prefill < split.prefill {
         prefill_pressure(demand, capacity, working.prefill.saturating_sub(1)) <= MAX_REMAINING_RATIO
     } else {
         memory_pressure(demand, capacity, working.decode.saturating_sub(1)) <= MAX_REMAINING_RATIO
     };
     match best.prefill.cmp(&split.prefill) {
-        std::cmp::Ordering::Less if is_bearable => Some(Change::ToDecode),
-        std::cmp::Ordering::Greater if is_bearable => Some(Change::ToPrefill),
+        std::cmp::Ordering::Less if stays_within_limit => Some(Change::ToDecode),
+        std::cmp::Ordering::Greater if stays_within_limit => Some(Change::ToPrefill),
         _ => None,
     }
 }
--- a/crates/hollyspoke-gateway/src/region.rs
+++ b/crates/hollyspoke-gateway/src/region.rs
@@ -15,10 +15,10 @@
 /// The regions in which requests may be served and their prompts cached; `None` if there is no
 /// restriction.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homes(Option<Vec<Arc<str>>>);
+pub struct AllowedRegions(Option<Vec<Arc<str>>>);
 
 /// The value for requests that may be served in all regions.
-pub const ANYWHERE: Homes = Homes(None);
+pub const ALL_REGIONS: AllowedRegions = AllowedRegions(None);
 
 impl Regions {
     /// Creates the regions from pairs of a data centre and its region.
@@ -37,10 +37,10 @@
     }
 }
 
-impl Homes {
+impl AllowedRegions {
     /// Allows only the given regions, or all if none is given.
-    pub fn new(regions: Vec<Arc<str>>) -> Homes {
-        Homes((!regions.is_empty()).then_some(regions))
+    pub fn new(regions: Vec<Arc<str>>) -> AllowedRegions {
+        AllowedRegions((!regions.is_empty()).then_some(regions))
     }
 
     /// Returns whether there is a restriction.
@@ -50,8 +50,8 @@
 
     /// Returns whether a data centre lies in an allowed region. With a restriction, a data centre
     /// of unknown region does not.
-    pub fn include(&self, data_centre: &str, regions: &Regions) -> bool {
-        let Some(homes) = &self.0 else { return true };
-        regions.of(data_centre).is_some_and(|it| homes.contains(it))
+    pub fn includes_data_centre(&self, data_centre: &str, regions: &Regions) -> bool {
+        let Some(allowed) = &self.0 else { return true };
+        regions.of(data_centre).is_some_and(|it| allowed.contains(it))
     }
 }
--- a/crates/hollyspoke-gateway/src/route.rs
+++ b/crates/hollyspoke-gateway/src/route.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::customer::Customers;
-use crate::region::Homes;
+use crate::region::AllowedRegions;
 
 /// How requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
     /// limit.
     pub max_gap: Option<Duration>,
     /// The regions in which requests of the route may be served.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
--- a/crates/hollyspoke-gateway/src/terms.rs
+++ b/crates/hollyspoke-gateway/src/terms.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Restriction {
     /// The engine is shutting down.
-    Leaving,
+    ShuttingDown,
     /// The engine asks this box to back off, or accepts no more until it has answered.
     BackOff,
     /// The engine limits its requests per second.
@@ -31,15 +31,15 @@
 
 impl Terms {
     /// Returns the strictest restriction on sending to an engine. An engine that is shutting down
-    /// is still used if that has been known for at most `leaving_for`.
+    /// is still used if that has been known for at most `max_drain_age`.
     pub fn restriction(
         &self,
         engine: &Engine,
-        leaving_for: Option<Duration>,
+        max_drain_age: Option<Duration>,
         now: Time,
     ) -> Option<Restriction> {
-        if !self.is_usable(engine, leaving_for, now) {
-            return Some(Restriction::Leaving);
+        if !self.is_usable(engine, max_drain_age, now) {
+            return Some(Restriction::ShuttingDown);
         }
         if self.back_offs.is_closed(engine, now) {
             return Some(Restriction::BackOff);
@@ -48,10 +48,10 @@
     }
 
     /// Returns whether an engine is not shutting down, or that has been known for at most
-    /// `leaving_for`.
-    pub fn is_usable(&self, engine: &Engine, leaving_for: Option<Duration>, now: Time) -> bool {
+    /// `max_drain_age`.
+    pub fn is_usable(&self, engine: &Engine, max_drain_age: Option<Duration>, now: Time) -> bool {
         let departure = self.departures.of(engine);
-        departure.is_none_or(|it| leaving_for.is_some_and(|most| it.age(now) <= most))
+        departure.is_none_or(|it| max_drain_age.is_some_and(|most| it.age(now) <= most))
     }
 
     /// Returns whether an engine is known to be shutting down.
--- a/crates/hollyspoke-server/src/datagram.rs
+++ b/crates/hollyspoke-server/src/datagram.rs
@@ -290,14 +290,14 @@
 impl AskField {
     /// Makes the field of a question.
     fn of(ask: &Ask) -> AskField {
-        let limit = LimitField::of(&ask.word);
+        let limit = LimitField::of(&ask.limit);
         AskField { number: ask.number, limit, patience_ms: ask.patience_ms }
     }
 
     /// Gives the question.
     fn ask(&self) -> Ask {
-        let word = self.limit.word();
-        Ask { number: self.number, word, patience_ms: self.patience_ms }
+        let limit = self.limit.word();
+        Ask { number: self.number, limit, patience_ms: self.patience_ms }
     }
 }
 
--- a/crates/hollyspoke-server/src/directory.rs
+++ b/crates/hollyspoke-server/src/directory.rs
@@ -134,7 +134,7 @@
             json(serde_json::to_vec(&all).unwrap_or_default().into())
         }
         (&Method::DELETE, Some(short)) if all.iter().any(|it| it.short == short) => {
-            node.dispatch(Event::Lift(short.to_owned()));
+            node.dispatch(Event::Release(short.to_owned()));
             status(StatusCode::NO_CONTENT)
         }
         _ => status(StatusCode::NOT_FOUND),
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -139,9 +139,9 @@
             LogEvent::Configured { version, .. } => self.version.record(*version, &[]),
             LogEvent::Engine { .. } | LogEvent::EngineRemoved { .. } => self.engines.add(1, &[]),
             LogEvent::ManyEngines { put, left } => self.engines.add((put + left) as u64, &[]),
-            LogEvent::Peers { heard, silent, .. } => {
-                self.peers.add(heard.len() as u64, &[KeyValue::new("alive", true)]);
-                self.peers.add(silent.len() as u64, &[KeyValue::new("alive", false)]);
+            LogEvent::Peers { joined, timed_out, .. } => {
+                self.peers.add(joined.len() as u64, &[KeyValue::new("alive", true)]);
+                self.peers.add(timed_out.len() as u64, &[KeyValue::new("alive", false)]);
             }
             LogEvent::Switch { stage, engines, demand, .. } => {
                 self.split.record(u64::from(engines.prefill), &[KeyValue::new("stage", "reads")]);
@@ -198,7 +198,7 @@
     /// Takes what an engine takes now.
     fn record_limit(&self, id: &Arc<str>, change: &Change) {
         match change {
-            Change::Named(_, rate) => self.limits.record((rate * 1e3) as u64, &[engine(id)]),
+            Change::Set(_, rate) => self.limits.record((rate * 1e3) as u64, &[engine(id)]),
             Change::Lifted => self.limits.record(0, &[engine(id)]),
             Change::Unreadable => {}
         }
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -78,13 +78,13 @@
             info!(log, "request ended";
             "request" => %request, "customer" => customer.as_deref(), "units" => units,
             "limited" => kept_by(exclusions, Restriction::RateLimit),
-            "leaving" => kept_by(exclusions, Restriction::Leaving),
+            "leaving" => kept_by(exclusions, Restriction::ShuttingDown),
             "resting" => kept_by(exclusions, Restriction::BackOff),
             "how" => outcome, "after_ms" => millis(after))
         }
-        LogEvent::Peers { heard, silent, alive } => info!(log, "peers changed";
-            "heard" => heard.len(), "silent" => silent.len(), "alive" => alive,
-            "heard_first" => some(heard), "silent_first" => some(silent)),
+        LogEvent::Peers { joined, timed_out, alive } => info!(log, "peers changed";
+            "heard" => joined.len(), "silent" => timed_out.len(), "alive" => alive,
+            "heard_first" => some(joined), "silent_first" => some(timed_out)),
         LogEvent::Quarantined { signature, about, engines, until } => {
             warn!(log, "request held back";
             "signature" => signature.short(),
@@ -119,7 +119,7 @@
 /// Writes a line on what an engine takes.
 fn write_limit(log: &Logger, id: &str, change: &Change) {
     match change {
-        Change::Named(told, rate) => warn!(log, "engine limited";
+        Change::Set(told, rate) => warn!(log, "engine limited";
             "engine" => id, "told" => told, "per_s" => rate),
         Change::Unreadable => warn!(log, "engine limit not read"; "engine" => id),
         Change::Lifted => info!(log, "engine limit lifted"; "engine" => id),
@@ -138,10 +138,10 @@
 }
 
 /// Gives how a departure ended.
-fn end_name(end: departure::End) -> &'static str {
+fn end_name(end: departure::EndReason) -> &'static str {
     match end {
-        departure::End::Gone => "gone",
-        departure::End::Restarted => "started again",
+        departure::EndReason::Gone => "gone",
+        departure::EndReason::Restarted => "started again",
     }
 }
 
--- a/crates/hollyspoke-server/src/upstream.rs
+++ b/crates/hollyspoke-server/src/upstream.rs
@@ -224,7 +224,7 @@
 /// Asks an engine whether it lives, and tells the reducer.
 async fn probe(node: Rc<Node>, engine: Arc<Engine>) {
     let answer = tokio::time::timeout(ASK_TIMEOUT, exchange_probe(&node, &engine)).await;
-    let probe = answer.ok().flatten().unwrap_or(Probe::Silent);
+    let probe = answer.ok().flatten().unwrap_or(Probe::NoAnswer);
     node.dispatch(Event::Probed(engine.key, probe));
 }
 
--- a/tests/benches/boxes.rs
+++ b/tests/benches/boxes.rs
@@ -85,8 +85,8 @@
     /// Makes another box's question for a permit.
     fn question(&mut self, number: usize) -> Message {
         let engine = key((self.sequence % u64::from(ENGINES)) as u8);
-        let word = Announcement { engine, born: None, rate: Some(100.0), age_ms: 0 };
-        let asks = vec![Ask { number: self.sequence, word, patience_ms: 60 }];
+        let limit = Announcement { engine, born: None, rate: Some(100.0), age_ms: 0 };
+        let asks = vec![Ask { number: self.sequence, limit, patience_ms: 60 }];
         let extension = Extension { asks, ..Extension::default() }.non_empty();
         let loads = Vec::new();
         Message { is_whole: false, loads, extension, ..self.message(number) }
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -139,7 +139,8 @@
     /// Has a box hear whether an engine lives.
     pub(super) fn probe(&mut self, number: usize, engine: EngineKey) {
         let State { crashes, down_until } = self.crashes.state(engine);
-        let probe = if self.now < down_until { Probe::Silent } else { Probe::Alive(Some(crashes)) };
+        let probe =
+            if self.now < down_until { Probe::NoAnswer } else { Probe::Alive(Some(crashes)) };
         let life = self.members[number].life;
         self.plan(self.now + TRANSIT * 2, Due::Probed(number, life, engine, probe));
     }
--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -14,7 +14,7 @@
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::gateway::{CASES, Gateway, Settings, Sharing};
 use hollyspoke_gateway::message::{DataCentreKey, Format, Message, Readiness, StoreView, Usage};
-use hollyspoke_gateway::region::{Homes, Regions};
+use hollyspoke_gateway::region::{AllowedRegions, Regions};
 use hollyspoke_gateway::request::{CallKey, Request, RequestKey};
 use hollyspoke_gateway::route::{Configuration, Limits, Route, RouteKind, Service, Split, Staged};
 use hollyspoke_gateway::signature::Content;
@@ -77,7 +77,7 @@
         max_attempts: 2,
         resumable: false,
         max_gap: Some(Duration::from_millis(300)),
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -17,7 +17,7 @@
 };
 use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_gateway::quarantine::{Announcement, Crash, Proof};
-use hollyspoke_gateway::region::Homes;
+use hollyspoke_gateway::region::AllowedRegions;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Configuration, RouteKind, Service};
 use hollyspoke_gateway::signature::Signature;
@@ -123,18 +123,18 @@
 
 /// Gives a handover of a whole configuration and list.
 pub fn snapshot() -> Snapshot {
-    let homes = Homes::new(vec![Arc::from("south")]);
+    let homes = AllowedRegions::new(vec![Arc::from("south")]);
     let customer = Customer {
         key: CustomerKey::of("north-desk"),
         name: "north-desk".into(),
         priority: Some(2),
         unit: Unit::Token { plain: 40 },
         limit: Some(Limit { rate: 120.5, burst: 800.0 }),
-        homes: homes.clone(),
+        allowed_regions: homes.clone(),
         credentials: vec![KeyDigest::of(b"a key")],
     };
     let mut once = route("once", RouteKind::Unsafe, PLAIN);
-    once.homes = homes;
+    once.allowed_regions = homes;
     let usual = configuration(12);
     let service = Service { cold_rate: Some(9.9), name: PLAIN.into(), staged: None };
     let staged = usual.service(MODEL).cloned();
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -69,7 +69,7 @@
     let reply = |outcome| Reply { number: 3, engine: EngineKey(9), outcome };
     Extension {
         limits: vec![word(Some(3.5)), word(None)],
-        asks: vec![Ask { number: 7, word: word(Some(0.1)), patience_ms: 66 }],
+        asks: vec![Ask { number: 7, limit: word(Some(0.1)), patience_ms: 66 }],
         replies: vec![
             reply(Outcome::Issued(0)),
             reply(Outcome::Refused(250)),
--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::cold::{Part, SendTimes};
+use hollyspoke_gateway::cold::{BoxShare, SendTimes};
 use hollyspoke_gateway::effect::Effect;
 use hollyspoke_gateway::engine::{Engine, EngineChange, EngineKey};
 use hollyspoke_gateway::event::{CallEvent, Event};
@@ -108,7 +108,7 @@
     for place in 0..boxes {
         let [high, low] = place.to_be_bytes();
         let address = ([10, 0, high, low], 7000).into();
-        let part = Part { number: address_hash(&address), boxes: known };
+        let part = BoxShare { box_hash: address_hash(&address), box_count: known };
         let mut turns = SendTimes::default();
         for step in 0..50u64 {
             let now = Time::from_millis(1000 + step * 50 + u64::from(place) % 50);
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -10,7 +10,7 @@
 use hollyspoke_gateway::effect::{Effect, LogEvent, NotRunReason, Refusal};
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Message, StoreView, Usage};
-use hollyspoke_gateway::region::Homes;
+use hollyspoke_gateway::region::AllowedRegions;
 use hollyspoke_gateway::request::{Request, RequestKey};
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind};
 use hollyspoke_tests::gateway::{
@@ -29,7 +29,7 @@
         priority: None,
         unit: Unit::Token { plain: 200 },
         limit: (rate > 0.0).then_some(Limit { rate, burst: rate }),
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
         credentials: vec![KeyDigest::of(key)],
     }
 }
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -12,7 +12,7 @@
 use hollyspoke_gateway::engine::EngineChange;
 use hollyspoke_gateway::event::{Event, Kind};
 use hollyspoke_gateway::message::{DataCentreKey, StoreView};
-use hollyspoke_gateway::region::Homes;
+use hollyspoke_gateway::region::AllowedRegions;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::snapshot::{Listing, Snapshot, SnapshotRequest};
 use hollyspoke_tests::gateway::{
@@ -32,7 +32,7 @@
         priority: Some(2),
         unit: Unit::Token { plain: 200 },
         limit: Some(Limit { rate: 1e6, burst: 1e6 }),
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
         credentials: keys.iter().map(|it| KeyDigest::of(it)).collect(),
     };
     let customers = Customers::new(vec![customer]);
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -15,7 +15,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::gateway::{Gateway, Settings};
 use hollyspoke_gateway::message::{DataCentreKey, Message, StoreView};
-use hollyspoke_gateway::region::{Homes, Regions};
+use hollyspoke_gateway::region::{AllowedRegions, Regions};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_gateway::route::{Route, RouteKind};
 use hollyspoke_tests::gateway::{
@@ -33,8 +33,8 @@
 }
 
 /// Gives homes.
-fn homes(names: &[&str]) -> Homes {
-    Homes::new(names.iter().map(|&it| it.into()).collect())
+fn homes(names: &[&str]) -> AllowedRegions {
+    AllowedRegions::new(names.iter().map(|&it| it.into()).collect())
 }
 
 /// Gives engines of each kind in three data centres, the first of them unlike the box's.
@@ -57,7 +57,7 @@
     let gateway = Gateway::new(Settings { regions: regions(), ..settings(1) });
     let mut world = World { gateway, ..World::unconfigured() };
     let bound = |name: &str, kind, service: &str, names: &[&str]| Route {
-        homes: homes(names),
+        allowed_regions: homes(names),
         is_auth_exempt: true,
         resumable: true,
         ..route(name, kind, service)
@@ -74,7 +74,7 @@
         priority: None,
         unit: Unit::Request,
         limit: None,
-        homes: homes(&["cold"]),
+        allowed_regions: homes(&["cold"]),
         credentials: vec![KeyDigest::of(KEY)],
     };
     let configuration = configuration_of(1, routes).with_customers(Customers::new(vec![customer]));
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -11,7 +11,7 @@
 use hollyspoke_gateway::event::Event;
 use hollyspoke_gateway::gateway::Gateway;
 use hollyspoke_gateway::message::{Message, Readiness, StoreView, Usage};
-use hollyspoke_gateway::region::Homes;
+use hollyspoke_gateway::region::AllowedRegions;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{
     World, configuration, engines, heartbeat, only_refusal, request, settings,
@@ -56,7 +56,7 @@
         priority: None,
         unit: Unit::Token { plain: 200 },
         limit: Some(Limit { rate: 6000.0, burst: 6000.0 }),
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
         credentials: vec![KeyDigest::of(KEY)],
     };
     let configuration = configuration(1).with_customers(Customers::new(vec![customer]));
--- a/tests/tests/intake.rs
+++ b/tests/tests/intake.rs
@@ -29,9 +29,9 @@
 fn named_changed_and_lifted() {
     let mut table = Table::default();
     assert_eq!(learn(&mut table, Reported::Nothing, 0, 10), None);
-    assert_eq!(learn(&mut table, Reported::Rate(3.5), 0, 20), Some(Change::Named(3.5, 3.5)));
+    assert_eq!(learn(&mut table, Reported::Rate(3.5), 0, 20), Some(Change::Set(3.5, 3.5)));
     assert_eq!(learn(&mut table, Reported::Rate(3.5), 0, 30), None);
-    assert_eq!(learn(&mut table, Reported::Rate(2.0), 25, 40), Some(Change::Named(2.0, 2.0)));
+    assert_eq!(learn(&mut table, Reported::Rate(2.0), 25, 40), Some(Change::Set(2.0, 2.0)));
     assert_eq!(rate(&table), Some(2.0));
     assert_eq!(learn(&mut table, Reported::Nothing, 41, 50), Some(Change::Lifted));
     assert!(table.is_empty());
@@ -73,7 +73,7 @@
     for told in [0.0, -3.0, 0.001] {
         let mut table = Table::default();
         let change = learn(&mut table, Reported::Rate(told), 0, 10);
-        assert_eq!(change, Some(Change::Named(told, MIN_RATE_PER_S)));
+        assert_eq!(change, Some(Change::Set(told, MIN_RATE_PER_S)));
     }
 }
 
--- a/tests/tests/repeats_drawn.rs
+++ b/tests/tests/repeats_drawn.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::budget::{Budget, Share};
+use hollyspoke_gateway::budget::{BoxShare, Budget};
 use hollyspoke_tests::faults::{FLEET, Fault, bring};
 use hollyspoke_tests::fleet::{BOUND, Behaviour, Fleet};
 use hollyspoke_tests::gateway::{MODEL, PLAIN};
@@ -46,7 +46,7 @@
 }
 
 /// Gives what a start puts into a bucket.
-fn begin(start: Start, now: Time, part: Share<'_>) -> Budget {
+fn begin(start: Start, now: Time, part: BoxShare<'_>) -> Budget {
     let mut budget = Budget::default();
     if start == Start::Full {
         for _ in 0..1000 {
@@ -58,7 +58,7 @@
 
 /// Plays what was drawn on buckets; gives the share of the bound that was used.
 fn play(acts: &[Act], start: Start) -> f64 {
-    let part = Share { bound: &BOUND, boxes: BOXES };
+    let part = BoxShare { bound: &BOUND, box_count: BOXES };
     let mut now = Time::from_millis(1);
     let mut lives: Vec<_> = (0..BOXES).map(|_| (now, begin(start, Time::ZERO, part))).collect();
     let mut records = Records::default();
--- a/tests/tests/repeats_many.rs
+++ b/tests/tests/repeats_many.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use hollyspoke::time::Time;
-use hollyspoke_gateway::budget::{Bound, Budget, Share};
+use hollyspoke_gateway::budget::{Bound, BoxShare, Budget};
 
 /// Gives the most repeats within a window, in shares of the bound, where boxes have rested for a
 /// minute and then repeat whatever they may, each with so many requests a second.
 fn used(boxes: usize, allowance: f64, a_second: f64) -> f64 {
     let bound = Bound { ratio: 0.2, allowance, window: Duration::from_secs(10) };
-    let part = Share { bound: &bound, boxes };
+    let part = BoxShare { bound: &bound, box_count: boxes };
     let mut repeats = 0.0;
     let mut requests = 0.0;
     for _ in 0..boxes {
