--- a/crates/hollyspoke-server/src/answer.rs
+++ b/crates/hollyspoke-server/src/answer.rs
@@ -11,21 +11,21 @@
 
 /// The answer was broken off; the client sees that it is not whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct StreamAborted;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for StreamAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer was broken off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for StreamAborted {}
 
 /// The events of a stream, as they come.
 #[derive(Debug)]
 pub struct Stream {
     /// Whole events.
-    pub pieces: mpsc::Receiver<Bytes>,
+    pub chunks: mpsc::Receiver<Bytes>,
     /// Set if the stream ends unfinished.
     pub is_broken: Rc<Cell<bool>>,
 }
@@ -65,19 +65,21 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
-            AnswerBody::Stream(stream, guard) => match stream.pieces.poll_recv(context) {
+            AnswerBody::Stream(stream, hook) => match stream.chunks.poll_recv(context) {
                 Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                Poll::Ready(None) if stream.is_broken.get() => Poll::Ready(Some(Err(BrokenOff))),
+                Poll::Ready(None) if stream.is_broken.get() => {
+                    Poll::Ready(Some(Err(StreamAborted)))
+                }
                 Poll::Ready(None) => {
-                    guard.take();
+                    hook.take();
                     Poll::Ready(None)
                 }
                 Poll::Pending => Poll::Pending,
--- a/crates/hollyspoke-server/src/datagram.rs
+++ b/crates/hollyspoke-server/src/datagram.rs
@@ -21,25 +21,25 @@
 
 /// The first byte of a datagram in a later format. The first format begins with a number in as few
 /// bytes as it needs, whose first byte is at most 254.
-pub(crate) const MARK: u8 = 255;
+pub(crate) const EXTENDED_FORMAT_MARK: u8 = 255;
 
 /// The version that this box writes.
-const VERSION: u8 = 1;
+const EXTENDED_FORMAT_VERSION: u8 = 1;
 
 /// The version that a box tells that can read the later format of handovers too.
-const HANDOVERS: u32 = 2;
+const HANDOVER_VERSION: u32 = 2;
 
 /// The version that a box tells that can read eras of the store too.
-const ERAS: u32 = 3;
+const ERA_VERSION: u32 = 3;
 
 /// The entry of the demand in which a box tells the version that it can read: a number drawn once,
 /// which is the hash of no service's name but by a chance of one in 2^64.
-const TOLD_IN: u64 = 0x7d5c_05bd_0f8a_2c31;
+const VERSION_DEMAND_KEY: u64 = 0x7d5c_05bd_0f8a_2c31;
 
 /// A datagram in a later format.
 #[derive(Debug, Encode, Decode)]
 #[cbor(map)]
-struct Later {
+struct ExtendedDatagram {
     /// The datagram in the first format.
     #[cbor(n(0), with = "minicbor::bytes")]
     first: Vec<u8>,
@@ -151,7 +151,7 @@
 }
 
 /// Gives how the first format is written.
-fn first_format() -> impl Options {
+fn first_format_options() -> impl Options {
     bincode::DefaultOptions::new()
 }
 
@@ -166,16 +166,16 @@
         return Ok(first);
     }
     let extension = message.extension.as_deref().cloned().unwrap_or_default();
-    let later = Later {
+    let extended = ExtendedDatagram {
         first,
-        limits: filled(extension.limits.iter().map(LimitField::of).collect()),
-        asks: filled(extension.asks.iter().map(AskField::of).collect()),
-        replies: filled(extension.replies.iter().map(ReplyField::of).collect()),
-        departures: filled(extension.departures.iter().map(DepartureField::of).collect()),
+        limits: non_empty_list(extension.limits.iter().map(LimitField::of).collect()),
+        asks: non_empty_list(extension.asks.iter().map(AskField::of).collect()),
+        replies: non_empty_list(extension.replies.iter().map(ReplyField::of).collect()),
+        departures: non_empty_list(extension.departures.iter().map(DepartureField::of).collect()),
         eras: (message.era > 0).then(|| ErasField::of(message.eras())),
     };
-    let mut bytes = vec![MARK, VERSION];
-    minicbor::encode(&later, &mut bytes).wrap_err("a field can't be written")?;
+    let mut bytes = vec![EXTENDED_FORMAT_MARK, EXTENDED_FORMAT_VERSION];
+    minicbor::encode(&extended, &mut bytes).wrap_err("a field can't be written")?;
     Ok(bytes)
 }
 
@@ -185,18 +185,23 @@
 ///
 /// If it is in no format that is known.
 pub fn read(bytes: &[u8]) -> eyre::Result<Message> {
-    let Some((&MARK, rest)) = bytes.split_first() else { return read_first(bytes) };
+    let Some((&EXTENDED_FORMAT_MARK, rest)) = bytes.split_first() else { return read_first(bytes) };
     let Some((&version, fields)) = rest.split_first() else { eyre::bail!("no version") };
-    ensure!(version >= VERSION, "no such version: {version}");
-    let later: Later = minicbor::decode(fields).wrap_err("a field can't be read")?;
-    let mut message = read_first(&later.first)?;
+    ensure!(version >= EXTENDED_FORMAT_VERSION, "no such version: {version}");
+    let extended: ExtendedDatagram = minicbor::decode(fields).wrap_err("a field can't be read")?;
+    let mut message = read_first(&extended.first)?;
     message.format = message.format.or(Some(Format::Permits));
-    message.set_eras(later.eras.as_ref().map(ErasField::eras).unwrap_or_default());
+    message.set_eras(extended.eras.as_ref().map(ErasField::eras).unwrap_or_default());
     message.extension = Extension {
-        limits: later.limits.iter().flatten().map(LimitField::word).collect(),
-        asks: later.asks.iter().flatten().map(AskField::ask).collect(),
-        replies: later.replies.iter().flatten().filter_map(ReplyField::reply).collect(),
-        departures: later.departures.iter().flatten().map(DepartureField::word).collect(),
+        limits: extended.limits.iter().flatten().map(LimitField::announcement).collect(),
+        asks: extended.asks.iter().flatten().map(AskField::ask).collect(),
+        replies: extended.replies.iter().flatten().filter_map(ReplyField::reply).collect(),
+        departures: extended
+            .departures
+            .iter()
+            .flatten()
+            .map(DepartureField::announcement)
+            .collect(),
     }
     .non_empty();
     Ok(message)
@@ -205,23 +210,24 @@
 /// Writes the first format. A whole datagram tells which version this box can read.
 fn write_first(message: &Message) -> eyre::Result<Vec<u8>> {
     if !message.is_whole {
-        return Ok(first_format().serialize(message)?);
+        return Ok(first_format_options().serialize(message)?);
     }
-    let told = Demand { prefill_tokens_per_s: ERAS, held_tokens: 0, requests: 0 };
-    let mut telling = Message { extension: None, ..message.clone() };
-    telling.demand.push((TOLD_IN, told));
-    Ok(first_format().serialize(&telling)?)
+    let version = Demand { prefill_tokens_per_s: ERA_VERSION, held_tokens: 0, requests: 0 };
+    let mut message_with_version = Message { extension: None, ..message.clone() };
+    message_with_version.demand.push((VERSION_DEMAND_KEY, version));
+    Ok(first_format_options().serialize(&message_with_version)?)
 }
 
 /// Reads the first format.
 fn read_first(bytes: &[u8]) -> eyre::Result<Message> {
-    let mut message: Message = first_format().deserialize(bytes)?;
-    let is_telling = |it: &(u64, Demand)| it.0 == TOLD_IN;
-    let told = message.demand.iter().find(|it| is_telling(it)).map(|it| it.1.prefill_tokens_per_s);
-    message.demand.retain(|it| !is_telling(it));
-    message.format = match told {
-        Some(ERAS..) => Some(Format::Eras),
-        Some(HANDOVERS) => Some(Format::Handovers),
+    let mut message: Message = first_format_options().deserialize(bytes)?;
+    let is_version_entry = |it: &(u64, Demand)| it.0 == VERSION_DEMAND_KEY;
+    let version =
+        message.demand.iter().find(|it| is_version_entry(it)).map(|it| it.1.prefill_tokens_per_s);
+    message.demand.retain(|it| !is_version_entry(it));
+    message.format = match version {
+        Some(ERA_VERSION..) => Some(Format::Eras),
+        Some(HANDOVER_VERSION) => Some(Format::Handovers),
         Some(1..) => Some(Format::Permits),
         _ => message.format,
     };
@@ -229,19 +235,19 @@
 }
 
 /// Gives a field that is left out if it holds nothing.
-pub(crate) fn filled<T>(items: Vec<T>) -> Option<Vec<T>> {
+pub(crate) fn non_empty_list<T>(items: Vec<T>) -> Option<Vec<T>> {
     (!items.is_empty()).then_some(items)
 }
 
 impl LimitField {
     /// Makes the field of what a box tells.
-    fn of(word: &Announcement) -> LimitField {
-        let &Announcement { engine, born, rate, age_ms } = word;
+    fn of(announcement: &Announcement) -> LimitField {
+        let &Announcement { engine, born, rate, age_ms } = announcement;
         LimitField { engine: engine.0, born, rate, age_ms }
     }
 
     /// Gives what a box tells.
-    fn word(&self) -> Announcement {
+    fn announcement(&self) -> Announcement {
         let &LimitField { engine, born, rate, age_ms } = self;
         Announcement { engine: EngineKey(engine), born, rate, age_ms }
     }
@@ -275,13 +281,13 @@
 
 impl DepartureField {
     /// Makes the field of what a box tells.
-    pub(crate) fn of(word: &departure::Announcement) -> DepartureField {
-        let &departure::Announcement { engine, started_at: born, age_ms } = word;
+    pub(crate) fn of(announcement: &departure::Announcement) -> DepartureField {
+        let &departure::Announcement { engine, started_at: born, age_ms } = announcement;
         DepartureField { engine: engine.0, born, age_ms }
     }
 
     /// Gives what a box tells.
-    pub(crate) fn word(&self) -> departure::Announcement {
+    pub(crate) fn announcement(&self) -> departure::Announcement {
         let &DepartureField { engine, born, age_ms } = self;
         departure::Announcement { engine: EngineKey(engine), started_at: born, age_ms }
     }
@@ -296,7 +302,7 @@
 
     /// Gives the question.
     fn ask(&self) -> Ask {
-        let word = self.limit.word();
+        let word = self.limit.announcement();
         Ask { number: self.number, word, patience_ms: self.patience_ms }
     }
 }
--- a/crates/hollyspoke-server/src/dialect.rs
+++ b/crates/hollyspoke-server/src/dialect.rs
@@ -91,11 +91,11 @@
     /// Reads the handle from the answer to the reading of a prompt.
     pub read_handle: fn(&[u8]) -> Option<String>,
     /// Makes the request that frees a prompt.
-    pub free: fn(&Source) -> request::Builder,
+    pub free_prompt: fn(&Source) -> request::Builder,
     /// Makes the request that asks an engine which parts of prompts it keeps.
-    pub survey: fn(&Engine) -> request::Builder,
+    pub query_cached_prompts: fn(&Engine) -> request::Builder,
     /// Reads the parts from the answer, the largest first.
-    pub read_survey: fn(&[u8]) -> Option<Vec<PromptKey>>,
+    pub read_cached_prompts: fn(&[u8]) -> Option<Vec<PromptKey>>,
     /// Makes the request that asks an engine for its report.
     pub report: fn(&Engine) -> request::Builder,
     /// Reads a report.
@@ -103,11 +103,11 @@
     /// Makes the head and the body of an order to an engine.
     pub order: fn(&Order) -> (request::Builder, Bytes),
     /// Reads an engine's answer to an order.
-    pub read_order: fn(StatusCode) -> OrderAnswer,
+    pub read_order_answer: fn(StatusCode) -> OrderAnswer,
     /// Makes the head and the body of an operation on an object of the product's own.
     pub operation: fn(&Operation) -> (request::Builder, Bytes),
     /// Reads the store's answer to such an operation.
-    pub read_stored: fn(&Operation, StatusCode, &[u8]) -> Stored,
+    pub read_operation_answer: fn(&Operation, StatusCode, &[u8]) -> Stored,
     /// Reads the store's era from the headers of any of its answers, if it tells.
     pub read_era: fn(&HeaderMap) -> Option<u64>,
     /// Makes the path that lists a kind, after a name; whether the answer may be stale.
@@ -125,5 +125,5 @@
     /// The path at which the platform asks whether this box is ready.
     pub ready_path: &'static str,
     /// Makes the answer to a client that asks for addresses, and how long it may keep them.
-    pub resolved: fn(&[SocketAddr], Duration) -> Bytes,
+    pub write_addresses: fn(&[SocketAddr], Duration) -> Bytes,
 }
--- a/crates/hollyspoke-server/src/directory.rs
+++ b/crates/hollyspoke-server/src/directory.rs
@@ -25,10 +25,10 @@
 use crate::node::Node;
 
 /// The most addresses of one answer.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESS_COUNT: usize = 64;
 
 /// How long clients may keep an answer.
-const KEEP_FOR: Duration = Duration::from_secs(2);
+const ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
 
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
@@ -54,7 +54,7 @@
 
 /// A request that is held back, for operators.
 #[derive(Debug, Serialize)]
-struct HeldText {
+struct HeldEntry {
     /// The signature as the log shows it.
     signature: String,
     /// The customer that sent it, if it is known.
@@ -103,9 +103,9 @@
 ) -> Response<AnswerBody> {
     let path = request.uri().path();
     if audience == Audience::Operators
-        && let Some(rest) = path.strip_prefix(HELD_PATH)
+        && let Some(subpath) = path.strip_prefix(HELD_PATH)
     {
-        return held(node, request.method(), rest);
+        return answer_held(node, request.method(), subpath);
     }
     if audience == Audience::Operators && path == EVACUATION_PATH {
         return json(
@@ -126,14 +126,14 @@
 }
 
 /// Tells which requests are held back, or lets one go.
-fn held(node: &Rc<Node>, method: &Method, rest: &str) -> Response<AnswerBody> {
-    let all = node.with(|it| it.held());
-    match (method, rest.strip_prefix('/')) {
-        (&Method::GET, None) if rest.is_empty() => {
-            let all: Vec<_> = all.into_iter().map(held_text).collect();
-            json(serde_json::to_vec(&all).unwrap_or_default().into())
+fn answer_held(node: &Rc<Node>, method: &Method, subpath: &str) -> Response<AnswerBody> {
+    let held_requests = node.with(|it| it.held());
+    match (method, subpath.strip_prefix('/')) {
+        (&Method::GET, None) if subpath.is_empty() => {
+            let held_requests: Vec<_> = held_requests.into_iter().map(held_entry).collect();
+            json(serde_json::to_vec(&held_requests).unwrap_or_default().into())
         }
-        (&Method::DELETE, Some(short)) if all.iter().any(|it| it.short == short) => {
+        (&Method::DELETE, Some(short)) if held_requests.iter().any(|it| it.short == short) => {
             node.dispatch(Event::Lift(short.to_owned()));
             status(StatusCode::NO_CONTENT)
         }
@@ -142,8 +142,8 @@
 }
 
 /// Gives a held request as operators see it.
-fn held_text(held: HeldRequest) -> HeldText {
-    HeldText {
+fn held_entry(held: HeldRequest) -> HeldEntry {
+    HeldEntry {
         signature: held.short,
         customer: held.customer,
         path: held.path,
@@ -169,9 +169,9 @@
     if fronts.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    if fronts.len() > MOST_ADDRESSES {
+    if fronts.len() > MAX_ADDRESS_COUNT {
         fronts.shuffle(&mut rand_pcg::Pcg64Mcg::from_os_rng());
-        fronts.truncate(MOST_ADDRESSES);
+        fronts.truncate(MAX_ADDRESS_COUNT);
     }
-    json((node.dialect.resolved)(&fronts, KEEP_FOR))
+    json((node.dialect.write_addresses)(&fronts, ADDRESS_LIFETIME))
 }
--- a/crates/hollyspoke-server/src/front.rs
+++ b/crates/hollyspoke-server/src/front.rs
@@ -21,11 +21,11 @@
 use tokio::sync::watch;
 
 use crate::answer::AnswerBody;
-use crate::head_clock::{Clocked, HeadClock, Serving};
+use crate::head_clock::{HeadClock, RequestGuard, TimedStream};
 use crate::node::{ClientAnswer, Node, ReceivedRequest};
 
 /// What clients may send before a configuration is known.
-const FIRST_LIMITS: Limits = Limits {
+const DEFAULT_LIMITS: Limits = Limits {
     head_bytes: 16 << 10,
     body_bytes: 4 << 20,
     head_timeout: Duration::from_secs(5),
@@ -33,7 +33,7 @@
 };
 
 /// The least size of a connection's buffer that the server takes.
-const LEAST_BUFFER: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// What is added to the time a connection may rest, since clients count from their own side.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
@@ -52,7 +52,7 @@
 const KEEP_ALIVE: &str = "keep-alive";
 
 /// Why a request was not taken up.
-enum Unread {
+enum BodyError {
     /// Its body is larger than the limit.
     TooLarge,
     /// Its body did not come in time.
@@ -80,24 +80,24 @@
 async fn serve(node: Rc<Node>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
     // Without it small answers wait; the connection works all the same.
     _ = stream.set_nodelay(true);
-    let limits = node.with(|it| it.limits()).unwrap_or(FIRST_LIMITS);
+    let limits = node.with(|it| it.limits()).unwrap_or(DEFAULT_LIMITS);
     let clock = HeadClock::new();
     let service = service_fn(|request| {
-        let (node, serving) = (node.clone(), clock.serve());
+        let (node, guard) = (node.clone(), clock.start_request());
         async move {
-            let response = answer(node, request, &serving).await;
-            Ok::<_, Infallible>(response.map(|it| serving.with(it)))
+            let response = answer(node, request, &guard).await;
+            Ok::<_, Infallible>(response.map(|it| guard.attach(it)))
         }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout + IDLE_MARGIN)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
-        .serve_connection(TokioIo::new(Clocked::new(stream, clock.clone())), service);
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
+        .serve_connection(TokioIo::new(TimedStream::new(stream, clock.clone())), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = clock.overdue(limits.head_timeout) => {
+        () = clock.wait_overdue(limits.head_timeout) => {
             info!(node.log, "head not whole in time");
             return;
         }
@@ -117,28 +117,28 @@
 async fn answer(
     node: Rc<Node>,
     request: Request<Incoming>,
-    serving: &Serving,
+    guard: &RequestGuard,
 ) -> Response<AnswerBody> {
-    let limits = node.with(|it| it.limits()).unwrap_or(FIRST_LIMITS);
+    let limits = node.with(|it| it.limits()).unwrap_or(DEFAULT_LIMITS);
     let (mut head, body) = request.into_parts();
-    hide_credentials(&mut head.headers);
+    mark_credentials_sensitive(&mut head.headers);
     let body = match read_body(&head, body, &limits).await {
         Ok(body) => body,
-        Err(Unread::TooLarge) => return closing_status(StatusCode::PAYLOAD_TOO_LARGE),
-        Err(Unread::TooSlow) => return closing_status(StatusCode::REQUEST_TIMEOUT),
-        Err(Unread::Malformed) => return closing_status(StatusCode::BAD_REQUEST),
+        Err(BodyError::TooLarge) => return closing_status(StatusCode::PAYLOAD_TOO_LARGE),
+        Err(BodyError::TooSlow) => return closing_status(StatusCode::REQUEST_TIMEOUT),
+        Err(BodyError::Malformed) => return closing_status(StatusCode::BAD_REQUEST),
     };
-    serving.body_read();
-    let (hook, receiver) = node.begin(ReceivedRequest { head: Rc::new(head), body });
+    guard.finish_body();
+    let (hook, receiver) = node.start_request(ReceivedRequest { head: Rc::new(head), body });
     let received = receiver.await;
     let mut response = match received {
         Ok(ClientAnswer::Whole(head, body)) => {
-            Response::from_parts(pass_head(head), AnswerBody::Whole(Some(body)))
+            Response::from_parts(client_head(head), AnswerBody::Whole(Some(body)))
         }
         Ok(ClientAnswer::Stream(head, stream)) => {
-            Response::from_parts(pass_head(head), AnswerBody::Stream(stream, Some(hook)))
+            Response::from_parts(client_head(head), AnswerBody::Stream(stream, Some(hook)))
         }
-        Ok(ClientAnswer::Refused(refusal)) => refused(refusal),
+        Ok(ClientAnswer::Refused(refusal)) => refusal_response(refusal),
         Err(_) => status(StatusCode::BAD_GATEWAY),
     };
     if node.with(|it| it.is_stopping()) {
@@ -148,7 +148,7 @@
 }
 
 /// Has credentials left out wherever a head is printed.
-fn hide_credentials(headers: &mut HeaderMap) {
+fn mark_credentials_sensitive(headers: &mut HeaderMap) {
     for (name, value) in headers.iter_mut() {
         if name == AUTHORIZATION {
             value.set_sensitive(true);
@@ -161,22 +161,25 @@
     head: &request::Parts,
     body: Incoming,
     limits: &Limits,
-) -> Result<Bytes, Unread> {
-    let announced = head.headers.get(CONTENT_LENGTH).and_then(|it| it.to_str().ok()?.parse().ok());
-    if announced.is_some_and(|it: usize| it > limits.body_bytes) {
-        return Err(Unread::TooLarge);
+) -> Result<Bytes, BodyError> {
+    let content_length =
+        head.headers.get(CONTENT_LENGTH).and_then(|it| it.to_str().ok()?.parse().ok());
+    if content_length.is_some_and(|it: usize| it > limits.body_bytes) {
+        return Err(BodyError::TooLarge);
     }
-    let whole = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(limits.idle_timeout, whole).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(Unread::TooLarge),
-        Ok(Err(_)) => Err(Unread::Malformed),
-        Err(_) => Err(Unread::TooSlow),
+    let collected = Limited::new(body, limits.body_bytes).collect();
+    match tokio::time::timeout(limits.idle_timeout, collected).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(BodyError::TooLarge)
+        }
+        Ok(Err(_)) => Err(BodyError::Malformed),
+        Err(_) => Err(BodyError::TooSlow),
     }
 }
 
 /// Gives the head of an engine's answer as the client gets it.
-fn pass_head(mut head: response::Parts) -> response::Parts {
+fn client_head(mut head: response::Parts) -> response::Parts {
     remove_hop_headers(&mut head.headers);
     head.version = http::Version::HTTP_11;
     head
@@ -184,14 +187,14 @@
 
 /// Removes the headers that concern one connection only, and those that it names.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let named_headers: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|it| it.to_str().ok())
         .flat_map(|it| it.split(','))
         .map(|it| it.trim().to_owned())
         .collect();
-    for name in named {
+    for name in named_headers {
         headers.remove(name.as_str());
     }
     for name in &HOP_HEADERS {
@@ -201,7 +204,7 @@
 }
 
 /// Makes an answer of the gateway's own.
-fn refused(refusal: Refusal) -> Response<AnswerBody> {
+fn refusal_response(refusal: Refusal) -> Response<AnswerBody> {
     match refusal {
         Refusal::NotRun(_, _, retry) => retry_status(StatusCode::SERVICE_UNAVAILABLE, retry),
         Refusal::OverLimit(_, retry) => retry_status(StatusCode::TOO_MANY_REQUESTS, retry),
--- a/crates/hollyspoke-server/src/handover.rs
+++ b/crates/hollyspoke-server/src/handover.rs
@@ -19,45 +19,45 @@
 
 /// How long a handover may take. A snapshot of 3,000 engines is some 300 kB, a third of a second on
 /// the slowest links of the users' sites.
-const WITHIN: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the question may take, which comes with the connection.
-const ASKED_WITHIN: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The most bytes of a snapshot; the store's own objects have at most 1 MB each.
-const LONGEST_SNAPSHOT: u64 = 16 << 20;
+const MAX_SNAPSHOT_BYTES: u64 = 16 << 20;
 
 /// The most handovers at once, so that many boxes that start together leave the link to requests.
-const MOST_AT_ONCE: usize = 4;
+const MAX_HANDOVER_COUNT: usize = 4;
 
 /// Hands snapshots over to boxes that ask, until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(MOST_AT_ONCE));
+    let slots = Arc::new(Semaphore::new(MAX_HANDOVER_COUNT));
     loop {
-        let Ok((stream, asker)) = listener.accept().await else { continue };
+        let Ok((stream, peer)) = listener.accept().await else { continue };
         // One that finds no place asks another box with its next heartbeat.
-        let Ok(place) = places.clone().try_acquire_owned() else { continue };
-        if !node.with(|it| it.knows_box(asker.ip())) {
-            warn!(node.log, "snapshot refused to a stranger"; "asker" => %asker);
+        let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
+        if !node.with(|it| it.knows_box(peer.ip())) {
+            warn!(node.log, "snapshot refused to a stranger"; "asker" => %peer);
             continue;
         }
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            hand_over(&node, stream).await;
-            drop(place);
+            send_snapshot(&node, stream).await;
+            drop(slot);
         });
     }
 }
 
 /// Hands over what a box lacks that asks.
-async fn hand_over(node: &Node, mut stream: TcpStream) {
-    let asked = match tokio::time::timeout(ASKED_WITHIN, read_question(&mut stream)).await {
-        Ok(Ok(asked)) => asked,
+async fn send_snapshot(node: &Node, mut stream: TcpStream) {
+    let received = match tokio::time::timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
+        Ok(Ok(received)) => received,
         Ok(Err(error)) => return info!(node.log, "question not read"; "error" => %error),
         Err(_) => return info!(node.log, "no question in time"),
     };
-    let snapshot = node.with(|it| it.snapshot(asked.question));
-    let bytes = match format::write_snapshot(&snapshot, asked.format) {
+    let snapshot = node.with(|it| it.snapshot(received.request));
+    let bytes = match format::write_snapshot(&snapshot, received.format) {
         Ok(bytes) => bytes,
         Err(error) => return warn!(node.log, "snapshot not written"; "error" => %error),
     };
@@ -65,23 +65,27 @@
         stream.write_all(&bytes).await?;
         stream.shutdown().await
     };
-    if !matches!(tokio::time::timeout(WITHIN, sending).await, Ok(Ok(()))) {
+    if !matches!(tokio::time::timeout(HANDOVER_TIMEOUT, sending).await, Ok(Ok(()))) {
         info!(node.log, "snapshot not taken whole"; "bytes" => bytes.len());
     }
 }
 
 /// Reads what the asking box knows.
-async fn read_question(stream: &mut TcpStream) -> eyre::Result<format::Asked> {
+async fn read_request(stream: &mut TcpStream) -> eyre::Result<format::ReceivedSnapshotRequest> {
     let length = usize::from(stream.read_u16().await?);
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes).await?;
-    format::read_question(&bytes)
+    format::read_request(&bytes)
 }
 
 /// Tells another box what this one knows.
-async fn ask(node: &Node, provider: SocketAddr, stream: &mut TcpStream) -> eyre::Result<()> {
-    let (question, reads) = node.with(|it| (it.snapshot_request(), it.format(provider)));
-    let bytes = format::write_question(&question, reads)?;
+async fn send_request(
+    node: &Node,
+    provider: SocketAddr,
+    stream: &mut TcpStream,
+) -> eyre::Result<()> {
+    let (request, format_of_peer) = node.with(|it| (it.snapshot_request(), it.format(provider)));
+    let bytes = format::write_request(&request, format_of_peer)?;
     stream.write_u16(u16::try_from(bytes.len())?).await?;
     stream.write_all(&bytes).await?;
     Ok(())
@@ -90,7 +94,7 @@
 /// Fetches a snapshot from another box and takes it to the reducer. If that fails, the reducer asks
 /// another box with its next heartbeat.
 pub async fn fetch(node: Rc<Node>, provider: SocketAddr) {
-    match tokio::time::timeout(WITHIN, receive(&node, provider)).await {
+    match tokio::time::timeout(HANDOVER_TIMEOUT, receive_snapshot(&node, provider)).await {
         Ok(Ok(snapshot)) => {
             let engines = engine_count(&snapshot);
             info!(node.log, "snapshot fetched"; "from" => %provider, "engines" => engines);
@@ -113,12 +117,12 @@
 }
 
 /// Reads a snapshot from another box, from the address by which that box knows this one.
-async fn receive(node: &Node, provider: SocketAddr) -> eyre::Result<Snapshot> {
+async fn receive_snapshot(node: &Node, provider: SocketAddr) -> eyre::Result<Snapshot> {
     let socket = if provider.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.bind(SocketAddr::new(node.peer_address()?.ip(), 0))?;
     let mut stream = socket.connect(provider).await?;
-    ask(node, provider, &mut stream).await?;
+    send_request(node, provider, &mut stream).await?;
     let mut bytes = Vec::new();
-    stream.take(LONGEST_SNAPSHOT).read_to_end(&mut bytes).await?;
+    stream.take(MAX_SNAPSHOT_BYTES).read_to_end(&mut bytes).await?;
     format::read_snapshot(&bytes)
 }
--- a/crates/hollyspoke-server/src/handover/format.rs
+++ b/crates/hollyspoke-server/src/handover/format.rs
@@ -13,15 +13,15 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::datagram::{DepartureField, MARK, filled};
+use crate::datagram::{DepartureField, EXTENDED_FORMAT_MARK, non_empty_list};
 
 /// The version that this box writes.
-const VERSION: u8 = 1;
+const EXTENDED_FORMAT_VERSION: u8 = 1;
 
 /// A question in the later format.
 #[derive(Debug, Encode, Decode)]
 #[cbor(map)]
-struct LaterQuestion {
+struct ExtendedRequest {
     /// The question in the first format.
     #[cbor(n(0), with = "minicbor::bytes")]
     first: Vec<u8>,
@@ -33,7 +33,7 @@
 /// A snapshot in the later format.
 #[derive(Debug, Encode, Decode)]
 #[cbor(map)]
-struct LaterSnapshot {
+struct ExtendedSnapshot {
     /// The snapshot in the first format.
     #[cbor(n(0), with = "minicbor::bytes")]
     first: Vec<u8>,
@@ -50,9 +50,9 @@
 
 /// A question, and the format in which it is to be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct ReceivedSnapshotRequest {
     /// The question.
-    pub question: SnapshotRequest,
+    pub request: SnapshotRequest,
     /// The format.
     pub format: Format,
 }
@@ -62,13 +62,13 @@
 /// # Errors
 ///
 /// If it can't be written.
-pub fn write_question(question: &SnapshotRequest, format: Format) -> eyre::Result<Vec<u8>> {
-    let first = write_first(question)?;
+pub fn write_request(request: &SnapshotRequest, format: Format) -> eyre::Result<Vec<u8>> {
+    let first = write_first(request)?;
     if format < Format::Handovers {
         return Ok(first);
     }
-    let engines_era = question.revision.map(|it| it.era).filter(|it| *it > 0);
-    write_later(&LaterQuestion { first, engines_era })
+    let engines_era = request.revision.map(|it| it.era).filter(|it| *it > 0);
+    write_extended(&ExtendedRequest { first, engines_era })
 }
 
 /// Reads a question.
@@ -76,15 +76,15 @@
 /// # Errors
 ///
 /// If it is in no format that is known.
-pub fn read_question(bytes: &[u8]) -> eyre::Result<Asked> {
-    let Some(fields) = later_fields(bytes)? else {
-        return Ok(Asked { question: read_first(bytes)?, format: Format::First });
+pub fn read_request(bytes: &[u8]) -> eyre::Result<ReceivedSnapshotRequest> {
+    let Some(fields) = extended_fields(bytes)? else {
+        return Ok(ReceivedSnapshotRequest { request: read_first(bytes)?, format: Format::First });
     };
-    let later: LaterQuestion = minicbor::decode(fields).wrap_err("a field can't be read")?;
-    let mut question: SnapshotRequest = read_first(&later.first)?;
-    let era = later.engines_era.unwrap_or_default();
-    question.revision = question.revision.map(|it| it.in_era(era));
-    Ok(Asked { question, format: Format::Handovers })
+    let extended: ExtendedRequest = minicbor::decode(fields).wrap_err("a field can't be read")?;
+    let mut request: SnapshotRequest = read_first(&extended.first)?;
+    let era = extended.engines_era.unwrap_or_default();
+    request.revision = request.revision.map(|it| it.in_era(era));
+    Ok(ReceivedSnapshotRequest { request, format: Format::Handovers })
 }
 
 /// Writes a snapshot in a format.
@@ -97,11 +97,11 @@
     if format < Format::Handovers {
         return Ok(first);
     }
-    let departures = filled(snapshot.departures.iter().map(DepartureField::of).collect());
-    let told = |era: u64| (era > 0).then_some(era);
-    let engines_era = snapshot.listing.as_ref().and_then(|it| told(it.revision().era));
-    let evacuation_era = told(snapshot.evacuation.revision.era);
-    write_later(&LaterSnapshot { first, departures, engines_era, evacuation_era })
+    let departures = non_empty_list(snapshot.departures.iter().map(DepartureField::of).collect());
+    let non_zero = |era: u64| (era > 0).then_some(era);
+    let engines_era = snapshot.listing.as_ref().and_then(|it| non_zero(it.revision().era));
+    let evacuation_era = non_zero(snapshot.evacuation.revision.era);
+    write_extended(&ExtendedSnapshot { first, departures, engines_era, evacuation_era })
 }
 
 /// Reads a snapshot.
@@ -110,27 +110,28 @@
 ///
 /// If it is in no format that is known.
 pub fn read_snapshot(bytes: &[u8]) -> eyre::Result<Snapshot> {
-    let Some(fields) = later_fields(bytes)? else { return read_first(bytes) };
-    let later: LaterSnapshot = minicbor::decode(fields).wrap_err("a field can't be read")?;
-    let mut snapshot: Snapshot = read_first(&later.first)?;
-    snapshot.departures = later.departures.iter().flatten().map(DepartureField::word).collect();
-    let engines_era = later.engines_era.unwrap_or_default();
+    let Some(fields) = extended_fields(bytes)? else { return read_first(bytes) };
+    let extended: ExtendedSnapshot = minicbor::decode(fields).wrap_err("a field can't be read")?;
+    let mut snapshot: Snapshot = read_first(&extended.first)?;
+    snapshot.departures =
+        extended.departures.iter().flatten().map(DepartureField::announcement).collect();
+    let engines_era = extended.engines_era.unwrap_or_default();
     snapshot.listing = snapshot.listing.map(|it| it.in_era(engines_era));
-    snapshot.evacuation.revision.era = later.evacuation_era.unwrap_or_default();
+    snapshot.evacuation.revision.era = extended.evacuation_era.unwrap_or_default();
     Ok(snapshot)
 }
 
 /// Gives the numbered fields, if the bytes are in the later format.
-fn later_fields(bytes: &[u8]) -> eyre::Result<Option<&[u8]>> {
-    let Some((&MARK, rest)) = bytes.split_first() else { return Ok(None) };
+fn extended_fields(bytes: &[u8]) -> eyre::Result<Option<&[u8]>> {
+    let Some((&EXTENDED_FORMAT_MARK, rest)) = bytes.split_first() else { return Ok(None) };
     let Some((&version, fields)) = rest.split_first() else { bail!("no version") };
-    ensure!(version >= VERSION, "no such version: {version}");
+    ensure!(version >= EXTENDED_FORMAT_VERSION, "no such version: {version}");
     Ok(Some(fields))
 }
 
 /// Writes numbered fields behind the mark and the version.
-fn write_later(fields: &impl Encode<()>) -> eyre::Result<Vec<u8>> {
-    let mut bytes = vec![MARK, VERSION];
+fn write_extended(fields: &impl Encode<()>) -> eyre::Result<Vec<u8>> {
+    let mut bytes = vec![EXTENDED_FORMAT_MARK, EXTENDED_FORMAT_VERSION];
     minicbor::encode(fields, &mut bytes).wrap_err("a field can't be written")?;
     Ok(bytes)
 }
--- a/crates/hollyspoke-server/src/head_clock.rs
+++ b/crates/hollyspoke-server/src/head_clock.rs
@@ -20,13 +20,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// No byte has come since the last request.
-    Resting,
+    Idle,
     /// A head is coming, since a time.
-    Head(Instant),
+    ReadingHead(Instant),
     /// A request is served.
     Serving {
         /// Whether bytes have come that are no part of it.
-        has_more: bool,
+        has_next_request: bool,
     },
 }
 
@@ -36,43 +36,43 @@
     /// The state.
     state: Cell<State>,
     /// Wakes whoever waits for the next head.
-    begun: Notify,
+    head_started: Notify,
 }
 
 impl HeadClock {
     /// Makes the clock of a new connection.
     pub fn new() -> Rc<HeadClock> {
-        Rc::new(HeadClock { state: Cell::new(State::Resting), begun: Notify::new() })
+        Rc::new(HeadClock { state: Cell::new(State::Idle), head_started: Notify::new() })
     }
 
     /// Notes that bytes have come.
-    fn read(&self) {
+    fn record_read(&self) {
         match self.state.get() {
-            State::Resting => self.begin(),
-            State::Head(_) => {}
-            State::Serving { .. } => self.state.set(State::Serving { has_more: true }),
+            State::Idle => self.start_head(),
+            State::ReadingHead(_) => {}
+            State::Serving { .. } => self.state.set(State::Serving { has_next_request: true }),
         }
     }
 
     /// Notes that a head begins.
-    fn begin(&self) {
-        self.state.set(State::Head(Instant::now()));
-        self.begun.notify_one();
+    fn start_head(&self) {
+        self.state.set(State::ReadingHead(Instant::now()));
+        self.head_started.notify_one();
     }
 
     /// Notes that a head is whole; the request is served until what is given is dropped.
-    pub fn serve(self: &Rc<HeadClock>) -> Serving {
-        self.state.set(State::Serving { has_more: false });
-        Serving(self.clone())
+    pub fn start_request(self: &Rc<HeadClock>) -> RequestGuard {
+        self.state.set(State::Serving { has_next_request: false });
+        RequestGuard(self.clone())
     }
 
     /// Waits until a head has been coming for longer than a time.
-    pub async fn overdue(&self, timeout: Duration) {
+    pub async fn wait_overdue(&self, timeout: Duration) {
         loop {
             match self.state.get() {
-                State::Head(since) if since.elapsed() >= timeout => return,
-                State::Head(since) => tokio::time::sleep_until(since + timeout).await,
-                State::Resting | State::Serving { .. } => self.begun.notified().await,
+                State::ReadingHead(since) if since.elapsed() >= timeout => return,
+                State::ReadingHead(since) => tokio::time::sleep_until(since + timeout).await,
+                State::Idle | State::Serving { .. } => self.head_started.notified().await,
             }
         }
     }
@@ -80,39 +80,39 @@
 
 /// A request is served while this exists.
 #[derive(Debug)]
-pub struct Serving(Rc<HeadClock>);
+pub struct RequestGuard(Rc<HeadClock>);
 
-impl Serving {
+impl RequestGuard {
     /// Notes that the request's body is whole: what has come so far was part of it.
-    pub fn body_read(&self) {
-        self.0.state.set(State::Serving { has_more: false });
+    pub fn finish_body(&self) {
+        self.0.state.set(State::Serving { has_next_request: false });
     }
 
     /// Binds it to the body of the answer.
-    pub fn with<B>(self, body: B) -> Served<B> {
-        Served { body, _serving: self }
+    pub fn attach<B>(self, body: B) -> GuardedBody<B> {
+        GuardedBody { body, _guard: self }
     }
 }
 
-impl Drop for Serving {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         match self.0.state.get() {
-            State::Serving { has_more: true } => self.0.begin(),
-            _ => self.0.state.set(State::Resting),
+            State::Serving { has_next_request: true } => self.0.start_head(),
+            _ => self.0.state.set(State::Idle),
         }
     }
 }
 
 /// The body of an answer; the request is served until it is dropped.
 #[derive(Debug)]
-pub struct Served<B> {
+pub struct GuardedBody<B> {
     /// The body.
     body: B,
     /// The request.
-    _serving: Serving,
+    _guard: RequestGuard,
 }
 
-impl<B: Body + Unpin> Body for Served<B> {
+impl<B: Body + Unpin> Body for GuardedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -134,21 +134,21 @@
 
 /// A client's connection whose clock sees what comes.
 #[derive(Debug)]
-pub struct Clocked {
+pub struct TimedStream {
     /// The connection.
     stream: TcpStream,
     /// The clock.
     clock: Rc<HeadClock>,
 }
 
-impl Clocked {
+impl TimedStream {
     /// Has a clock see what comes on a connection.
-    pub fn new(stream: TcpStream, clock: Rc<HeadClock>) -> Clocked {
-        Clocked { stream, clock }
+    pub fn new(stream: TcpStream, clock: Rc<HeadClock>) -> TimedStream {
+        TimedStream { stream, clock }
     }
 }
 
-impl AsyncRead for Clocked {
+impl AsyncRead for TimedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -157,13 +157,13 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.clock.read();
+            self.clock.record_read();
         }
         polled
     }
 }
 
-impl AsyncWrite for Clocked {
+impl AsyncWrite for TimedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/hollyspoke-server/src/http1.rs
+++ b/crates/hollyspoke-server/src/http1.rs
@@ -41,9 +41,9 @@
     /// # Errors
     ///
     /// [`Failure::Unsent`] if it does not open in time.
-    pub async fn open(address: SocketAddr, within: Duration) -> Result<Connection, Failure> {
-        let opening = tokio::time::timeout(within, TcpStream::connect(address)).await;
-        let Ok(Ok(stream)) = opening else { return Err(Failure::Unsent) };
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, Failure> {
+        let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
+        let Ok(Ok(stream)) = connected else { return Err(Failure::Unsent) };
         // Without it small requests wait; the connection works all the same.
         _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -75,7 +75,7 @@
 }
 
 /// Reads a whole body of at most some bytes; none if it is longer or breaks.
-pub async fn read_whole(body: Incoming, most: usize) -> Option<Bytes> {
-    let whole = Limited::new(body, most).collect().await;
-    whole.ok().map(http_body_util::Collected::to_bytes)
+pub async fn read_whole(body: Incoming, max_bytes: usize) -> Option<Bytes> {
+    let collected = Limited::new(body, max_bytes).collect().await;
+    collected.ok().map(http_body_util::Collected::to_bytes)
 }
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -13,7 +13,8 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
 /// The bounds of histograms of seconds.
-const SECONDS: [f64; 12] = [0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 6.0, 10.0, 15.0];
+const HISTOGRAM_BOUNDS_S: [f64; 12] =
+    [0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 6.0, 10.0, 15.0];
 
 /// A box's metrics.
 #[derive(Debug)]
@@ -21,7 +22,7 @@
     /// What Prometheus reads.
     exporter: Exporter,
     /// From a request's arrival to its end, by how it ended.
-    ended: Histogram<f64>,
+    request_duration: Histogram<f64>,
     /// Customers' requests, by customer and how they ended.
     customer_requests: Counter<u64>,
     /// Units of customers' limits that were taken, by customer.
@@ -29,39 +30,39 @@
     /// Calls to engines, by what they were asked to do.
     calls: Counter<u64>,
     /// Calls that failed, by how.
-    failures: Counter<u64>,
+    call_failures: Counter<u64>,
     /// Requests that were to be sent to one more engine, by service and whether they were.
-    repeats: Counter<u64>,
+    retries: Counter<u64>,
     /// Requests held back.
     held: Counter<u64>,
     /// Tokens of prompts that were sent to be read.
-    tokens: Counter<u64>,
+    prompt_tokens: Counter<u64>,
     /// The version of the configuration in force.
-    version: Gauge<u64>,
+    configuration_version: Gauge<u64>,
     /// Changes of engines.
     engines: Counter<u64>,
     /// Boxes that were first heard or fell silent.
-    peers: Counter<u64>,
+    peer_changes: Counter<u64>,
     /// The engines by stage when one was last to change.
-    split: Gauge<u64>,
+    engines_by_stage: Gauge<u64>,
     /// The demand that the last change was decided on.
     demand: Gauge<u64>,
     /// Changes of engines' stages that this box decided.
-    switches: Counter<u64>,
+    stage_changes: Counter<u64>,
     /// Orders to engines, by what became of them.
     orders: Counter<u64>,
     /// Whether this box holds the lease for orders.
-    lease: Gauge<u64>,
+    order_lease: Gauge<u64>,
     /// Whether a data centre is evacuated.
     evacuated: Gauge<u64>,
     /// What engines in need take, in thousandths of a request a second.
-    limits: Gauge<u64>,
+    engine_limits: Gauge<u64>,
     /// How often the store has come back from an older copy.
-    era: Gauge<u64>,
+    store_era: Gauge<u64>,
     /// Whether an engine is about to leave.
-    leaving: Gauge<u64>,
+    engines_leaving: Gauge<u64>,
     /// Whether an engine wants nothing from this box for a time.
-    resting: Gauge<u64>,
+    engines_backing_off: Gauge<u64>,
 }
 
 impl Metrics {
@@ -72,13 +73,17 @@
     /// If the exporter can't be set up.
     pub fn new() -> eyre::Result<Metrics> {
         let exporter = Exporter::new()?;
-        let ended = "from a request's arrival to its end, by how it ended";
-        let version = "the version of the configuration in force";
+        let request_duration = "from a request's arrival to its end, by how it ended";
+        let configuration_version = "the version of the configuration in force";
         let count = |name, what| exporter.counter(name, what);
         let gauge = |name, what| exporter.gauge(name, what);
         Ok(Metrics {
-            ended: exporter.seconds("hollyspoke_request", ended, &SECONDS),
-            version: gauge("hollyspoke_configuration_version", version),
+            request_duration: exporter.seconds(
+                "hollyspoke_request",
+                request_duration,
+                &HISTOGRAM_BOUNDS_S,
+            ),
+            configuration_version: gauge("hollyspoke_configuration_version", configuration_version),
             customer_requests: count(
                 "hollyspoke_customer_requests",
                 "customers' requests, by customer and how they ended",
@@ -88,35 +93,44 @@
                 "units of customers' limits that were taken, by customer",
             ),
             calls: count("hollyspoke_calls", "calls to engines, by task"),
-            failures: count("hollyspoke_call_failures", "failed calls, by how"),
-            repeats: count("hollyspoke_repeats", "repeats wanted, by service and whether sent"),
+            call_failures: count("hollyspoke_call_failures", "failed calls, by how"),
+            retries: count("hollyspoke_repeats", "repeats wanted, by service and whether sent"),
             held: count("hollyspoke_held_requests", "requests held back since engines crashed"),
-            tokens: count("hollyspoke_prompt_tokens", "tokens of prompts sent to be read"),
+            prompt_tokens: count("hollyspoke_prompt_tokens", "tokens of prompts sent to be read"),
             engines: count("hollyspoke_engine_changes", "engines that changed or left"),
-            split: gauge("hollyspoke_engines", "engines by stage at the last change"),
+            engines_by_stage: gauge("hollyspoke_engines", "engines by stage at the last change"),
             demand: gauge("hollyspoke_demand", "tokens a second read, and tokens held, then"),
-            switches: count("hollyspoke_stage_changes", "changes of stage decided"),
+            stage_changes: count("hollyspoke_stage_changes", "changes of stage decided"),
             orders: count("hollyspoke_orders", "orders to engines, by what became of them"),
-            lease: gauge("hollyspoke_order_lease", "whether this box holds the lease for orders"),
+            order_lease: gauge(
+                "hollyspoke_order_lease",
+                "whether this box holds the lease for orders",
+            ),
             evacuated: gauge("hollyspoke_evacuated", "whether a data centre is evacuated"),
-            limits: gauge(
+            engine_limits: gauge(
                 "hollyspoke_engine_limit_milli",
                 "thousandths of a request a second that an engine takes from all boxes; 0: no limit",
             ),
-            era: gauge("hollyspoke_store_era", "how often the store came back from an older copy"),
-            leaving: gauge("hollyspoke_engine_leaving", "whether an engine is about to leave"),
-            resting: gauge(
+            store_era: gauge(
+                "hollyspoke_store_era",
+                "how often the store came back from an older copy",
+            ),
+            engines_leaving: gauge(
+                "hollyspoke_engine_leaving",
+                "whether an engine is about to leave",
+            ),
+            engines_backing_off: gauge(
                 "hollyspoke_engine_resting",
                 "whether an engine wants nothing from this box for a time",
             ),
-            peers: count("hollyspoke_peer_changes", "boxes first heard or fallen silent"),
+            peer_changes: count("hollyspoke_peer_changes", "boxes first heard or fallen silent"),
             exporter,
         })
     }
 
     /// Counts one decision.
-    pub fn record(&self, note: &LogEvent) {
-        match note {
+    pub fn record(&self, event: &LogEvent) {
+        match event {
             LogEvent::Ended { customer, units, outcome, after, .. } => {
                 self.record_end(outcome, *after);
                 if let Some(customer) = customer {
@@ -126,39 +140,43 @@
             LogEvent::Sent { task, tokens, .. } => {
                 self.calls.add(1, &[KeyValue::new("task", *task)]);
                 if matches!(*task, "read" | "read and generate") {
-                    self.tokens.add(*tokens, &[]);
+                    self.prompt_tokens.add(*tokens, &[]);
                 }
             }
             LogEvent::Retry { service, is_sent, .. } => {
                 let service = KeyValue::new("service", service.clone());
-                self.repeats.add(1, &[service, KeyValue::new("sent", *is_sent)]);
+                self.retries.add(1, &[service, KeyValue::new("sent", *is_sent)]);
             }
             LogEvent::Failed { outcome, .. } => {
-                self.failures.add(1, &[KeyValue::new("how", *outcome)])
+                self.call_failures.add(1, &[KeyValue::new("how", *outcome)])
+            }
+            LogEvent::Configured { version, .. } => {
+                self.configuration_version.record(*version, &[])
             }
-            LogEvent::Configured { version, .. } => self.version.record(*version, &[]),
             LogEvent::Engine { .. } | LogEvent::EngineRemoved { .. } => self.engines.add(1, &[]),
             LogEvent::ManyEngines { put, left } => self.engines.add((put + left) as u64, &[]),
             LogEvent::Peers { heard, silent, .. } => {
-                self.peers.add(heard.len() as u64, &[KeyValue::new("alive", true)]);
-                self.peers.add(silent.len() as u64, &[KeyValue::new("alive", false)]);
+                self.peer_changes.add(heard.len() as u64, &[KeyValue::new("alive", true)]);
+                self.peer_changes.add(silent.len() as u64, &[KeyValue::new("alive", false)]);
             }
             LogEvent::Switch { stage, engines, demand, .. } => {
-                self.split.record(u64::from(engines.prefill), &[KeyValue::new("stage", "reads")]);
-                let generators = u64::from(engines.decode);
-                self.split.record(generators, &[KeyValue::new("stage", "generates")]);
+                self.engines_by_stage
+                    .record(u64::from(engines.prefill), &[KeyValue::new("stage", "reads")]);
+                let decode_engines = u64::from(engines.decode);
+                self.engines_by_stage
+                    .record(decode_engines, &[KeyValue::new("stage", "generates")]);
                 self.demand.record(
                     u64::from(demand.prefill_tokens_per_s),
                     &[KeyValue::new("of", "reading")],
                 );
                 self.demand.record(u64::from(demand.held_tokens), &[KeyValue::new("of", "memory")]);
                 let to = if *stage == Stage::Prefill { "reads" } else { "generates" };
-                self.switches.add(1, &[KeyValue::new("to", to)]);
+                self.stage_changes.add(1, &[KeyValue::new("to", to)]);
             }
             LogEvent::OrderEnded { outcome, .. } => {
                 self.orders.add(1, &[KeyValue::new("how", *outcome)])
             }
-            LogEvent::Lease(token) => self.lease.record(u64::from(token.is_some()), &[]),
+            LogEvent::Lease(token) => self.order_lease.record(u64::from(token.is_some()), &[]),
             LogEvent::Quarantined { .. } => self.held.add(1, &[]),
             LogEvent::Evacuated { data_centre, is_lifted } => {
                 let data_centre = KeyValue::new("data_centre", data_centre.clone());
@@ -166,13 +184,15 @@
             }
             LogEvent::Limited { id, change, .. } => self.record_limit(id, change),
             LogEvent::StoreReturned { era, .. } => self.record_era(*era),
-            LogEvent::ShuttingDown { id, .. } => self.leaving.record(1, &[engine(id)]),
-            LogEvent::ShutDown { id, .. } => self.leaving.record(0, &[engine(id)]),
+            LogEvent::ShuttingDown { id, .. } => {
+                self.engines_leaving.record(1, &[engine_label(id)])
+            }
+            LogEvent::ShutDown { id, .. } => self.engines_leaving.record(0, &[engine_label(id)]),
             LogEvent::BackOff { id, change: back_off::Change::Begun(_) } => {
-                self.resting.record(1, &[engine(id)]);
+                self.engines_backing_off.record(1, &[engine_label(id)]);
             }
             LogEvent::BackOff { id, change: back_off::Change::Ended(_) } => {
-                self.resting.record(0, &[engine(id)]);
+                self.engines_backing_off.record(0, &[engine_label(id)]);
             }
             LogEvent::BackOff { change: back_off::Change::Unreadable, .. } => {}
             LogEvent::Ordered { .. } | LogEvent::Census { .. } | LogEvent::CasesRead { .. } => {}
@@ -186,8 +206,8 @@
     }
 
     /// Takes the newest era of the store.
-    pub fn record_era(&self, era: u64) {
-        self.era.record(era, &[]);
+    pub fn record_era(&self, store_era: u64) {
+        self.store_era.record(store_era, &[]);
     }
 
     /// Writes all metrics in Prometheus' text form.
@@ -198,36 +218,38 @@
     /// Takes what an engine takes now.
     fn record_limit(&self, id: &Arc<str>, change: &Change) {
         match change {
-            Change::Named(_, rate) => self.limits.record((rate * 1e3) as u64, &[engine(id)]),
-            Change::Lifted => self.limits.record(0, &[engine(id)]),
+            Change::Named(_, rate) => {
+                self.engine_limits.record((rate * 1e3) as u64, &[engine_label(id)])
+            }
+            Change::Lifted => self.engine_limits.record(0, &[engine_label(id)]),
             Change::Unreadable => {}
         }
     }
 
     /// Counts a customer's request.
-    fn record_customer(&self, customer: &Arc<str>, units: u64, how: &'static str) {
+    fn record_customer(&self, customer: &Arc<str>, units: u64, outcome: &'static str) {
         let customer = KeyValue::new("customer", customer.clone());
         self.customer_units.add(units, std::slice::from_ref(&customer));
-        self.customer_requests.add(1, &[customer, KeyValue::new("how", outcome(how))]);
+        self.customer_requests.add(1, &[customer, KeyValue::new("how", outcome_label(outcome))]);
     }
 
     /// Counts a request's end.
-    fn record_end(&self, how: &'static str, after: Duration) {
-        self.ended.record(after.as_secs_f64(), &[KeyValue::new("how", how)]);
+    fn record_end(&self, outcome: &'static str, after: Duration) {
+        self.request_duration.record(after.as_secs_f64(), &[KeyValue::new("how", outcome)]);
     }
 }
 
 /// Names an engine.
-fn engine(id: &Arc<str>) -> KeyValue {
+fn engine_label(id: &Arc<str>) -> KeyValue {
     KeyValue::new("engine", id.clone())
 }
 
 /// Gives how a request ended in few words, since there is a series for each customer and word.
-fn outcome(how: &'static str) -> &'static str {
-    match how {
+fn outcome_label(outcome: &'static str) -> &'static str {
+    match outcome {
         "answered" | "whole" => "served",
-        "over limit" | "client left" => how,
-        _ if how.starts_with("refused") => "refused",
+        "over limit" | "client left" => outcome,
+        _ if outcome.starts_with("refused") => "refused",
         _ => "failed",
     }
 }
--- a/crates/hollyspoke-server/src/node.rs
+++ b/crates/hollyspoke-server/src/node.rs
@@ -31,7 +31,7 @@
 use crate::peers::Peers;
 
 /// The events of a stream that may wait for a client that reads slowly.
-const WAITING_PIECES: usize = 16;
+const MAX_QUEUED_CHUNK_COUNT: usize = 16;
 
 /// What a client is given.
 #[derive(Debug)]
@@ -55,20 +55,20 @@
 
 /// Where a request's answer goes.
 #[derive(Debug)]
-struct Outlet {
+struct ResponseChannel {
     /// The request.
     request: ReceivedRequest,
     /// Where the head of the answer goes, until it is given.
     head: Option<oneshot::Sender<ClientAnswer>>,
     /// Where a stream's events go, once it has begun.
-    pieces: Option<mpsc::Sender<Bytes>>,
+    chunks: Option<mpsc::Sender<Bytes>>,
     /// Set if the stream ends unfinished.
     is_broken: Rc<Cell<bool>>,
 }
 
 /// An engine's answer that waits for the reducer's decision.
 #[derive(Debug)]
-struct Waiting {
+struct PendingAnswer {
     /// The head.
     head: response::Parts,
     /// The body, if it came whole.
@@ -93,40 +93,40 @@
     /// Where the store listens.
     pub store: SocketAddr,
     /// What makes calls to engines and to the store.
-    upstream: Upstream,
+    upstream_client: UpstreamClient,
     /// Where answers go.
-    outlets: RefCell<HashMap<RequestKey, Outlet>>,
+    response_channels: RefCell<HashMap<RequestKey, ResponseChannel>>,
     /// The tasks of calls.
     calls: RefCell<HashMap<CallKey, AbortHandle>>,
     /// Answers that wait for a decision.
-    waiting: RefCell<HashMap<CallKey, Waiting>>,
+    pending_answers: RefCell<HashMap<CallKey, PendingAnswer>>,
     /// The number of the next request.
-    next_flight: Cell<u64>,
+    next_request_key: Cell<u64>,
     /// Whether the store's changes are followed.
-    follows: Cell<bool>,
+    watches_store: Cell<bool>,
     /// Wakes the follower of the configuration.
-    configuration_wanted: Notify,
+    configuration_wakeup: Notify,
     /// Wakes the follower of engines.
-    engines_wanted: Notify,
+    engines_wakeup: Notify,
     /// Wakes the follower of evacuations.
-    evacuations_wanted: Notify,
+    evacuations_wakeup: Notify,
     /// When the timer ticks next.
-    ticks_at: Cell<Instant>,
+    next_tick: Cell<Instant>,
     /// Wakes the timer after an event that needs an earlier tick.
-    pub woken: Notify,
+    pub timer_wakeup: Notify,
 }
 
 /// What makes calls to engines, to other boxes and to the store.
 #[derive(Debug, Clone, Copy)]
-pub struct Upstream {
+pub struct UpstreamClient {
     /// Starts the task of a call.
     pub call: fn(Rc<Node>, Send, ReceivedRequest) -> AbortHandle,
     /// Starts the freeing of a prompt.
-    pub free: fn(Rc<Node>, Source),
+    pub free_prompt: fn(Rc<Node>, Source),
     /// Starts asking an engine which parts of prompts it keeps.
-    pub survey: fn(Rc<Node>, Arc<Engine>),
+    pub query_cached_prompts: fn(Rc<Node>, Arc<Engine>),
     /// Starts asking an engine how many orders it has taken.
-    pub inspect: fn(Rc<Node>, Arc<Engine>),
+    pub query_order_count: fn(Rc<Node>, Arc<Engine>),
     /// Starts asking an engine whether it lives.
     pub probe: fn(Rc<Node>, Arc<Engine>),
     /// Starts an order to an engine.
@@ -149,7 +149,7 @@
         log: Logger,
         peers: Peers,
         store: SocketAddr,
-        upstream: Upstream,
+        upstream_client: UpstreamClient,
     ) -> eyre::Result<Rc<Node>> {
         Ok(Rc::new(Node {
             metrics: Metrics::new()?,
@@ -159,17 +159,17 @@
             clock: Clock::default(),
             peers,
             store,
-            upstream,
-            outlets: RefCell::default(),
+            upstream_client,
+            response_channels: RefCell::default(),
             calls: RefCell::default(),
-            waiting: RefCell::default(),
-            next_flight: Cell::new(0),
-            follows: Cell::new(false),
-            configuration_wanted: Notify::new(),
-            engines_wanted: Notify::new(),
-            evacuations_wanted: Notify::new(),
-            ticks_at: Cell::new(Instant::now()),
-            woken: Notify::new(),
+            pending_answers: RefCell::default(),
+            next_request_key: Cell::new(0),
+            watches_store: Cell::new(false),
+            configuration_wakeup: Notify::new(),
+            engines_wakeup: Notify::new(),
+            evacuations_wakeup: Notify::new(),
+            next_tick: Cell::new(Instant::now()),
+            timer_wakeup: Notify::new(),
         }))
     }
 
@@ -184,9 +184,9 @@
     }
 
     /// Gives the time of the next tick, which the timer waits for unless it is woken.
-    pub fn arm(&self) -> Instant {
+    pub fn schedule_tick(&self) -> Instant {
         let due = self.next_due();
-        self.ticks_at.set(due);
+        self.next_tick.set(due);
         due
     }
 
@@ -197,77 +197,78 @@
 
     /// Takes an event to the reducer and carries out the effects.
     pub fn dispatch(self: &Rc<Node>, event: Event) {
-        self.notice_suspension();
+        self.detect_suspension();
         self.step(event);
     }
 
     /// Tells the reducer if the machine was suspended since the last event.
-    pub fn notice_suspension(self: &Rc<Node>) {
-        if let Some(span) = self.clock.look() {
-            self.suspended(span);
+    pub fn detect_suspension(self: &Rc<Node>) {
+        if let Some(duration) = self.clock.look() {
+            self.handle_suspension(duration);
         }
     }
 
     /// Tells the reducer that the machine was suspended for a time.
-    pub fn suspended(self: &Rc<Node>, span: Duration) {
-        self.clock.add(span);
-        self.step(Event::Suspended(span));
+    pub fn handle_suspension(self: &Rc<Node>, duration: Duration) {
+        self.clock.add(duration);
+        self.step(Event::Suspended(duration));
     }
 
     /// Has the reducer take an event, and carries out the effects.
     fn step(self: &Rc<Node>, event: Event) {
         let effects = self.gateway.borrow_mut().step(self.now(), event);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
-        if self.next_due() < self.ticks_at.get() {
-            self.woken.notify_one();
+        if self.next_due() < self.next_tick.get() {
+            self.timer_wakeup.notify_one();
         }
     }
 
     /// Takes up a request; its answer comes through the receiver. Dropping the hook before the
     /// answer's end tells that the client has left.
-    pub fn begin(
+    pub fn start_request(
         self: &Rc<Node>,
         request: ReceivedRequest,
     ) -> (DropHook, oneshot::Receiver<ClientAnswer>) {
-        let flight = RequestKey(self.next_flight.get());
-        self.next_flight.set(flight.0 + 1);
+        let request_key = RequestKey(self.next_request_key.get());
+        self.next_request_key.set(request_key.0 + 1);
         let (sender, receiver) = oneshot::channel();
-        let mut read = (self.dialect.read_request)(&request.head, request.body.len());
-        read.content = content(&request, &read.host);
-        let outlet = Outlet { request, head: Some(sender), pieces: None, is_broken: Rc::default() };
-        self.outlets.borrow_mut().insert(flight, outlet);
+        let mut parsed = (self.dialect.read_request)(&request.head, request.body.len());
+        parsed.content = digest_content(&request, &parsed.host);
+        let channel =
+            ResponseChannel { request, head: Some(sender), chunks: None, is_broken: Rc::default() };
+        self.response_channels.borrow_mut().insert(request_key, channel);
         let node = self.clone();
-        let hook = DropHook::new(move || node.client_left(flight));
-        self.dispatch(Event::Arrived(flight, read));
+        let hook = DropHook::new(move || node.handle_disconnect(request_key));
+        self.dispatch(Event::Arrived(request_key, parsed));
         (hook, receiver)
     }
 
     /// Notes that nobody waits for a request's answer any more.
-    fn client_left(self: &Rc<Node>, flight: RequestKey) {
-        self.dispatch(Event::ClientDisconnected(flight));
-        self.outlets.borrow_mut().remove(&flight);
+    fn handle_disconnect(self: &Rc<Node>, request_key: RequestKey) {
+        self.dispatch(Event::ClientDisconnected(request_key));
+        self.response_channels.borrow_mut().remove(&request_key);
     }
 
     /// Keeps an engine's answer until the reducer decides on it with the event that follows.
-    pub fn keep(&self, call: CallKey, head: response::Parts, body: Option<Bytes>) {
-        self.waiting.borrow_mut().insert(call, Waiting { head, body });
+    pub fn hold_answer(&self, call: CallKey, head: response::Parts, body: Option<Bytes>) {
+        self.pending_answers.borrow_mut().insert(call, PendingAnswer { head, body });
     }
 
     /// Drops an answer that the reducer had no use for.
-    pub fn drop_kept(&self, call: CallKey) {
-        self.waiting.borrow_mut().remove(&call);
+    pub fn drop_answer(&self, call: CallKey) {
+        self.pending_answers.borrow_mut().remove(&call);
     }
 
     /// Notes that a call's task has ended.
-    pub fn call_ended(&self, call: CallKey) {
+    pub fn remove_call(&self, call: CallKey) {
         self.calls.borrow_mut().remove(&call);
     }
 
     /// Gives where a stream's events go.
-    pub fn pieces(&self, flight: RequestKey) -> Option<mpsc::Sender<Bytes>> {
-        self.outlets.borrow().get(&flight)?.pieces.clone()
+    pub fn chunk_sender(&self, request_key: RequestKey) -> Option<mpsc::Sender<Bytes>> {
+        self.response_channels.borrow().get(&request_key)?.chunks.clone()
     }
 
     /// Gives where other boxes reach this one.
@@ -280,27 +281,27 @@
     }
 
     /// Tells whether the store's changes are followed.
-    pub fn follows(&self) -> bool {
-        self.follows.get()
+    pub fn watches_store(&self) -> bool {
+        self.watches_store.get()
     }
 
     /// Gives what wakes the follower of a kind.
-    pub fn wanted(&self, kind: Kind) -> &Notify {
+    pub fn wakeup(&self, kind: Kind) -> &Notify {
         match kind {
-            Kind::Configuration => &self.configuration_wanted,
-            Kind::Engines => &self.engines_wanted,
-            Kind::Evacuations => &self.evacuations_wanted,
+            Kind::Configuration => &self.configuration_wakeup,
+            Kind::Engines => &self.engines_wakeup,
+            Kind::Evacuations => &self.evacuations_wakeup,
         }
     }
 
     /// Takes the era that an answer of the store tells; no header stands for the first era. Gives it
     /// unless it is past: such an answer says nothing of what the store holds now.
-    pub fn enter_era(self: &Rc<Node>, headers: &HeaderMap) -> Option<u64> {
-        let told = (self.dialect.read_era)(headers);
-        if let Some(era) = told {
+    pub fn handle_store_era(self: &Rc<Node>, headers: &HeaderMap) -> Option<u64> {
+        let announced = (self.dialect.read_era)(headers);
+        if let Some(era) = announced {
             self.dispatch(Event::StoreEra(era));
         }
-        let era = told.unwrap_or(0);
+        let era = announced.unwrap_or(0);
         let newest = self.with(|it| it.store_era());
         self.metrics.record_era(newest);
         if era < newest {
@@ -311,34 +312,38 @@
     }
 
     /// Carries out one effect.
-    fn carry_out(self: &Rc<Node>, effect: Effect) {
+    fn apply_effect(self: &Rc<Node>, effect: Effect) {
         match effect {
             Effect::Send(send) => self.send(send),
             Effect::Cancel(call) => self.cancel(call),
-            Effect::Deliver(flight, call) => self.deliver(flight, call),
-            Effect::Resume(_, call) => self.drop_kept(call),
-            Effect::Refuse(flight, refusal) => self.refuse(flight, refusal),
-            Effect::Abort(flight) => self.close(flight, true),
-            Effect::Finish(flight) => self.close(flight, false),
+            Effect::Deliver(request_key, call) => self.deliver(request_key, call),
+            Effect::Resume(_, call) => self.drop_answer(call),
+            Effect::Refuse(request_key, refusal) => self.refuse(request_key, refusal),
+            Effect::Abort(request_key) => self.close(request_key, true),
+            Effect::Finish(request_key) => self.close(request_key, false),
             Effect::Free(source) => {
-                (self.upstream.free)(self.clone(), source);
+                (self.upstream_client.free_prompt)(self.clone(), source);
             }
-            Effect::QueryCachedPrompts(engine) => (self.upstream.survey)(self.clone(), engine),
-            Effect::QueryOrderCount(engine) => (self.upstream.inspect)(self.clone(), engine),
-            Effect::Probe(engine) => (self.upstream.probe)(self.clone(), engine),
-            Effect::Order(order) => (self.upstream.order)(self.clone(), order),
+            Effect::QueryCachedPrompts(engine) => {
+                (self.upstream_client.query_cached_prompts)(self.clone(), engine)
+            }
+            Effect::QueryOrderCount(engine) => {
+                (self.upstream_client.query_order_count)(self.clone(), engine)
+            }
+            Effect::Probe(engine) => (self.upstream_client.probe)(self.clone(), engine),
+            Effect::Order(order) => (self.upstream_client.order)(self.clone(), order),
             Effect::Store(number, operation) => {
-                (self.upstream.store)(self.clone(), number, operation);
+                (self.upstream_client.store)(self.clone(), number, operation);
             }
-            Effect::WatchStore(follows) => {
-                self.follows.set(follows);
-                self.configuration_wanted.notify_one();
-                self.engines_wanted.notify_one();
-                self.evacuations_wanted.notify_one();
+            Effect::WatchStore(watches_store) => {
+                self.watches_store.set(watches_store);
+                self.configuration_wakeup.notify_one();
+                self.engines_wakeup.notify_one();
+                self.evacuations_wakeup.notify_one();
             }
-            Effect::Read(kind) => self.wanted(kind).notify_one(),
-            Effect::Fetch(provider) => (self.upstream.fetch)(self.clone(), provider),
-            Effect::Announce(nodes, message) => self.tell(nodes, &message),
+            Effect::Read(kind) => self.wakeup(kind).notify_one(),
+            Effect::Fetch(provider) => (self.upstream_client.fetch)(self.clone(), provider),
+            Effect::Announce(nodes, message) => self.announce(nodes, &message),
             Effect::Log(note) => {
                 self.metrics.record(&note);
                 notes::write(&self.log, &note);
@@ -347,24 +352,27 @@
     }
 
     /// Sends a datagram to boxes, each in the format that it can read.
-    fn tell(&self, nodes: Vec<SocketAddr>, message: &Message) {
+    fn announce(&self, nodes: Vec<SocketAddr>, message: &Message) {
         if !message.is_extended() {
-            return self.peers.tell(&nodes, message, Format::First);
+            return self.peers.send(&nodes, message, Format::First);
         }
-        let reads_later =
+        let reads_extended =
             |it: &SocketAddr| self.with(|gateway| gateway.format(*it)) > Format::First;
-        let (later, first): (Vec<_>, Vec<_>) = nodes.into_iter().partition(reads_later);
-        self.peers.tell(&later, message, Format::Permits);
-        self.peers.tell(&first, message, Format::First);
+        let (extended, first): (Vec<_>, Vec<_>) = nodes.into_iter().partition(reads_extended);
+        self.peers.send(&extended, message, Format::Permits);
+        self.peers.send(&first, message, Format::First);
     }
 
     /// Starts a call.
     fn send(self: &Rc<Node>, send: Send) {
-        let outlets = self.outlets.borrow();
-        let Some(request) = outlets.get(&send.request).map(|it| it.request.clone()) else { return };
-        drop(outlets);
+        let response_channels = self.response_channels.borrow();
+        let Some(request) = response_channels.get(&send.request).map(|it| it.request.clone())
+        else {
+            return;
+        };
+        drop(response_channels);
         let call = send.call;
-        let task = (self.upstream.call)(self.clone(), send, request);
+        let task = (self.upstream_client.call)(self.clone(), send, request);
         self.calls.borrow_mut().insert(call, task);
     }
 
@@ -374,22 +382,22 @@
         if let Some(task) = task {
             task.abort();
         }
-        self.drop_kept(call);
+        self.drop_answer(call);
     }
 
     /// Gives the client an engine's answer.
-    fn deliver(&self, flight: RequestKey, call: CallKey) {
-        let Some(kept) = self.waiting.borrow_mut().remove(&call) else { return };
-        let mut outlets = self.outlets.borrow_mut();
-        let Some(outlet) = outlets.get_mut(&flight) else { return };
-        let Some(sender) = outlet.head.take() else { return };
-        let answer = match kept.body {
-            Some(body) => ClientAnswer::Whole(kept.head, body),
+    fn deliver(&self, request_key: RequestKey, call: CallKey) {
+        let Some(pending) = self.pending_answers.borrow_mut().remove(&call) else { return };
+        let mut response_channels = self.response_channels.borrow_mut();
+        let Some(channel) = response_channels.get_mut(&request_key) else { return };
+        let Some(sender) = channel.head.take() else { return };
+        let answer = match pending.body {
+            Some(body) => ClientAnswer::Whole(pending.head, body),
             None => {
-                let (pieces, receiver) = mpsc::channel(WAITING_PIECES);
-                outlet.pieces = Some(pieces);
-                let is_broken = outlet.is_broken.clone();
-                ClientAnswer::Stream(kept.head, Stream { pieces: receiver, is_broken })
+                let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNK_COUNT);
+                channel.chunks = Some(chunks);
+                let is_broken = channel.is_broken.clone();
+                ClientAnswer::Stream(pending.head, Stream { chunks: receiver, is_broken })
             }
         };
         // An error says that the client has left, which its guard tells.
@@ -397,8 +405,9 @@
     }
 
     /// Gives the client an answer of the gateway's own.
-    fn refuse(&self, flight: RequestKey, refusal: Refusal) {
-        let sender = self.outlets.borrow_mut().get_mut(&flight).and_then(|it| it.head.take());
+    fn refuse(&self, request_key: RequestKey, refusal: Refusal) {
+        let sender =
+            self.response_channels.borrow_mut().get_mut(&request_key).and_then(|it| it.head.take());
         if let Some(sender) = sender {
             // An error says that the client has left, which its guard tells.
             _ = sender.send(ClientAnswer::Refused(refusal));
@@ -406,16 +415,16 @@
     }
 
     /// Ends a stream, whole or broken off.
-    fn close(&self, flight: RequestKey, is_broken: bool) {
-        if let Some(outlet) = self.outlets.borrow_mut().get_mut(&flight) {
-            outlet.is_broken.set(is_broken);
-            outlet.pieces = None;
+    fn close(&self, request_key: RequestKey, is_broken: bool) {
+        if let Some(channel) = self.response_channels.borrow_mut().get_mut(&request_key) {
+            channel.is_broken.set(is_broken);
+            channel.chunks = None;
         }
     }
 }
 
 /// Digests what a request asks for, in place.
-fn content(request: &ReceivedRequest, host: &str) -> Content {
+fn digest_content(request: &ReceivedRequest, host: &str) -> Content {
     let ReceivedRequest { head, body } = request;
     let target = head.uri.path_and_query().map_or("", |it| it.as_str());
     Content::of(head.method.as_str(), host, target, body)
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -46,7 +46,7 @@
         }
         LogEvent::ShutDown { id, end, age } => info!(log, "engine has left";
             "engine" => %id, "how" => end_name(*end), "age_ms" => millis(age)),
-        LogEvent::BackOff { id, change } => write_rest(log, id, change),
+        LogEvent::BackOff { id, change } => write_back_off(log, id, change),
         LogEvent::Sent { request, engine, task, source, expected, tokens, held, before } => {
             info!(log, "call sent";
             "request" => %request, "engine" => %engine, "task" => task,
@@ -77,14 +77,14 @@
         LogEvent::Ended { request, customer, units, exclusions, outcome, after } => {
             info!(log, "request ended";
             "request" => %request, "customer" => customer.as_deref(), "units" => units,
-            "limited" => kept_by(exclusions, Restriction::RateLimit),
-            "leaving" => kept_by(exclusions, Restriction::Leaving),
-            "resting" => kept_by(exclusions, Restriction::BackOff),
+            "limited" => excluded_engines(exclusions, Restriction::RateLimit),
+            "leaving" => excluded_engines(exclusions, Restriction::Leaving),
+            "resting" => excluded_engines(exclusions, Restriction::BackOff),
             "how" => outcome, "after_ms" => millis(after))
         }
         LogEvent::Peers { heard, silent, alive } => info!(log, "peers changed";
             "heard" => heard.len(), "silent" => silent.len(), "alive" => alive,
-            "heard_first" => some(heard), "silent_first" => some(silent)),
+            "heard_first" => first_addresses(heard), "silent_first" => first_addresses(silent)),
         LogEvent::Quarantined { signature, about, engines, until } => {
             warn!(log, "request held back";
             "signature" => signature.short(),
@@ -95,7 +95,9 @@
         LogEvent::Released { signature, outcome } => info!(log, "request released";
             "signature" => signature.short(), "how" => outcome),
         LogEvent::CasesRead { cases } => info!(log, "held requests in the store"; "cases" => cases),
-        LogEvent::Suspended(span) => warn!(log, "machine was suspended"; "span_ms" => millis(span)),
+        LogEvent::Suspended(duration) => {
+            warn!(log, "machine was suspended"; "span_ms" => millis(duration))
+        }
         LogEvent::Census { boxes, is_written } => info!(log, "boxes in the store";
             "boxes" => boxes, "written" => is_written),
         LogEvent::ManyEngines { put, left } => info!(log, "engines changed";
@@ -119,18 +121,18 @@
 /// Writes a line on what an engine takes.
 fn write_limit(log: &Logger, id: &str, change: &Change) {
     match change {
-        Change::Named(told, rate) => warn!(log, "engine limited";
-            "engine" => id, "told" => told, "per_s" => rate),
+        Change::Named(reported, rate) => warn!(log, "engine limited";
+            "engine" => id, "told" => reported, "per_s" => rate),
         Change::Unreadable => warn!(log, "engine limit not read"; "engine" => id),
         Change::Lifted => info!(log, "engine limit lifted"; "engine" => id),
     }
 }
 
 /// Writes a line on an engine's rest.
-fn write_rest(log: &Logger, id: &str, change: &back_off::Change) {
+fn write_back_off(log: &Logger, id: &str, change: &back_off::Change) {
     match change {
-        back_off::Change::Begun(span) => warn!(log, "engine rests";
-            "engine" => id, "for_ms" => millis(span)),
+        back_off::Change::Begun(duration) => warn!(log, "engine rests";
+            "engine" => id, "for_ms" => millis(duration)),
         back_off::Change::Unreadable => warn!(log, "engine rest not read"; "engine" => id),
         back_off::Change::Ended(after) => info!(log, "engine rest ended";
             "engine" => id, "after_ms" => millis(after)),
@@ -146,18 +148,18 @@
 }
 
 /// Gives the engines that a request was kept from for a reason, if there are any.
-fn kept_by(exclusions: &[Exclusion], by: Restriction) -> Option<String> {
+fn excluded_engines(exclusions: &[Exclusion], by: Restriction) -> Option<String> {
     let engines: Vec<_> =
         exclusions.iter().filter(|it| it.reason == by).map(|it| &*it.engine).collect();
     (!engines.is_empty()).then(|| engines.join(" "))
 }
 
 /// The most boxes that one line names.
-const MOST_NAMED: usize = 4;
+const MAX_NAMED_BOX_COUNT: usize = 4;
 
 /// Gives the first of some addresses.
-fn some(nodes: &[SocketAddr]) -> String {
-    let first: Vec<_> = nodes.iter().take(MOST_NAMED).map(SocketAddr::to_string).collect();
+fn first_addresses(nodes: &[SocketAddr]) -> String {
+    let first: Vec<_> = nodes.iter().take(MAX_NAMED_BOX_COUNT).map(SocketAddr::to_string).collect();
     first.join(" ")
 }
 
@@ -170,6 +172,6 @@
 }
 
 /// Gives a span in whole milliseconds.
-fn millis(span: &std::time::Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: &std::time::Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/hollyspoke-server/src/objects.rs
+++ b/crates/hollyspoke-server/src/objects.rs
@@ -16,10 +16,10 @@
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The most bytes of an answer: the held requests take some 80 kB at most.
-const LONGEST_ANSWER: usize = 256 << 10;
+const MAX_ANSWER_BYTES: usize = 256 << 10;
 
 /// Carries out an operation and tells the reducer what the store answered.
-pub async fn carry_out(node: Rc<Node>, number: u64, operation: Operation) {
+pub async fn execute(node: Rc<Node>, number: u64, operation: Operation) {
     let answer = tokio::time::timeout(OPERATION_TIMEOUT, exchange(&node, &operation)).await;
     let answer = answer.ok().flatten().unwrap_or(Answer::Away);
     node.dispatch(Event::Stored(number, answer));
@@ -32,7 +32,7 @@
     let request = head.header(HOST, node.store.to_string()).body(Full::new(body)).ok()?;
     let response = connection.send(request).await.ok()?;
     let status = response.status();
-    node.enter_era(response.headers())?;
-    let bytes = read_whole(response.into_body(), LONGEST_ANSWER).await?;
-    Some((node.dialect.read_stored)(operation, status, &bytes))
+    node.handle_store_era(response.headers())?;
+    let bytes = read_whole(response.into_body(), MAX_ANSWER_BYTES).await?;
+    Some((node.dialect.read_operation_answer)(operation, status, &bytes))
 }
--- a/crates/hollyspoke-server/src/peers.rs
+++ b/crates/hollyspoke-server/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// The most bytes of a datagram: what UDP carries over IPv4. All accounts of 520 customers, the most
 /// that is designed for, take 10 KB.
-const LONGEST_DATAGRAM: usize = 65_507;
+const MAX_DATAGRAM_BYTES: usize = 65_507;
 
 /// The socket between boxes.
 #[derive(Debug, Clone)]
@@ -50,45 +50,45 @@
 
     /// Sends a datagram to boxes that can read a format. One that can't be sent at once is lost, as on
     /// the way.
-    pub fn tell(&self, nodes: &[SocketAddr], message: &Message, format: Format) {
+    pub fn send(&self, nodes: &[SocketAddr], message: &Message, format: Format) {
         if nodes.is_empty() {
             return;
         }
         let bytes = match datagram::write(message, format) {
             Ok(bytes) => bytes,
-            Err(error) => return self.note("datagram not written", &error),
+            Err(error) => return self.log_failure("datagram not written", &error),
         };
         for &node in nodes {
             if let Err(error) = self.socket.try_send_to(&bytes, node) {
-                self.note("datagram not sent", &error);
+                self.log_failure("datagram not sent", &error);
             }
         }
     }
 
     /// Logs that a datagram is lost here: the first, the second, the fourth and so on, since a box
     /// that is cut off fails with each.
-    fn note(&self, what: &str, error: &dyn Display) {
+    fn log_failure(&self, description: &str, error: &dyn Display) {
         let count = self.failures.get() + 1;
         self.failures.set(count);
         if count.is_power_of_two() {
-            warn!(self.log, "{}", what; "error" => %error, "failures" => count);
+            warn!(self.log, "{}", description; "error" => %error, "failures" => count);
         }
     }
 
     /// Takes datagrams to a function, until the process ends.
-    pub async fn listen(self, hear: impl Fn(Message)) {
-        let mut buffer = vec![0; LONGEST_DATAGRAM];
+    pub async fn listen(self, on_message: impl Fn(Message)) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let length = match self.socket.recv_from(&mut buffer).await {
                 Ok((length, _)) => length,
                 Err(error) => {
-                    self.note("no datagram received", &error);
+                    self.log_failure("no datagram received", &error);
                     continue;
                 }
             };
             match datagram::read(&buffer[..length]) {
-                Ok(message) => hear(message),
-                Err(error) => self.note("datagram not read", &error),
+                Ok(message) => on_message(message),
+                Err(error) => self.log_failure("datagram not read", &error),
             }
         }
     }
--- a/crates/hollyspoke-server/src/run.rs
+++ b/crates/hollyspoke-server/src/run.rs
@@ -21,20 +21,20 @@
 use crate::node::Node;
 use crate::peers::Peers;
 use crate::settings::Settings;
-use crate::upstream::UPSTREAM;
+use crate::upstream::UPSTREAM_CLIENT;
 use crate::{directory, front, handover, sync};
 
 /// How often the settings file is looked at, since it may change without a signal.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The part of the grace that is left unused.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
 /// How many ports of the system's choice are tried.
-const MOST_BINDS: u32 = 8;
+const MAX_BIND_ATTEMPTS: u32 = 8;
 
 /// How often a stopping box looks whether it is done.
-const STOP_EVERY: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A box that runs.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
 ) -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let running = start(&settings, dialect, log).await?;
-    tokio::task::spawn_local(reread(running.node.clone(), path, settings));
+    tokio::task::spawn_local(watch_settings(running.node.clone(), path, settings));
     terminate.recv().await;
     running.stop().await;
     Ok(())
@@ -96,7 +96,7 @@
     let gateway = Gateway::new(gateway::Settings {
         data_centre: settings.data_centre.as_str().into(),
         regions: settings.regions.clone(),
-        peer: settings.announced.map_or_else(|| peers.address(), Ok)?,
+        peer: settings.announced_peer.map_or_else(|| peers.address(), Ok)?,
         front: front.local_addr()?,
         retry_bound: settings.bound,
         grace: settings.grace,
@@ -108,7 +108,7 @@
         incarnation: Pcg64Mcg::from_os_rng().next_u64(),
         unix_start: unix_seconds(),
     });
-    let node = Node::new(gateway, dialect, log, peers.clone(), settings.store, UPSTREAM)?;
+    let node = Node::new(gateway, dialect, log, peers.clone(), settings.store, UPSTREAM_CLIENT)?;
     let running = Running {
         node: node.clone(),
         front: front.local_addr()?,
@@ -120,9 +120,9 @@
     };
     info!(node.log, "started"; "front" => %running.front, "store" => %settings.store);
     node.dispatch(Event::Seeds(settings.seeds.clone()));
-    let hearing = node.clone();
-    let hear = move |message| hearing.dispatch(Event::Received(message));
-    tokio::task::spawn_local(peers.listen(hear));
+    let receiver = node.clone();
+    let on_message = move |message| receiver.dispatch(Event::Received(message));
+    tokio::task::spawn_local(peers.listen(on_message));
     tokio::task::spawn_local(handover::listen(node.clone(), handovers));
     tokio::task::spawn_local(tick(node.clone()));
     for kind in [Kind::Configuration, Kind::Engines, Kind::Evacuations] {
@@ -140,14 +140,14 @@
 /// Binds the two sockets for other boxes at one port: for datagrams and for handovers. A port that
 /// the system chooses may be taken for one of them; then another is tried.
 async fn bind_peers(address: SocketAddr, log: &Logger) -> eyre::Result<(Peers, TcpListener)> {
-    let wrong = || format!("cannot bind {address} for other boxes");
-    let mut tries = if address.port() == 0 { MOST_BINDS } else { 1 };
+    let bind_error = || format!("cannot bind {address} for other boxes");
+    let mut attempts_left = if address.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
     loop {
-        tries -= 1;
-        let peers = Peers::bind(address, log.clone()).await.wrap_err_with(wrong)?;
+        attempts_left -= 1;
+        let peers = Peers::bind(address, log.clone()).await.wrap_err_with(bind_error)?;
         match TcpListener::bind(peers.address()?).await {
             Ok(listener) => return Ok((peers, listener)),
-            Err(error) if tries == 0 => return Err(error).wrap_err_with(wrong),
+            Err(error) if attempts_left == 0 => return Err(error).wrap_err_with(bind_error),
             Err(_) => {}
         }
     }
@@ -158,18 +158,18 @@
     /// elsewhere.
     pub async fn stop(self) {
         self.node.dispatch(Event::Stop);
-        let longest = self.grace.saturating_sub(GRACE_MARGIN);
+        let max_duration = self.grace.saturating_sub(GRACE_MARGIN);
         let stopped = tokio::time::Instant::now();
-        while stopped.elapsed() < longest {
+        while stopped.elapsed() < max_duration {
             let now = self.node.now();
             if self.node.with(|it| it.is_done(now)) {
                 break;
             }
-            tokio::time::sleep(STOP_EVERY).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         self.close.send_replace(true);
         // Answers that have just ended still have to be written.
-        tokio::time::sleep(STOP_EVERY).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         info!(self.node.log, "stopped");
     }
 }
@@ -178,22 +178,22 @@
 async fn tick(node: Rc<Node>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(node.arm()) => node.dispatch(Event::Tick),
-            () = node.woken.notified() => {}
+            () = tokio::time::sleep_until(node.schedule_tick()) => node.dispatch(Event::Tick),
+            () = node.timer_wakeup.notified() => {}
         }
     }
 }
 
 /// Reads the settings again when they may have changed. Only the seeds can change in a life of
 /// the process; a file that is wrong is reported and changes nothing.
-async fn reread(node: Rc<Node>, path: PathBuf, first: Settings) {
+async fn watch_settings(node: Rc<Node>, path: PathBuf, first: Settings) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
-    let mut known = first;
+    let mut current = first;
     let mut modified = modified(&path);
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = tokio::time::sleep(SETTINGS_EVERY) => {
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => {
                 let newest = self::modified(&path);
                 if newest == modified {
                     continue;
@@ -202,11 +202,11 @@
             }
         }
         match Settings::read(&path) {
-            Ok(settings) if settings == known => {}
+            Ok(settings) if settings == current => {}
             Ok(settings) => {
                 info!(node.log, "settings read again"; "seeds" => settings.seeds.len());
                 node.dispatch(Event::Seeds(settings.seeds.clone()));
-                known = settings;
+                current = settings;
             }
             Err(findings) => {
                 for finding in findings {
--- a/crates/hollyspoke-server/src/settings.rs
+++ b/crates/hollyspoke-server/src/settings.rs
@@ -162,7 +162,7 @@
     /// Where the box listens for other boxes.
     pub peer: SocketAddr,
     /// Where other boxes reach this one, if not there.
-    pub announced: Option<SocketAddr>,
+    pub announced_peer: Option<SocketAddr>,
     /// Where some other boxes listen for other boxes.
     pub seeds: Vec<SocketAddr>,
     /// Where the store listens.
@@ -253,7 +253,7 @@
             directory,
             metrics,
             peer: SocketAddr::new(front.ip(), port),
-            announced: announced_port.map(|it| SocketAddr::new(front.ip(), it)),
+            announced_peer: announced_port.map(|it| SocketAddr::new(front.ip(), it)),
             seeds: seeds.into_iter().map(|it| SocketAddr::new(it.ip(), seed_port)).collect(),
             store,
             bound: Bound { ratio, allowance, window: Duration::from_secs_f64(window) },
--- a/crates/hollyspoke-server/src/splitter.rs
+++ b/crates/hollyspoke-server/src/splitter.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The most bytes of one event; longer ones are passed on in parts.
-const LONGEST_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Whole events, in the order in which they came.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,8 +25,8 @@
     /// Takes bytes and gives the events that are whole now, if there are any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
         self.pending.extend_from_slice(bytes);
-        let end = match whole_length(&self.pending) {
-            0 if self.pending.len() >= LONGEST_EVENT => self.pending.len(),
+        let end = match complete_length(&self.pending) {
+            0 if self.pending.len() >= MAX_EVENT_BYTES => self.pending.len(),
             0 => return None,
             end => end,
         };
@@ -36,24 +36,24 @@
     }
 
     /// Gives the bytes after the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
 
 /// Gives the length of the whole events at the start of some bytes.
-fn whole_length(bytes: &[u8]) -> usize {
+fn complete_length(bytes: &[u8]) -> usize {
     let mut end = 0;
     let mut line_start = 0;
-    for (place, byte) in bytes.iter().enumerate() {
+    for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..place];
+        let line = &bytes[line_start..index];
         if line.is_empty() || line == b"\r" {
-            end = place + 1;
+            end = index + 1;
         }
-        line_start = place + 1;
+        line_start = index + 1;
     }
     end
 }
--- a/crates/hollyspoke-server/src/sync.rs
+++ b/crates/hollyspoke-server/src/sync.rs
@@ -30,28 +30,28 @@
 
 /// How long the store waits for changes before it answers that there are none. It bounds how long
 /// a connection that died without a word goes unnoticed.
-const WATCH_FOR: Duration = Duration::from_millis(1800);
+const WATCH_WAIT: Duration = Duration::from_millis(1800);
 
 /// How long the store waits for changes that a list has to be brought up with: not at all.
-const CATCH_UP_FOR: Duration = Duration::from_millis(1);
+const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
 
 /// How often reads of pages are repeated in one list before the list is begun anew.
-const MOST_RETRIES: u32 = 40;
+const MAX_PAGE_RETRIES: u32 = 40;
 
 /// The pause after changes of engines, in which more of them gather for the next call.
-const GATHER_FOR: Duration = Duration::from_millis(200);
+const CHANGE_BATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// What a watch may take beyond its own time.
 const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
 /// The pause after a failed call, at least and at most.
-const PAUSE_MS: (u64, u64) = (120, 350);
+const RETRY_PAUSE_RANGE_MS: (u64, u64) = (120, 350);
 
 /// How often the pause doubles while calls go on failing.
-const LAST_DOUBLING: u32 = 1;
+const MAX_PAUSE_DOUBLINGS: u32 = 1;
 
 /// The most bytes of one answer.
-const LONGEST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Why a call to the store gave nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 
 impl Listing {
     /// Takes a page of a revision.
-    fn take(&mut self, page: Page, revision: Revision) {
+    fn add_page(&mut self, page: Page, revision: Revision) {
         let is_first = self.pages == 0;
         self.oldest = if is_first { revision } else { self.oldest.min(revision) };
         self.newest = self.newest.max(revision);
@@ -107,7 +107,7 @@
     }
 
     /// Tells whether its pages are of two eras, so that they do not add up.
-    fn is_mixed(&self) -> bool {
+    fn has_mixed_eras(&self) -> bool {
         self.oldest.era != self.newest.era
     }
 
@@ -141,40 +141,40 @@
     /// The connection, kept while it answers.
     connection: Option<Connection>,
     /// Whether pages after the first may be read stale.
-    may_be_stale: bool,
+    allows_stale_pages: bool,
     /// The revision that was last reached; none if the list is to be read whole.
     reached: Option<Revision>,
     /// Calls in a row that failed.
     failures: u32,
     /// How often in a row the list was begun anew before a watch was answered.
-    begun_anew: u32,
+    list_restarts: u32,
     /// Whether the last call failed.
-    is_away: bool,
+    is_store_lost: bool,
     /// The source of pauses.
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 /// Follows a kind until the process ends.
 pub async fn follow(node: Rc<Node>, store: SocketAddr, kind: Kind) {
-    let random = Pcg64Mcg::from_os_rng();
+    let rng = Pcg64Mcg::from_os_rng();
     let mut follower = Follower {
         node,
         store,
         kind,
         connection: None,
-        may_be_stale: true,
+        allows_stale_pages: true,
         reached: None,
         failures: 0,
-        begun_anew: 0,
-        is_away: false,
-        random,
+        list_restarts: 0,
+        is_store_lost: false,
+        rng,
     };
     loop {
-        match follower.round().await {
+        match follower.sync_round().await {
             Ok(()) => follower.failures = 0,
             Err(failure) => {
-                follower.forget_if_gone(&failure);
-                follower.note_away(&failure);
+                follower.reset_if_outdated(&failure);
+                follower.record_store_lost(&failure);
                 follower.pause(&failure).await;
             }
         }
@@ -188,9 +188,9 @@
         if listing.pages > 1 {
             self.catch_up(&mut listing).await?;
         }
-        self.may_be_stale = true;
-        self.note_back();
-        self.take_list(listing.items, listing.newest);
+        self.allows_stale_pages = true;
+        self.record_store_regained();
+        self.dispatch_list(listing.items, listing.newest);
         Ok(listing.newest)
     }
 
@@ -202,7 +202,7 @@
         loop {
             let (page, revision) = match self.read_page(next.as_deref()).await {
                 Ok(read) => read,
-                Err(failure) if next.is_none() || listing.retries >= MOST_RETRIES => {
+                Err(failure) if next.is_none() || listing.retries >= MAX_PAGE_RETRIES => {
                     return Err(failure);
                 }
                 Err(failure) => {
@@ -211,10 +211,10 @@
                     continue;
                 }
             };
-            self.note_findings(&page.findings);
+            self.log_findings(&page.findings);
             next = page.next.clone();
-            listing.take(page, revision);
-            if listing.is_mixed() {
+            listing.add_page(page, revision);
+            if listing.has_mixed_eras() {
                 return Err(Failure::OtherEra);
             }
             if next.is_none() {
@@ -225,7 +225,7 @@
 
     /// Reads one page; gives its revision too.
     async fn read_page(&mut self, after: Option<&str>) -> Result<(Page, Revision), Failure> {
-        let is_stale = after.is_some() && self.may_be_stale;
+        let is_stale = after.is_some() && self.allows_stale_pages;
         let path = (self.node.dialect.list)(self.kind, after, is_stale);
         let reply = self.get(&path, LIST_TIMEOUT).await?;
         let page = (self.node.dialect.read_page)(self.kind, &reply.bytes);
@@ -239,10 +239,10 @@
     async fn catch_up(&mut self, listing: &mut Listing) -> Result<(), Failure> {
         let mut since = listing.oldest;
         loop {
-            let path = (self.node.dialect.watch)(self.kind, since.number, CATCH_UP_FOR);
+            let path = (self.node.dialect.watch)(self.kind, since.number, CATCH_UP_WAIT);
             let reply = self.get(&path, LIST_TIMEOUT).await.inspect_err(|failure| {
                 if *failure == Failure::Refused(StatusCode::GONE) {
-                    self.may_be_stale = false;
+                    self.allows_stale_pages = false;
                 }
             })?;
             if reply.era != since.era {
@@ -272,40 +272,40 @@
             Kind::Engines => reached.max(self.node.with(|it| it.engine_revision())),
             Kind::Configuration | Kind::Evacuations => reached,
         };
-        let revision = self.read_changes(known, CATCH_UP_FOR, LIST_TIMEOUT).await?;
-        self.note_back();
+        let revision = self.read_changes(known, CATCH_UP_WAIT, LIST_TIMEOUT).await?;
+        self.record_store_regained();
         Ok(revision)
     }
 
     /// Has the whole list read next if the store has forgotten what came before, or has come back from
     /// an older copy.
-    fn forget_if_gone(&mut self, failure: &Failure) {
+    fn reset_if_outdated(&mut self, failure: &Failure) {
         if !failure.needs_list() {
             return;
         }
         info!(self.node.log, "list to be read again"; "kind" => format!("{:?}", self.kind),
             "why" => format!("{failure:?}"), "since" => self.reached.map(|it| it.to_string()));
         self.reached = None;
-        self.begun_anew += 1;
+        self.list_restarts += 1;
     }
 
     /// Reads what is new, and follows changes until there is a reason to read again.
-    async fn round(&mut self) -> Result<(), Failure> {
+    async fn sync_round(&mut self) -> Result<(), Failure> {
         let node = self.node.clone();
         let kind = self.kind;
         let revision = self.read_newest().await?;
         self.reached = Some(revision);
         self.failures = 0;
-        while node.follows() {
+        while node.watches_store() {
             tokio::select! {
                 failure = self.watch(revision) => return Err(failure),
-                () = node.wanted(kind).notified() => self.connection = None,
+                () = node.wakeup(kind).notified() => self.connection = None,
             }
-            if node.follows() {
+            if node.watches_store() {
                 return Ok(());
             }
         }
-        node.wanted(kind).notified().await;
+        node.wakeup(kind).notified().await;
         Ok(())
     }
 
@@ -313,14 +313,14 @@
     async fn watch(&mut self, mut since: Revision) -> Failure {
         loop {
             let before = since;
-            since = match self.read_changes(since, WATCH_FOR, WATCH_FOR + WATCH_MARGIN).await {
+            since = match self.read_changes(since, WATCH_WAIT, WATCH_WAIT + WATCH_MARGIN).await {
                 Ok(revision) => revision,
                 Err(failure) => return failure,
             };
-            self.begun_anew = 0;
+            self.list_restarts = 0;
             self.reached = Some(since);
             if since > before && self.kind == Kind::Engines {
-                tokio::time::sleep(GATHER_FOR).await;
+                tokio::time::sleep(CHANGE_BATCH_PAUSE).await;
             }
         }
     }
@@ -331,24 +331,24 @@
         &mut self,
         since: Revision,
         wait: Duration,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Revision, Failure> {
         let path = (self.node.dialect.watch)(self.kind, since.number, wait);
-        let reply = self.get(&path, within).await?;
+        let reply = self.get(&path, timeout).await?;
         if reply.era != since.era {
             return Err(Failure::OtherEra);
         }
         let changes = (self.node.dialect.read_changes)(self.kind, &reply.bytes);
         let changes = changes.map_err(|it| Failure::Malformed(it.0))?;
-        self.note_findings(&changes.findings);
+        self.log_findings(&changes.findings);
         let reached = since.max(Revision::new(reply.era, changes.number));
-        self.take_changes(changes.changes, reached);
+        self.dispatch_changes(changes.changes, reached);
         Ok(reached)
     }
 
     /// Asks the store for a path.
-    async fn get(&mut self, path: &str, within: Duration) -> Result<Reply, Failure> {
-        let answer = tokio::time::timeout(within, self.exchange(path)).await;
+    async fn get(&mut self, path: &str, timeout: Duration) -> Result<Reply, Failure> {
+        let answer = tokio::time::timeout(timeout, self.exchange(path)).await;
         let answer = answer.unwrap_or(Err(Failure::NoAnswer));
         if answer.is_err() {
             self.connection = None;
@@ -370,8 +370,8 @@
             .map_err(|it| Failure::Malformed(it.to_string()))?;
         let response = connection.send(request).await.map_err(|_| Failure::NoAnswer)?;
         let status = response.status();
-        let era = self.node.enter_era(response.headers()).ok_or(Failure::OtherEra)?;
-        let bytes = read_whole(response.into_body(), LONGEST_ANSWER).await;
+        let era = self.node.handle_store_era(response.headers()).ok_or(Failure::OtherEra)?;
+        let bytes = read_whole(response.into_body(), MAX_ANSWER_BYTES).await;
         let bytes = bytes.ok_or(Failure::NoAnswer)?;
         if status != StatusCode::OK {
             return Err(Failure::Refused(status));
@@ -382,7 +382,7 @@
     }
 
     /// Takes a whole list to the reducer.
-    fn take_list(&self, items: Vec<Item>, revision: Revision) {
+    fn dispatch_list(&self, items: Vec<Item>, revision: Revision) {
         let mut engines = Vec::new();
         let mut evacuation = Evacuation { revision, ..Evacuation::default() };
         for item in items {
@@ -400,7 +400,7 @@
     }
 
     /// Takes changes to the reducer, with the revision that they led to.
-    fn take_changes(&self, changes: Vec<(Change, u64)>, reached: Revision) {
+    fn dispatch_changes(&self, changes: Vec<(Change, u64)>, reached: Revision) {
         let mut engines = Vec::new();
         let mut evacuations = Vec::new();
         for (change, number) in changes {
@@ -429,44 +429,44 @@
     }
 
     /// Logs what could not be read.
-    fn note_findings(&self, findings: &[String]) {
+    fn log_findings(&self, findings: &[String]) {
         for finding in findings {
             warn!(self.node.log, "object not read"; "finding" => finding);
         }
     }
 
     /// Logs that the store was lost. One that came back answers.
-    fn note_away(&mut self, failure: &Failure) {
+    fn record_store_lost(&mut self, failure: &Failure) {
         if *failure == Failure::OtherEra {
             return;
         }
-        if !self.is_away {
+        if !self.is_store_lost {
             let kind = format!("{:?}", self.kind);
             warn!(self.node.log, "store lost"; "kind" => kind, "why" => format!("{failure:?}"));
         }
-        self.is_away = true;
+        self.is_store_lost = true;
         self.node.dispatch(Event::StoreFailed(self.kind));
     }
 
     /// Logs that the store is back.
-    fn note_back(&mut self) {
-        if self.is_away {
+    fn record_store_regained(&mut self) {
+        if self.is_store_lost {
             let kind = format!("{:?}", self.kind);
             info!(self.node.log, "store regained"; "kind" => kind);
         }
-        self.is_away = false;
+        self.is_store_lost = false;
     }
 
     /// Waits before the next call; not at all if only the list is to be read again, unless it was right
     /// before.
     async fn pause(&mut self, failure: &Failure) {
-        if failure.needs_list() && self.begun_anew <= 1 {
+        if failure.needs_list() && self.list_restarts <= 1 {
             return;
         }
-        let (least, most) = PAUSE_MS;
-        let doubled = 1 << self.failures.min(LAST_DOUBLING);
+        let (min, max) = RETRY_PAUSE_RANGE_MS;
+        let doubled = 1 << self.failures.min(MAX_PAUSE_DOUBLINGS);
         self.failures += 1;
-        let millis = self.random.random_range(least..=most) * doubled;
+        let millis = self.rng.random_range(min..=max) * doubled;
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
 }
--- a/tests/src/platform.rs
+++ b/tests/src/platform.rs
@@ -540,7 +540,7 @@
         directory: free,
         metrics: Some(free),
         peer: free,
-        announced: None,
+        announced_peer: None,
         seeds,
         store,
         bound: BOUND,
--- a/tests/tests/fields.rs
+++ b/tests/tests/fields.rs
@@ -122,7 +122,7 @@
 #[test]
 fn kept_prompts() {
     let list = json!({"epoch": 1, "nextToken": 5, "held": []});
-    check("kept prompts", fields(&list), &fields_read(&list, DIALECT.read_survey));
+    check("kept prompts", fields(&list), &fields_read(&list, DIALECT.read_cached_prompts));
 }
 
 /// Each row says what its fields would be worth to the engine, to a caller and for the rules.
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -20,7 +20,7 @@
 use hollyspoke_gateway::snapshot::{Snapshot, SnapshotRequest};
 use hollyspoke_server::datagram::{read, write};
 use hollyspoke_server::handover::format::{
-    Asked, read_question, read_snapshot, write_question, write_snapshot,
+    ReceivedSnapshotRequest, read_request, read_snapshot, write_request, write_snapshot,
 };
 use hollyspoke_tests::recorded::{changes, partial, question, snapshot, whole};
 use proptest::prelude::*;
@@ -112,8 +112,8 @@
 
 #[test]
 fn handovers_without_eras_are_read() {
-    let asked = read_question(&recorded("question-numbered")).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::Handovers });
+    let asked = read_request(&recorded("question-numbered")).expect("it is read");
+    assert_eq!(asked, ReceivedSnapshotRequest { request: question(), format: Format::Handovers });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let bytes = recorded("snapshot-numbered");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
@@ -133,13 +133,13 @@
 /// A box that asks in the first format is answered in it, without what came later.
 #[test]
 fn old_boxes_hand_over_and_get() {
-    let asked = read_question(&recorded("question")).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::First });
+    let asked = read_request(&recorded("question")).expect("it is read");
+    assert_eq!(asked, ReceivedSnapshotRequest { request: question(), format: Format::First });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     assert_eq!(write_snapshot(&told, asked.format).expect("it is written"), recorded("snapshot"));
     assert_eq!(read_snapshot(&recorded("changes")).expect("it is read"), changes());
     for format in [Format::First, Format::Permits] {
-        let bytes = write_question(&question(), format).expect("it is written");
+        let bytes = write_request(&question(), format).expect("it is written");
         assert_eq!(bytes, recorded("question"));
     }
 }
@@ -147,9 +147,9 @@
 /// Boxes that read the later format hand over all; fields of a later version are passed over.
 #[test]
 fn new_boxes_hand_over_all() {
-    let bytes = write_question(&question(), Format::Handovers).expect("it is written");
-    let asked = read_question(&bytes).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::Handovers });
+    let bytes = write_request(&question(), Format::Handovers).expect("it is written");
+    let asked = read_request(&bytes).expect("it is read");
+    assert_eq!(asked, ReceivedSnapshotRequest { request: question(), format: Format::Handovers });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let mut bytes = write_snapshot(&told, asked.format).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
@@ -208,8 +208,8 @@
     let bytes = write_snapshot(&told, Format::Eras).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
     let asked = SnapshotRequest { revision: Some(Revision::new(3, 70)), ..question() };
-    let bytes = write_question(&asked, Format::Eras).expect("it is written");
-    assert_eq!(read_question(&bytes).expect("it is read").question, asked);
+    let bytes = write_request(&asked, Format::Eras).expect("it is written");
+    assert_eq!(read_request(&bytes).expect("it is read").request, asked);
 }
 
 /// A box that has nothing of the later format to tell writes the first one, and is known all the same.
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -227,9 +227,9 @@
     }
     let get = Operation::Get { kind: "census".to_owned(), name: "boxes".to_owned() };
     for status in [StatusCode::OK, StatusCode::CONFLICT, StatusCode::SERVICE_UNAVAILABLE] {
-        _ = (DIALECT.read_stored)(&get, status, bytes);
+        _ = (DIALECT.read_operation_answer)(&get, status, bytes);
     }
     _ = (DIALECT.read_handle)(bytes);
-    _ = (DIALECT.read_survey)(bytes);
+    _ = (DIALECT.read_cached_prompts)(bytes);
     _ = (DIALECT.read_report)(bytes);
 }
--- a/tests/tests/platform_catch_up.rs
+++ b/tests/tests/platform_catch_up.rs
@@ -34,7 +34,7 @@
 
 /// Has a box read the engines once more.
 fn read_again(node: &Running) {
-    node.node.wanted(Kind::Engines).notify_one();
+    node.node.wakeup(Kind::Engines).notify_one();
 }
 
 #[test]
--- a/tests/tests/platform_peers.rs
+++ b/tests/tests/platform_peers.rs
@@ -52,7 +52,7 @@
 async fn all_accounts_arrive() {
     let sent = told_of(CUSTOMERS);
     let message = sent.clone();
-    let run = heard(async move |to| bind().await.tell(&[to], &message, Format::First));
+    let run = heard(async move |to| bind().await.send(&[to], &message, Format::First));
     let heard = LocalSet::new().run_until(run).await;
     assert!(heard == [sent], "{} datagrams, or another one", heard.len());
 }
@@ -67,7 +67,7 @@
         for bytes in [&b""[..], b"no message", &[0xFF; 9000]] {
             noise.send_to(bytes, to).await.expect("it is sent");
         }
-        bind().await.tell(&[to], &message, Format::First);
+        bind().await.send(&[to], &message, Format::First);
     });
     let heard = LocalSet::new().run_until(run).await;
     assert!(heard == [sent], "{} datagrams, or another one", heard.len());
--- a/tests/tests/platform_settings.rs
+++ b/tests/tests/platform_settings.rs
@@ -54,7 +54,7 @@
     let file = FILE.replace("peer_port = 7380", "peer_port = 7380\npeer_announced_port = 7390");
     let settings = Settings::parse(&file).expect("the file is right");
     assert_eq!(settings.peer.to_string(), "10.1.0.38:7380");
-    assert_eq!(settings.announced.map(|it| it.to_string()).as_deref(), Some("10.1.0.38:7390"));
+    assert_eq!(settings.announced_peer.map(|it| it.to_string()).as_deref(), Some("10.1.0.38:7390"));
     assert_eq!(settings.seeds[0].port(), 7390);
 }
 
--- a/tests/tests/suspension.rs
+++ b/tests/tests/suspension.rs
@@ -79,7 +79,7 @@
         let second = engine(answering("second")).await;
         store.list("e-2", &second, "plain", None);
         store.remove("servers", "e-1");
-        node.node.suspended(Duration::from_secs(5));
+        node.node.handle_suspension(Duration::from_secs(5));
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert!(ask(node.front, &question).await.ends_with("second"));
     });
