--- a/crates/hollyspoke-cli/src/apply.rs
+++ b/crates/hollyspoke-cli/src/apply.rs
@@ -7,10 +7,10 @@
 use similar::TextDiff;
 
 /// How often a write or a read back is tried when no answer comes.
-const TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// How long to wait between two tries.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How an apply ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -61,13 +61,13 @@
     /// Reads, writes, and reads back until the outcome is known.
     async fn run(&self, seen: Option<u64>) -> Applied {
         let mut error = String::new();
-        let mut written_at = None;
-        for _ in 0..TRIES {
+        let mut expected_version = None;
+        for _ in 0..MAX_ATTEMPTS {
             let current = match self.platform.get(SITE_KIND, self.site).await {
                 Ok(current) => current,
-                Err(failed) => {
-                    error = failed.to_string();
-                    tokio::time::sleep(PAUSE).await;
+                Err(call_error) => {
+                    error = call_error.to_string();
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
@@ -75,17 +75,17 @@
                 return Applied::Accepted { version };
             }
             let version = current.as_ref().map_or(0, |it| it.version);
-            let expected = *written_at.get_or_insert(seen.unwrap_or(version));
+            let expected = *expected_version.get_or_insert(seen.unwrap_or(version));
             if version != expected {
                 return self.conflict(current);
             }
             match self.write(expected).await {
                 Ok(version) => return Applied::Accepted { version },
                 // The next read tells whose write it was.
-                Err(failed) if failed.status() == Some(STATUS_CONFLICT) => {}
-                Err(failed) => {
-                    error = failed.to_string();
-                    tokio::time::sleep(PAUSE).await;
+                Err(call_error) if call_error.status() == Some(STATUS_CONFLICT) => {}
+                Err(call_error) => {
+                    error = call_error.to_string();
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/hollyspoke-cli/src/call.rs
+++ b/crates/hollyspoke-cli/src/call.rs
@@ -13,7 +13,7 @@
 
 /// What to send.
 #[derive(Debug, Clone)]
-pub enum Wanted {
+pub enum Content {
     /// Tokens of a model.
     Generate {
         /// The model.
@@ -34,18 +34,18 @@
     },
 }
 
-impl Wanted {
+impl Content {
     /// Makes the request.
     fn call(&self, once: bool, headers: Vec<(String, String)>) -> Call {
         match self {
-            Wanted::Generate { model, prompt, max_tokens } => {
+            Content::Generate { model, prompt, max_tokens } => {
                 let body = json!({
                     "model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": true,
                 });
                 let (method, path) = (Method::POST, "/v1/completions".to_owned());
                 Call { method, path, headers, body: Bytes::from(body.to_string()), once }
             }
-            Wanted::Plain { method, path, body } => {
+            Content::Plain { method, path, body } => {
                 let (method, path) = (method.clone(), path.clone());
                 Call { method, path, headers, body: Bytes::from(body.clone()), once }
             }
@@ -60,14 +60,14 @@
 /// When the answer breaks off or can't be printed.
 pub async fn call(
     caller: &mut Caller,
-    wanted: &Wanted,
+    content: &Content,
     once: bool,
     headers: Vec<(String, String)>,
     out: &mut impl Write,
 ) -> eyre::Result<Exit> {
-    match caller.send(&wanted.call(once, headers)).await {
+    match caller.send(&content.call(once, headers)).await {
         Outcome::Answer(response) => {
-            let streamed = matches!(wanted, Wanted::Generate { .. });
+            let streamed = matches!(content, Content::Generate { .. });
             let body = response.into_body();
             let exit =
                 if streamed { print_events(body, out).await? } else { print(body, out).await? };
@@ -78,8 +78,8 @@
             writeln!(out, "{}", serde_json::to_string_pretty(&problem)?)?;
             Ok(if problem.ran == "unknown" { Exit::Unknown } else { Exit::Failed })
         }
-        Outcome::Unreachable(why) => {
-            writeln!(out, "no box can be reached: {why}")?;
+        Outcome::Unreachable(reason) => {
+            writeln!(out, "no box can be reached: {reason}")?;
             Ok(Exit::Failed)
         }
     }
@@ -97,14 +97,14 @@
 
 /// Prints the texts of server-sent events as they come.
 async fn print_events(mut body: hyper::body::Incoming, out: &mut impl Write) -> eyre::Result<Exit> {
-    let mut rest = String::new();
+    let mut buffer = String::new();
     let mut exit = Exit::Failed;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.wrap_err("the answer broke off")?.into_data() else { continue };
-        rest.push_str(&String::from_utf8_lossy(&data));
-        while let Some((event, later)) = rest.split_once("\n\n") {
+        buffer.push_str(&String::from_utf8_lossy(&data));
+        while let Some((event, later)) = buffer.split_once("\n\n") {
             exit = print_event(event, out)?.unwrap_or(exit);
-            rest = later.to_owned();
+            buffer = later.to_owned();
         }
         out.flush()?;
     }
--- a/crates/hollyspoke-cli/src/caller.rs
+++ b/crates/hollyspoke-cli/src/caller.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 /// The most sendings of one request.
-const MOST_SENDINGS: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 
 /// The longest wait before a box is asked again.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
 /// A caller with the addresses it has been given.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     /// The boxes to use.
     boxes: Vec<Choice>,
     /// Until when the answer may be kept.
-    keep_until: Option<Instant>,
+    valid_until: Option<Instant>,
 }
 
 /// One request.
@@ -66,7 +66,7 @@
     /// Makes a caller that knows some boxes to ask.
     pub fn new(name: impl Into<String>, seeds: Vec<String>) -> Caller {
         let (client, name) = (Client::new(), name.into());
-        Caller { client, name, seeds, boxes: Vec::new(), keep_until: None }
+        Caller { client, name, seeds, boxes: Vec::new(), valid_until: None }
     }
 
     /// Gives the boxes to use, asking for them when the last answer may not be kept any longer.
@@ -75,7 +75,7 @@
     ///
     /// When no box answers.
     pub async fn boxes(&mut self) -> Result<Vec<Choice>, CallError> {
-        if self.keep_until.is_some_and(|until| Instant::now() < until) {
+        if self.valid_until.is_some_and(|until| Instant::now() < until) {
             return Ok(self.boxes.clone());
         }
         let known = self.boxes.iter().map(|it| it.address.clone());
@@ -85,7 +85,7 @@
             let url = format!("http://{address}/v1/addresses?caller={}", self.name);
             match self.client.get::<Answer>(&url).await {
                 Ok(answer) if !answer.boxes.is_empty() => {
-                    self.keep_until = Some(Instant::now() + Duration::from_millis(answer.keep_ms));
+                    self.valid_until = Some(Instant::now() + Duration::from_millis(answer.keep_ms));
                     self.boxes = answer.boxes;
                     return Ok(self.boxes.clone());
                 }
@@ -100,38 +100,38 @@
     pub async fn send(&mut self, call: &Call) -> Outcome {
         let mut last = Outcome::Unreachable("no box was tried".to_owned());
         // The key that may have reached its home.
-        let mut bound: Option<String> = None;
-        let mut place = 0;
-        for _ in 0..MOST_SENDINGS {
+        let mut sent_key: Option<String> = None;
+        let mut index = 0;
+        for _ in 0..MAX_ATTEMPTS {
             let boxes = match self.boxes().await {
                 Ok(boxes) => boxes,
                 Err(error) => return Outcome::Unreachable(error.to_string()),
             };
-            let choice = &boxes[place % boxes.len()];
-            let key = bound.clone().unwrap_or_else(|| mint(choice));
+            let choice = &boxes[index % boxes.len()];
+            let key = sent_key.clone().unwrap_or_else(|| new_key(choice));
             match self.send_once(call, &choice.address, &key).await {
-                Ok(response) => match problem(response).await {
+                Ok(response) => match split_problem(response).await {
                     Ok(answer) => return Outcome::Answer(answer),
-                    Err(problem) if may_go_elsewhere(&problem) => {
+                    Err(problem) if may_retry_at_other_box(&problem) => {
                         // It was not run: the next box gets it as a new request.
-                        bound = None;
-                        wait(&problem).await;
+                        sent_key = None;
+                        wait_to_retry(&problem).await;
                         last = Outcome::Problem(problem);
                     }
                     Err(problem) => return Outcome::Problem(problem),
                 },
                 Err(error) => {
                     if error.may_have_arrived() {
-                        bound = Some(key);
+                        sent_key = Some(key);
                     }
                     last = Outcome::Unreachable(error.to_string());
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
             }
-            place += 1;
-            if place >= boxes.len() {
-                self.keep_until = None;
-                place = 0;
+            index += 1;
+            if index >= boxes.len() {
+                self.valid_until = None;
+                index = 0;
             }
         }
         last
@@ -158,7 +158,7 @@
             .body(Full::new(call.body.clone()))
             .map_err(|error| CallError::Connect(error.to_string()))?;
         if call.once {
-            self.client.send_fresh(request).await
+            self.client.send_unpooled(request).await
         } else {
             self.client.send(request).await
         }
@@ -166,14 +166,14 @@
 }
 
 /// Mints a key whose home is a box.
-fn mint(choice: &Choice) -> String {
+fn new_key(choice: &Choice) -> String {
     // The home's own keys have the top bit set.
     let nonce = rand::random::<u64>() >> 1;
     format!("{}.{}.{nonce:x}", choice.incarnation, choice.epoch)
 }
 
 /// Tells a problem from an answer.
-async fn problem(response: Response<Incoming>) -> Result<Response<Incoming>, Problem> {
+async fn split_problem(response: Response<Incoming>) -> Result<Response<Incoming>, Problem> {
     let is_problem = response.headers().get("content-type").is_some_and(|it| it == PROBLEM_TYPE);
     if !is_problem {
         return Ok(response);
@@ -191,14 +191,14 @@
 }
 
 /// Tells whether another box may take a request that this one refused as not run.
-fn may_go_elsewhere(problem: &Problem) -> bool {
-    let here_only = ["leaving", "unavailable"];
+fn may_retry_at_other_box(problem: &Problem) -> bool {
+    let retryable = ["leaving", "unavailable"];
     let slug = problem.kind.rsplit(':').next().unwrap_or_default();
-    problem.ran == "no" && here_only.contains(&slug)
+    problem.ran == "no" && retryable.contains(&slug)
 }
 
 /// Waits for as long as a refusal says, within reason.
-async fn wait(problem: &Problem) {
-    let named = Duration::from_millis(problem.retry_after_ms.unwrap_or(0));
-    tokio::time::sleep(named.min(LONGEST_WAIT)).await;
+async fn wait_to_retry(problem: &Problem) {
+    let retry_after = Duration::from_millis(problem.retry_after_ms.unwrap_or(0));
+    tokio::time::sleep(retry_after.min(MAX_RETRY_WAIT)).await;
 }
--- a/crates/hollyspoke-cli/src/command.rs
+++ b/crates/hollyspoke-cli/src/command.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::apply::{self, Applied};
-use crate::call::{self, Wanted};
+use crate::call::{self, Content};
 use crate::caller::Caller;
 use crate::exit::Exit;
 use crate::show;
@@ -63,13 +63,13 @@
 ];
 
 /// How long `--wait` waits.
-const WAIT: Duration = Duration::from_secs(30);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often `--wait` asks.
-const WAIT_STEP: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The most tokens that `call` asks for by itself.
-const MAX_TOKENS: u32 = 64;
+const DEFAULT_MAX_TOKENS: u32 = 64;
 
 /// A command line that can't be understood.
 #[derive(Debug)]
@@ -89,11 +89,11 @@
 ///
 /// When a file can't be read, or the output can't be written.
 pub async fn run(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
-    let command = arguments.subcommand().map_err(usage)?;
+    let command = arguments.subcommand().map_err(usage_error)?;
     let Some(command) = command else {
         write!(out, "{HELP}")?;
-        let asked = arguments.contains(["-h", "--help"]);
-        return Ok(if asked { Exit::Done } else { Exit::Usage });
+        let help_requested = arguments.contains(["-h", "--help"]);
+        return Ok(if help_requested { Exit::Done } else { Exit::Usage });
     };
     let help = COMMAND_HELP.iter().find(|(name, _)| *name == command);
     let Some((_, help)) = help else {
@@ -123,8 +123,8 @@
 
 /// Checks a file.
 fn check(arguments: Arguments, json: bool, out: &mut impl Write) -> eyre::Result<Exit> {
-    let path = file(arguments)?;
-    let text = read(&path)?;
+    let path = file_argument(arguments)?;
+    let text = read_file(&path)?;
     match hollyspoke_file::read(&text) {
         Ok(site) => {
             if json {
@@ -143,13 +143,13 @@
 
 /// Applies a file.
 async fn apply(mut arguments: Arguments, json: bool, out: &mut impl Write) -> eyre::Result<Exit> {
-    let platform = required(&mut arguments, "--platform")?;
-    let seen = optional(&mut arguments, "--seen")?;
+    let platform = required_flag(&mut arguments, "--platform")?;
+    let seen = optional_flag(&mut arguments, "--seen")?;
     let seen = seen.map(|it| it.parse().map_err(|_| Usage(format!("`{it}` is no version"))));
     let seen = seen.transpose()?;
-    let wait = optional(&mut arguments, "--wait")?;
-    let path = file(arguments)?;
-    let text = read(&path)?;
+    let wait = optional_flag(&mut arguments, "--wait")?;
+    let path = file_argument(arguments)?;
+    let text = read_file(&path)?;
     let site = match hollyspoke_file::read(&text) {
         Ok(site) => site,
         Err(findings) => {
@@ -196,22 +196,22 @@
 /// Waits until a version is in force everywhere.
 async fn wait_in_force(address: &str, version: u64, out: &mut impl Write) -> eyre::Result<Exit> {
     let client = Client::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        let answers = show::ask_all(&client, address).await?;
+        let answers = show::fetch_all(&client, address).await?;
         let in_force = |it: &show::BoxAnswer| {
             it.status.as_ref().is_some_and(|status| status.site_version >= version)
         };
         if answers.iter().all(in_force) {
             let boxes = answers.len();
-            writeln!(out, "in force at {boxes} boxes after {} ms", begun.elapsed().as_millis())?;
+            writeln!(out, "in force at {boxes} boxes after {} ms", started.elapsed().as_millis())?;
             return Ok(Exit::Done);
         }
-        if begun.elapsed() > WAIT {
+        if started.elapsed() > IN_FORCE_TIMEOUT {
             write!(out, "not in force everywhere:\n{}", show::versions(&answers))?;
             return Ok(Exit::Failed);
         }
-        tokio::time::sleep(WAIT_STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -222,9 +222,9 @@
     json: bool,
     out: &mut impl Write,
 ) -> eyre::Result<Exit> {
-    let address = required(&mut arguments, "--box")?;
-    finish(arguments)?;
-    let answers = show::ask_all(&Client::new(), &address).await?;
+    let address = required_flag(&mut arguments, "--box")?;
+    reject_unknown_arguments(arguments)?;
+    let answers = show::fetch_all(&Client::new(), &address).await?;
     match (json, command) {
         (true, _) => writeln!(out, "{}", serde_json::to_string_pretty(&answers)?)?,
         (false, "show") => write!(out, "{}", show::versions(&answers))?,
@@ -236,10 +236,11 @@
 
 /// Asks for addresses.
 async fn addresses(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
-    let address = required(&mut arguments, "--box")?;
-    let caller = optional(&mut arguments, "--caller")?.unwrap_or_else(|| "operator".to_owned());
-    let data_centre = optional(&mut arguments, "--data-centre")?;
-    finish(arguments)?;
+    let address = required_flag(&mut arguments, "--box")?;
+    let caller =
+        optional_flag(&mut arguments, "--caller")?.unwrap_or_else(|| "operator".to_owned());
+    let data_centre = optional_flag(&mut arguments, "--data-centre")?;
+    reject_unknown_arguments(arguments)?;
     let mut url = format!("http://{address}/v1/addresses?caller={caller}");
     if let Some(data_centre) = data_centre {
         url.push_str("&data_centre=");
@@ -252,38 +253,38 @@
 
 /// Sends one request.
 async fn call(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
-    let address = required(&mut arguments, "--box")?;
+    let address = required_flag(&mut arguments, "--box")?;
     let once = arguments.contains("--once");
     let mut headers = Vec::new();
     for (flag, header) in
         [("--tenant", TENANT), ("--class", CLASS), ("--idempotency-key", IDEMPOTENCY_KEY)]
     {
-        if let Some(value) = optional(&mut arguments, flag)? {
+        if let Some(value) = optional_flag(&mut arguments, flag)? {
             headers.push((header.to_owned(), value));
         }
     }
-    let wanted = wanted(&mut arguments)?;
-    finish(arguments)?;
+    let content = read_content(&mut arguments)?;
+    reject_unknown_arguments(arguments)?;
     let mut caller = Caller::new("operator", vec![address]);
-    call::call(&mut caller, &wanted, once, headers, out).await
+    call::call(&mut caller, &content, once, headers, out).await
 }
 
 /// Reads what to send.
-fn wanted(arguments: &mut Arguments) -> eyre::Result<Wanted> {
-    if let Some(path) = optional(arguments, "--path")? {
-        let method = optional(arguments, "--method")?.unwrap_or_else(|| "GET".to_owned());
+fn read_content(arguments: &mut Arguments) -> eyre::Result<Content> {
+    if let Some(path) = optional_flag(arguments, "--path")? {
+        let method = optional_flag(arguments, "--method")?.unwrap_or_else(|| "GET".to_owned());
         let method = Method::from_bytes(method.as_bytes())
             .map_err(|_| Usage(format!("`{method}` is no method")))?;
-        let body = optional(arguments, "--body")?.unwrap_or_default();
-        return Ok(Wanted::Plain { method, path, body });
+        let body = optional_flag(arguments, "--body")?.unwrap_or_default();
+        return Ok(Content::Plain { method, path, body });
     }
-    let model = required(arguments, "--model")?;
-    let prompt = required(arguments, "--prompt")?;
-    let max_tokens = match optional(arguments, "--max-tokens")? {
+    let model = required_flag(arguments, "--model")?;
+    let prompt = required_flag(arguments, "--prompt")?;
+    let max_tokens = match optional_flag(arguments, "--max-tokens")? {
         Some(text) => text.parse().map_err(|_| Usage(format!("`{text}` is no count of tokens")))?,
-        None => MAX_TOKENS,
+        None => DEFAULT_MAX_TOKENS,
     };
-    Ok(Wanted::Generate { model, prompt, max_tokens })
+    Ok(Content::Generate { model, prompt, max_tokens })
 }
 
 /// Prints findings.
@@ -296,7 +297,7 @@
 ) -> eyre::Result<()> {
     if json {
         let places = findings.iter().map(|finding| {
-            let (line, column) = finding.place(text);
+            let (line, column) = finding.line_and_column(text);
             let (message, hint) = (&finding.message, &finding.hint);
             json!({ "line": line, "column": column, "message": message, "hint": hint })
         });
@@ -304,35 +305,35 @@
         return Ok(());
     }
     for finding in findings {
-        writeln!(out, "{}\n", finding.draw(path, text))?;
+        writeln!(out, "{}\n", finding.render(path, text))?;
     }
     writeln!(out, "{path}: {} mistakes", findings.len())?;
     Ok(())
 }
 
 /// Reads a flag that may be left out.
-fn optional(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<Option<String>> {
-    let given: Option<String> = arguments.opt_value_from_str(flag).map_err(usage)?;
+fn optional_flag(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<Option<String>> {
+    let given: Option<String> = arguments.opt_value_from_str(flag).map_err(usage_error)?;
     let variable = flag.trim_start_matches('-').replace('-', "_").to_uppercase();
     Ok(given.or_else(|| std::env::var(format!("HOLLYSPOKE_{variable}")).ok()))
 }
 
 /// Reads a flag that must be there.
-fn required(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<String> {
-    let value = optional(arguments, flag)?;
+fn required_flag(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<String> {
+    let value = optional_flag(arguments, flag)?;
     value.ok_or_else(|| eyre!(Usage(format!("{flag} is missing"))))
 }
 
 /// Reads the one file that the command line names.
-fn file(mut arguments: Arguments) -> eyre::Result<String> {
+fn file_argument(mut arguments: Arguments) -> eyre::Result<String> {
     let path: String =
         arguments.free_from_str().map_err(|_| Usage("FILE is missing".to_owned()))?;
-    finish(arguments)?;
+    reject_unknown_arguments(arguments)?;
     Ok(path)
 }
 
 /// Ends the reading of the command line.
-fn finish(arguments: Arguments) -> eyre::Result<()> {
+fn reject_unknown_arguments(arguments: Arguments) -> eyre::Result<()> {
     let rest = arguments.finish();
     match rest.first() {
         None => Ok(()),
@@ -341,11 +342,11 @@
 }
 
 /// Reads a file.
-fn read(path: &str) -> eyre::Result<String> {
+fn read_file(path: &str) -> eyre::Result<String> {
     std::fs::read_to_string(path).wrap_err_with(|| format!("can't read {path}"))
 }
 
 /// Makes a usage error of the argument parser's.
-fn usage(error: pico_args::Error) -> eyre::Report {
+fn usage_error(error: pico_args::Error) -> eyre::Report {
     eyre!(Usage(error.to_string()))
 }
--- a/crates/hollyspoke-cli/src/show.rs
+++ b/crates/hollyspoke-cli/src/show.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// When the first box does not answer.
-pub async fn ask_all(client: &Client, address: &str) -> Result<Vec<BoxAnswer>, CallError> {
+pub async fn fetch_all(client: &Client, address: &str) -> Result<Vec<BoxAnswer>, CallError> {
     let first: Status = client.get(&format!("http://{address}/v1/status")).await?;
     let mut answers = Vec::new();
     for known in &first.boxes {
--- a/crates/hollyspoke-clock/src/lib.rs
+++ b/crates/hollyspoke-clock/src/lib.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// The least time of suspension that is noted; shorter ones count for nothing in any bound.
-const LEAST: Duration = Duration::from_millis(20);
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// A clock that does not stand still while the machine is suspended.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// The beginning of its time.
     origin: Instant,
     /// How long the machine had been suspended when it was last looked, since it was booted.
-    asleep: Cell<Duration>,
+    last_total: Cell<Duration>,
     /// How long it was suspended since the beginning.
     suspended: Cell<Duration>,
 }
@@ -28,7 +28,7 @@
     fn default() -> Clock {
         Clock {
             origin: Instant::now(),
-            asleep: Cell::new(asleep().unwrap_or_default()),
+            last_total: Cell::new(suspended_since_boot().unwrap_or_default()),
             suspended: Cell::default(),
         }
     }
@@ -46,26 +46,26 @@
     }
 
     /// Tells for how long the machine was suspended since this was last asked, if it was.
-    pub fn look(&self) -> Option<Duration> {
-        let asleep = asleep()?;
-        let span = asleep.saturating_sub(self.asleep.get());
-        if span < LEAST {
+    pub fn take_suspension(&self) -> Option<Duration> {
+        let total = suspended_since_boot()?;
+        let duration = total.saturating_sub(self.last_total.get());
+        if duration < MIN_SUSPENSION {
             return None;
         }
-        self.asleep.set(asleep);
-        Some(span)
+        self.last_total.set(total);
+        Some(duration)
     }
 
     /// Adds a time for which the machine was suspended.
-    pub fn add(&self, span: Duration) {
-        self.suspended.set(self.suspended.get() + span);
+    pub fn add_suspension(&self, duration: Duration) {
+        self.suspended.set(self.suspended.get() + duration);
     }
 }
 
 /// Gives how long the machine was suspended since it was booted; none where the system does not tell.
 /// The steady clock is read last: a pause between the two readings makes it less, never more.
-fn asleep() -> Option<Duration> {
-    let all = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?);
-    let steady = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?);
-    Some(all.saturating_sub(steady))
+fn suspended_since_boot() -> Option<Duration> {
+    let boot_time = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?);
+    let monotonic_time = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?);
+    Some(boot_time.saturating_sub(monotonic_time))
 }
--- a/crates/hollyspoke-daemon/src/callers.rs
+++ b/crates/hollyspoke-daemon/src/callers.rs
@@ -182,7 +182,7 @@
             .map_err(|error| CallError::Connect(error.to_string()))?;
         let response = match repeatable {
             true => self.client.send(request).await?,
-            false => self.client.send_fresh(request).await?,
+            false => self.client.send_unpooled(request).await?,
         };
         Ok(response.map(Body::new))
     }
--- a/crates/hollyspoke-daemon/src/main.rs
+++ b/crates/hollyspoke-daemon/src/main.rs
@@ -30,7 +30,7 @@
             return Ok(ExitCode::from(EXIT_SETTINGS));
         }
     };
-    let (log, _guard) = log::make(settings.log, &settings.name);
+    let (log, _guard) = log::new_logger(settings.log, &settings.name);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let running = run::start(settings, log.clone()).await?;
--- a/crates/hollyspoke-daemon/src/metrics.rs
+++ b/crates/hollyspoke-daemon/src/metrics.rs
@@ -58,7 +58,7 @@
     /// When the exporter can't be set up.
     pub fn new() -> eyre::Result<Metrics> {
         let exporter = Exporter::new()?;
-        let seconds = |name, what| exporter.seconds(name, what, &SECONDS);
+        let seconds = |name, what| exporter.seconds_histogram(name, what, &SECONDS);
         let count = |name, what| exporter.counter(name, what);
         Ok(Metrics {
             first_token: seconds("hollyspoke_first_token", "from arrival to the first token"),
@@ -114,6 +114,6 @@
 
     /// Writes all metrics in Prometheus' text form.
     pub fn text(&self) -> String {
-        self.exporter.text()
+        self.exporter.prometheus_text()
     }
 }
--- a/crates/hollyspoke-daemon/src/peers.rs
+++ b/crates/hollyspoke-daemon/src/peers.rs
@@ -6,7 +6,7 @@
 use hollyspoke::key::Incarnation;
 use hollyspoke::member::Entry;
 use hollyspoke::message::Message;
-use hollyspoke_wire::peer::Link;
+use hollyspoke_wire::peer::Connection;
 use tokio::sync::mpsc;
 
 use crate::input::Inputs;
@@ -74,11 +74,11 @@
     address: String,
     mut waiting: mpsc::Receiver<Outgoing>,
 ) {
-    let mut link: Option<Link> = None;
+    let mut link: Option<Connection> = None;
     let mut batch = Vec::new();
     while waiting.recv_many(&mut batch, BATCH).await > 0 {
         if link.is_none() {
-            link = Link::open(&address).await.ok();
+            link = Connection::open(&address).await.ok();
         }
         let Some(open) = &link else {
             batch.extend(std::iter::from_fn(|| waiting.try_recv().ok()));
@@ -107,7 +107,7 @@
 }
 
 /// Delivers a batch; false when the connection has failed.
-async fn deliver(me: Incarnation, inputs: &Inputs, link: &Link, batch: &[Outgoing]) -> bool {
+async fn deliver(me: Incarnation, inputs: &Inputs, link: &Connection, batch: &[Outgoing]) -> bool {
     let mut messages: Vec<(Incarnation, Vec<Message>)> = Vec::new();
     let mut greeting = None;
     for outgoing in batch {
--- a/crates/hollyspoke-daemon/src/settings.rs
+++ b/crates/hollyspoke-daemon/src/settings.rs
@@ -63,7 +63,7 @@
     pub log: LogForm,
 }
 
-pub use hollyspoke_log::Form as LogForm;
+pub use hollyspoke_log::Format as LogForm;
 
 /// One setting that is wrong.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/hollyspoke-daemon/src/shell.rs
+++ b/crates/hollyspoke-daemon/src/shell.rs
@@ -11,7 +11,7 @@
 use hollyspoke_clock::Clock;
 use hollyspoke_wire::engine::{Decode, Import};
 use hollyspoke_wire::http::Client;
-use hollyspoke_wire::peer::Arrived;
+use hollyspoke_wire::peer::Received;
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle};
@@ -129,8 +129,8 @@
             self.attempts.remove(ticket);
         }
         // The reducer takes a gap for a pause, after which what it held may be another box's.
-        if let Some(span) = self.clock.look() {
-            self.clock.add(span);
+        if let Some(span) = self.clock.take_suspension() {
+            self.clock.add_suspension(span);
         }
         let now = self.clock.now();
         let effects = self.node.step(now, event);
@@ -189,7 +189,7 @@
             Effect::Store { number, operation } => {
                 let platform = self.site.platform.clone();
                 tokio::spawn(async move {
-                    let answer = platform.operate(operation).await;
+                    let answer = platform.execute(operation).await;
                     inputs.event(Event::Store { number, answer });
                 });
             }
@@ -277,11 +277,11 @@
 }
 
 /// Passes what other boxes send on to the loop, until either end is gone.
-pub async fn pass_on(mut arrived: mpsc::UnboundedReceiver<Arrived>, inputs: Inputs) {
+pub async fn pass_on(mut arrived: mpsc::UnboundedReceiver<Received>, inputs: Inputs) {
     while let Some(arrived) = arrived.recv().await {
         match arrived {
-            Arrived::Greeting(entry) => inputs.event(Event::Seen(entry)),
-            Arrived::Messages { from, messages } => {
+            Received::Greeting(entry) => inputs.event(Event::Seen(entry)),
+            Received::Messages { from, messages } => {
                 for message in messages {
                     inputs.event(Event::Peer { from, message: Box::new(message) });
                 }
--- a/crates/hollyspoke-daemon/src/upstream.rs
+++ b/crates/hollyspoke-daemon/src/upstream.rs
@@ -193,7 +193,7 @@
         .map_err(|error| CallError::Connect(error.to_string()))?;
     let response = match plain.repeatable {
         true => client.send(request).await?,
-        false => client.send_fresh(request).await?,
+        false => client.send_unpooled(request).await?,
     };
     let status = response.status().as_u16();
     let headers = response.headers().iter().filter_map(passed_on).collect();
--- a/crates/hollyspoke-file/src/check.rs
+++ b/crates/hollyspoke-file/src/check.rs
@@ -6,7 +6,7 @@
 use hollyspoke::site::{Engine, Kind};
 
 use crate::finding::{Finding, nearest};
-use crate::parse::{Draft, Sort};
+use crate::parse::{Draft, NameKind};
 
 /// The path prefix that is kept for the box's own interface.
 const RESERVED_PREFIXES: [&str; 4] = ["/v1", "/metrics", "/healthz", "/readyz"];
@@ -23,30 +23,31 @@
 /// Checks that no name of one sort is given twice.
 fn check_names(draft: &Draft, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
-    for (sort, name) in &draft.names {
-        if !seen.insert((*sort, name.value.as_str())) {
-            let message = format!("the {} `{}` is there twice", sort.word(), name.value);
-            findings.push(Finding::new(name.span.clone(), message).hint("give it another name"));
+    for (kind, name) in &draft.definitions {
+        if !seen.insert((*kind, name.value.as_str())) {
+            let message = format!("the {} `{}` is there twice", kind.label(), name.value);
+            findings
+                .push(Finding::new(name.span.clone(), message).with_hint("give it another name"));
         }
     }
 }
 
-/// Checks that every name referred to is given.
+/// Checks that every name referred to is defined.
 fn check_references(draft: &Draft, findings: &mut Vec<Finding>) {
-    let mut given: BTreeMap<Sort, BTreeSet<&str>> = BTreeMap::new();
-    for (sort, name) in &draft.names {
-        given.entry(*sort).or_default().insert(&name.value);
+    let mut defined: BTreeMap<NameKind, BTreeSet<&str>> = BTreeMap::new();
+    for (kind, name) in &draft.definitions {
+        defined.entry(*kind).or_default().insert(&name.value);
     }
     let none = BTreeSet::new();
-    for (sort, name) in &draft.references {
-        let known = given.get(sort).unwrap_or(&none);
+    for (kind, name) in &draft.references {
+        let known = defined.get(kind).unwrap_or(&none);
         if known.contains(name.value.as_str()) {
             continue;
         }
-        let message = format!("there is no {} `{}`", sort.word(), name.value);
+        let message = format!("there is no {} `{}`", kind.label(), name.value);
         let mut finding = Finding::new(name.span.clone(), message);
-        if let Some(meant) = nearest(&name.value, known.iter().copied()) {
-            finding = finding.hint(format!("did you mean `{meant}`?"));
+        if let Some(suggestion) = nearest(&name.value, known.iter().copied()) {
+            finding = finding.with_hint(format!("did you mean `{suggestion}`?"));
         }
         findings.push(finding);
     }
@@ -59,7 +60,7 @@
         if address.value.parse::<SocketAddr>().is_err() {
             let message = format!("`{}` is no address", address.value);
             let hint = "write an IP number and a port, such as `10.1.0.7:8000`";
-            findings.push(Finding::new(address.span.clone(), message).hint(hint));
+            findings.push(Finding::new(address.span.clone(), message).with_hint(hint));
             continue;
         }
         if !seen.insert(&address.value) {
@@ -77,14 +78,14 @@
         let span = prefix.span.clone();
         if !path.starts_with('/') {
             let message = format!("the prefix `{}` does not begin with a slash", prefix.value);
-            findings.push(Finding::new(span, message).hint("write a path such as `/orders`"));
+            findings.push(Finding::new(span, message).with_hint("write a path such as `/orders`"));
             continue;
         }
         let reserved =
             RESERVED_PREFIXES.iter().find(|it| path == **it || path.starts_with(&format!("{it}/")));
         if let Some(reserved) = reserved {
             let message = format!("the prefix `{reserved}` belongs to the box itself");
-            findings.push(Finding::new(span, message).hint("choose another path"));
+            findings.push(Finding::new(span, message).with_hint("choose another path"));
             continue;
         }
         if !seen.insert(path) {
@@ -98,38 +99,38 @@
 fn check_services(draft: &Draft, findings: &mut Vec<Finding>) {
     let site = &draft.site;
     for service in &site.services {
-        let place = draft.services.iter().find(|(name, _)| *name == service.name);
-        let Some((_, span)) = place else { continue };
+        let entry = draft.services.iter().find(|(name, _)| *name == service.name);
+        let Some((_, span)) = entry else { continue };
         let engines: Vec<&Engine> =
             site.engines.iter().filter(|it| it.service == service.name).collect();
         let upstreams = site.upstreams.iter().filter(|it| it.service == service.name).count();
-        let mut find = |message: String, hint: &str| {
-            findings.push(Finding::new(span.clone(), message).hint(hint));
+        let mut report = |message: String, hint: &str| {
+            findings.push(Finding::new(span.clone(), message).with_hint(hint));
         };
         match service.kind {
             Kind::Engines { .. } => {
                 if !engines.iter().any(|it| it.role.prefills()) {
                     let message =
                         format!("the service `{}` has no engine to prefill", service.name);
-                    find(message, "add an `[[engine]]` with role `prefill` or `both`");
+                    report(message, "add an `[[engine]]` with role `prefill` or `both`");
                 }
                 if !engines.iter().any(|it| it.role.decodes()) {
                     let message = format!("the service `{}` has no engine to decode", service.name);
-                    find(message, "add an `[[engine]]` with role `decode` or `both`");
+                    report(message, "add an `[[engine]]` with role `decode` or `both`");
                 }
                 if upstreams > 0 {
                     let message = format!("the service `{}` has plain upstreams", service.name);
-                    find(message, "make them engines, or the service `plain`");
+                    report(message, "make them engines, or the service `plain`");
                 }
             }
             Kind::Plain { .. } => {
                 if upstreams == 0 {
                     let message = format!("the service `{}` has no upstream", service.name);
-                    find(message, "add an `[[upstream]]`");
+                    report(message, "add an `[[upstream]]`");
                 }
                 if !engines.is_empty() {
                     let message = format!("the plain service `{}` has engines", service.name);
-                    find(message, "make them upstreams, or the service `engines`");
+                    report(message, "make them upstreams, or the service `engines`");
                 }
             }
         }
--- a/crates/hollyspoke-file/src/finding.rs
+++ b/crates/hollyspoke-file/src/finding.rs
@@ -23,13 +23,13 @@
     }
 
     /// Adds a hint.
-    pub fn hint(mut self, hint: impl Into<String>) -> Finding {
+    pub fn with_hint(mut self, hint: impl Into<String>) -> Finding {
         self.hint = Some(hint.into());
         self
     }
 
     /// Gives the finding's line and column in a text, both from one; columns count characters.
-    pub fn place(&self, text: &str) -> (usize, usize) {
+    pub fn line_and_column(&self, text: &str) -> (usize, usize) {
         let before = text.get(..self.span.start).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let last = before.rsplit('\n').next().unwrap_or("");
@@ -37,7 +37,7 @@
     }
 
     /// Draws the finding with the lines it speaks of.
-    pub fn draw(&self, path: &str, text: &str) -> String {
+    pub fn render(&self, path: &str, text: &str) -> String {
         let end = self.span.end.min(text.len());
         let span = self.span.start.min(end)..end;
         let snippet = Snippet::source(text)
@@ -49,18 +49,18 @@
 }
 
 /// Finds the known name nearest to a wrong one, if it is near enough to be meant.
-pub fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let most = (wrong.chars().count() / 3).max(1);
+pub fn nearest<'a>(unknown: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+    let max_distance = (unknown.chars().count() / 3).max(1);
     known
         .into_iter()
-        .map(|it| (distance(wrong, it), it))
-        .filter(|(distance, _)| *distance <= most)
+        .map(|it| (edit_distance(unknown, it), it))
+        .filter(|(distance, _)| *distance <= max_distance)
         .min_by_key(|(distance, _)| *distance)
         .map(|(_, it)| it)
 }
 
 /// Counts the single-character edits between two words.
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, from) in a.chars().enumerate() {
--- a/crates/hollyspoke-file/src/parse.rs
+++ b/crates/hollyspoke-file/src/parse.rs
@@ -7,23 +7,23 @@
 use toml::de::DeTable;
 
 use crate::finding::Finding;
-use crate::reader::{Placed, Reader};
+use crate::reader::{Located, Reader};
 
 /// The default target for the first token, in milliseconds.
-const FIRST_TOKEN_MS: u64 = 1200;
+const DEFAULT_FIRST_TOKEN_MS: u64 = 1200;
 
 /// The default target for the time between tokens, in milliseconds.
-const BETWEEN_TOKENS_MS: u64 = 35;
+const DEFAULT_BETWEEN_TOKENS_MS: u64 = 35;
 
 /// The default time that a call of a plain service may take, in milliseconds.
-const TIMEOUT_MS: u64 = 10_000;
+const DEFAULT_TIMEOUT_MS: u64 = 10_000;
 
 /// The bytes of one megabyte, as links' rates count them.
-const MEGABYTE: u64 = 1_000_000;
+const BYTES_PER_MEGABYTE: u64 = 1_000_000;
 
 /// What a name of the file stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Sort {
+pub enum NameKind {
     /// A data centre.
     DataCentre,
     /// A model.
@@ -38,16 +38,16 @@
     Tenant,
 }
 
-impl Sort {
+impl NameKind {
     /// Gives the word for messages.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Sort::DataCentre => "data centre",
-            Sort::Model => "model",
-            Sort::Adapter => "adapter",
-            Sort::Service => "service",
-            Sort::Upstream => "engine or upstream",
-            Sort::Tenant => "tenant",
+            NameKind::DataCentre => "data centre",
+            NameKind::Model => "model",
+            NameKind::Adapter => "adapter",
+            NameKind::Service => "service",
+            NameKind::Upstream => "engine or upstream",
+            NameKind::Tenant => "tenant",
         }
     }
 }
@@ -58,36 +58,36 @@
     /// The site.
     pub site: Site,
     /// The names that are given, with their places.
-    pub names: Vec<(Sort, Placed<String>)>,
+    pub definitions: Vec<(NameKind, Located<String>)>,
     /// The names that are referred to, with their places.
-    pub references: Vec<(Sort, Placed<String>)>,
+    pub references: Vec<(NameKind, Located<String>)>,
     /// The addresses, with their places.
-    pub addresses: Vec<Placed<String>>,
+    pub addresses: Vec<Located<String>>,
     /// The path prefixes, with their places.
-    pub prefixes: Vec<Placed<String>>,
+    pub prefixes: Vec<Located<String>>,
     /// The tables of services, with their places.
     pub services: Vec<(String, Range<usize>)>,
 }
 
 impl Draft {
     /// Notes a name that is given; gives the name.
-    fn name(&mut self, sort: Sort, name: Option<Placed<String>>) -> String {
+    fn define(&mut self, kind: NameKind, name: Option<Located<String>>) -> String {
         let Some(name) = name else { return String::new() };
         let value = name.value.clone();
-        self.names.push((sort, name));
+        self.definitions.push((kind, name));
         value
     }
 
     /// Notes a name that is referred to; gives the name.
-    fn reference(&mut self, sort: Sort, name: Option<Placed<String>>) -> String {
+    fn reference(&mut self, kind: NameKind, name: Option<Located<String>>) -> String {
         let Some(name) = name else { return String::new() };
         let value = name.value.clone();
-        self.references.push((sort, name));
+        self.references.push((kind, name));
         value
     }
 
     /// Notes an address; gives it.
-    fn address(&mut self, address: Option<Placed<String>>) -> String {
+    fn address(&mut self, address: Option<Located<String>>) -> String {
         let Some(address) = address else { return String::new() };
         let value = address.value.clone();
         self.addresses.push(address);
@@ -106,11 +106,11 @@
         return None;
     }
     let mut draft = Draft::default();
-    let whole = 0..text.find('\n').unwrap_or(text.len());
-    let mut reader = Reader::new(root.get_ref(), whole, "the file", findings);
+    let first_line = 0..text.find('\n').unwrap_or(text.len());
+    let mut reader = Reader::new(root.get_ref(), first_line, "the file", findings);
     draft.site.name = reader.text("site").map(|it| it.value).unwrap_or_default();
     for data_centre in reader.texts("data_centres") {
-        let name = draft.name(Sort::DataCentre, Some(data_centre));
+        let name = draft.define(NameKind::DataCentre, Some(data_centre));
         draft.site.data_centres.push(name);
     }
     let models = reader.tables("model");
@@ -119,7 +119,7 @@
     let upstreams = reader.tables("upstream");
     let links = reader.tables("link");
     let tenants = reader.tables("tenant");
-    reader.finish();
+    reader.report_unknown_keys();
     for (table, span) in models {
         model(&mut draft, Reader::new(table, span, "a model", findings));
     }
@@ -143,25 +143,26 @@
 
 /// Reads a model.
 fn model(draft: &mut Draft, mut reader: Reader<'_, '_>) {
-    let name = draft.name(Sort::Model, reader.text("name"));
+    let name = draft.define(NameKind::Model, reader.text("name"));
     let kv_bytes_per_token = reader.count("kv_bytes_per_token").unwrap_or(0);
     draft.site.models.push(Model { name, kv_bytes_per_token });
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Reads a service.
 fn service(draft: &mut Draft, mut reader: Reader<'_, '_>) {
-    let name = draft.name(Sort::Service, reader.text("name"));
+    let name = draft.define(NameKind::Service, reader.text("name"));
     draft.services.push((name.clone(), reader.span()));
     let kind = reader.text("kind");
     let kind = match kind.as_ref().map(|it| it.value.as_str()) {
         Some("engines") => {
-            let model = draft.reference(Sort::Model, reader.text("model"));
+            let model = draft.reference(NameKind::Model, reader.text("model"));
             let adapters = reader.texts("adapters");
             let adapters =
-                adapters.into_iter().map(|it| draft.name(Sort::Adapter, Some(it))).collect();
-            let first_token = millis(reader.count_or("first_token_ms", FIRST_TOKEN_MS));
-            let between_tokens = millis(reader.count_or("between_tokens_ms", BETWEEN_TOKENS_MS));
+                adapters.into_iter().map(|it| draft.define(NameKind::Adapter, Some(it))).collect();
+            let first_token = millis(reader.count_or("first_token_ms", DEFAULT_FIRST_TOKEN_MS));
+            let between_tokens =
+                millis(reader.count_or("between_tokens_ms", DEFAULT_BETWEEN_TOKENS_MS));
             Kind::Engines { model, adapters, first_token, between_tokens }
         }
         Some("plain") => {
@@ -169,26 +170,26 @@
             draft.prefixes.extend(prefix.clone());
             let prefix = prefix.map(|it| it.value).unwrap_or_default();
             let repeatable = reader.flag_or("repeatable", false);
-            let timeout = millis(reader.count_or("timeout_ms", TIMEOUT_MS));
+            let timeout = millis(reader.count_or("timeout_ms", DEFAULT_TIMEOUT_MS));
             Kind::Plain { prefix, repeatable, timeout }
         }
         Some(other) => {
             let message = format!("there is no kind `{other}` of service");
             let span = kind.as_ref().map_or(reader.span(), |it| it.span.clone());
-            reader.find(Finding::new(span, message).hint("write `engines` or `plain`"));
+            reader.report(Finding::new(span, message).with_hint("write `engines` or `plain`"));
             return;
         }
         None => return,
     };
     draft.site.services.push(Service { name, kind });
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Reads an engine.
 fn engine(draft: &mut Draft, mut reader: Reader<'_, '_>) {
-    let name = draft.name(Sort::Upstream, reader.text("name"));
-    let service = draft.reference(Sort::Service, reader.text("service"));
-    let data_centre = draft.reference(Sort::DataCentre, reader.text("data_centre"));
+    let name = draft.define(NameKind::Upstream, reader.text("name"));
+    let service = draft.reference(NameKind::Service, reader.text("service"));
+    let data_centre = draft.reference(NameKind::DataCentre, reader.text("data_centre"));
     let address = draft.address(reader.text("address"));
     let role = role(&mut reader);
     let engine = Engine {
@@ -199,12 +200,12 @@
         role,
         memory_tokens: reader.count("memory_tokens").unwrap_or(1),
         prefill_rate: reader.count("prefill_tokens_per_second").unwrap_or(1),
-        token_time: millis(reader.count_or("token_ms", BETWEEN_TOKENS_MS)),
+        token_time: millis(reader.count_or("token_ms", DEFAULT_BETWEEN_TOKENS_MS)),
         checks_orders: reader.flag_or("checks_orders", false),
         leaving: reader.flag_or("leaving", false),
     };
     draft.site.engines.push(engine);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Reads an engine's role.
@@ -217,7 +218,7 @@
         other => {
             let message = format!("there is no role `{other}`");
             let hint = "write `prefill`, `decode` or `both`";
-            reader.find(Finding::new(role.span, message).hint(hint));
+            reader.report(Finding::new(role.span, message).with_hint(hint));
             Role::Both
         }
     }
@@ -226,39 +227,39 @@
 /// Reads a plain service's upstream.
 fn upstream(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let upstream = Upstream {
-        name: draft.name(Sort::Upstream, reader.text("name")),
-        service: draft.reference(Sort::Service, reader.text("service")),
-        data_centre: draft.reference(Sort::DataCentre, reader.text("data_centre")),
+        name: draft.define(NameKind::Upstream, reader.text("name")),
+        service: draft.reference(NameKind::Service, reader.text("service")),
+        data_centre: draft.reference(NameKind::DataCentre, reader.text("data_centre")),
         address: draft.address(reader.text("address")),
         leaving: reader.flag_or("leaving", false),
     };
     draft.site.upstreams.push(upstream);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Reads a link.
 fn link(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let link = Link {
-        from: draft.reference(Sort::DataCentre, reader.text("from")),
-        to: draft.reference(Sort::DataCentre, reader.text("to")),
+        from: draft.reference(NameKind::DataCentre, reader.text("from")),
+        to: draft.reference(NameKind::DataCentre, reader.text("to")),
         bytes_per_second: reader
             .count("megabytes_per_second")
             .unwrap_or(1)
-            .saturating_mul(MEGABYTE),
+            .saturating_mul(BYTES_PER_MEGABYTE),
     };
     draft.site.links.push(link);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Reads a tenant.
 fn tenant(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let tenant = Tenant {
-        name: draft.name(Sort::Tenant, reader.text("name")),
-        requests_per_second: reader.number_or_none("requests_per_second"),
-        share: reader.number_or_none("share").unwrap_or(1.0),
+        name: draft.define(NameKind::Tenant, reader.text("name")),
+        requests_per_second: reader.optional_number("requests_per_second"),
+        share: reader.optional_number("share").unwrap_or(1.0),
     };
     draft.site.tenants.push(tenant);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 /// Makes a span from milliseconds.
--- a/crates/hollyspoke-file/src/reader.rs
+++ b/crates/hollyspoke-file/src/reader.rs
@@ -11,7 +11,7 @@
 
 /// A value with its place.
 #[derive(Debug, Clone)]
-pub struct Placed<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// Its place, in bytes.
@@ -25,9 +25,9 @@
     /// The table's place.
     span: Range<usize>,
     /// What the table is, for messages.
-    what: &'static str,
+    label: &'static str,
     /// The keys that were asked for.
-    asked: BTreeSet<&'static str>,
+    known_keys: BTreeSet<&'static str>,
     /// The findings of the file.
     findings: &'f mut Vec<Finding>,
 }
@@ -37,10 +37,10 @@
     pub fn new(
         table: &'a DeTable<'a>,
         span: Range<usize>,
-        what: &'static str,
+        label: &'static str,
         findings: &'f mut Vec<Finding>,
     ) -> Reader<'a, 'f> {
-        Reader { table, span, what, asked: BTreeSet::new(), findings }
+        Reader { table, span, label, known_keys: BTreeSet::new(), findings }
     }
 
     /// Gives the table's place.
@@ -49,53 +49,53 @@
     }
 
     /// Adds a finding.
-    pub fn find(&mut self, finding: Finding) {
+    pub fn report(&mut self, finding: Finding) {
         self.findings.push(finding);
     }
 
     /// Reads a text that must be there.
-    pub fn text(&mut self, key: &'static str) -> Option<Placed<String>> {
+    pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         let value = self.required(key)?;
-        self.as_text(key, value)
+        self.read_text(key, value)
     }
 
     /// Reads a list of texts that may be left out.
-    pub fn texts(&mut self, key: &'static str) -> Vec<Placed<String>> {
+    pub fn texts(&mut self, key: &'static str) -> Vec<Located<String>> {
         let Some(value) = self.optional(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
-            self.wrong_type(key, "a list of texts", value);
+            self.report_wrong_type(key, "a list of texts", value);
             return Vec::new();
         };
-        items.iter().filter_map(|it| self.as_text(key, it)).collect()
+        items.iter().filter_map(|it| self.read_text(key, it)).collect()
     }
 
     /// Reads a positive whole number that must be there.
     pub fn count(&mut self, key: &'static str) -> Option<u64> {
         let value = self.required(key)?;
-        self.as_count(key, value)
+        self.read_count(key, value)
     }
 
     /// Reads a positive whole number that may be left out.
     pub fn count_or(&mut self, key: &'static str, default: u64) -> u64 {
         let Some(value) = self.optional(key) else { return default };
-        self.as_count(key, value).unwrap_or(default)
+        self.read_count(key, value).unwrap_or(default)
     }
 
     /// Reads a positive number that may be left out.
-    pub fn number_or_none(&mut self, key: &'static str) -> Option<f64> {
+    pub fn optional_number(&mut self, key: &'static str) -> Option<f64> {
         let value = self.optional(key)?;
         let number = match value.get_ref() {
             DeValue::Integer(it) => parse_integer(it.as_str(), it.radix()).map(|it| it as f64),
             DeValue::Float(it) => f64::from_str(&it.as_str().replace('_', "")).ok(),
             _ => {
-                self.wrong_type(key, "a number", value);
+                self.report_wrong_type(key, "a number", value);
                 return None;
             }
         };
         let positive = number.filter(|it| it.is_finite() && *it > 0.0);
         if positive.is_none() {
             let message = format!("`{key}` must be a positive number");
-            self.find(Finding::new(value.span(), message));
+            self.report(Finding::new(value.span(), message));
         }
         positive
     }
@@ -104,7 +104,7 @@
     pub fn flag_or(&mut self, key: &'static str, default: bool) -> bool {
         let Some(value) = self.optional(key) else { return default };
         let DeValue::Boolean(flag) = value.get_ref() else {
-            self.wrong_type(key, "`true` or `false`", value);
+            self.report_wrong_type(key, "`true` or `false`", value);
             return default;
         };
         *flag
@@ -116,38 +116,38 @@
         let DeValue::Array(items) = value.get_ref() else {
             let message = format!("`{key}` must be a list of tables");
             let hint = format!("write `[[{key}]]`");
-            self.find(Finding::new(value.span(), message).hint(hint));
+            self.report(Finding::new(value.span(), message).with_hint(hint));
             return Vec::new();
         };
         let mut tables = Vec::new();
         for item in items.iter() {
             match item.get_ref() {
                 DeValue::Table(table) => tables.push((table, item.span())),
-                _ => self.wrong_type(key, "a table", item),
+                _ => self.report_wrong_type(key, "a table", item),
             }
         }
         tables
     }
 
     /// Ends the reading: what was never asked for is not known.
-    pub fn finish(mut self) {
+    pub fn report_unknown_keys(mut self) {
         for (key, _) in self.table.iter() {
             let name: &str = key.get_ref();
-            if self.asked.contains(name) {
+            if self.known_keys.contains(name) {
                 continue;
             }
-            let message = format!("{} has no entry `{name}`", self.what);
+            let message = format!("{} has no entry `{name}`", self.label);
             let mut finding = Finding::new(key.span(), message);
-            if let Some(meant) = nearest(name, self.asked.iter().copied()) {
-                finding = finding.hint(format!("did you mean `{meant}`?"));
+            if let Some(suggestion) = nearest(name, self.known_keys.iter().copied()) {
+                finding = finding.with_hint(format!("did you mean `{suggestion}`?"));
             }
-            self.find(finding);
+            self.report(finding);
         }
     }
 
     /// Gives an entry that may be left out.
     fn optional(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.insert(key);
+        self.known_keys.insert(key);
         self.table.get(key)
     }
 
@@ -155,43 +155,43 @@
     fn required(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         let value = self.optional(key);
         if value.is_none() {
-            let message = format!("{} lacks `{key}`", self.what);
+            let message = format!("{} lacks `{key}`", self.label);
             let span = self.span();
-            self.find(Finding::new(span, message).hint(format!("add `{key} = …`")));
+            self.report(Finding::new(span, message).with_hint(format!("add `{key} = …`")));
         }
         value
     }
 
     /// Takes a value as a text that is not empty.
-    fn as_text(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<Placed<String>> {
+    fn read_text(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<Located<String>> {
         let DeValue::String(text) = value.get_ref() else {
-            self.wrong_type(key, "a text", value);
+            self.report_wrong_type(key, "a text", value);
             return None;
         };
         if text.is_empty() {
-            self.find(Finding::new(value.span(), format!("`{key}` must not be empty")));
+            self.report(Finding::new(value.span(), format!("`{key}` must not be empty")));
             return None;
         }
-        Some(Placed { value: text.to_string(), span: value.span() })
+        Some(Located { value: text.to_string(), span: value.span() })
     }
 
     /// Takes a value as a positive whole number.
-    fn as_count(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<u64> {
+    fn read_count(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<u64> {
         let DeValue::Integer(integer) = value.get_ref() else {
-            self.wrong_type(key, "a whole number", value);
+            self.report_wrong_type(key, "a whole number", value);
             return None;
         };
         let number = parse_integer(integer.as_str(), integer.radix());
         let positive = number.and_then(|it| u64::try_from(it).ok()).filter(|it| *it > 0);
         if positive.is_none() {
             let message = format!("`{key}` must be a positive whole number");
-            self.find(Finding::new(value.span(), message));
+            self.report(Finding::new(value.span(), message));
         }
         positive
     }
 
     /// Notes that an entry is of the wrong type.
-    fn wrong_type(&mut self, key: &str, wanted: &str, value: &Spanned<DeValue<'_>>) {
+    fn report_wrong_type(&mut self, key: &str, expected: &str, value: &Spanned<DeValue<'_>>) {
         let found = match value.get_ref() {
             DeValue::String(_) => "a text",
             DeValue::Integer(_) => "a whole number",
@@ -201,8 +201,8 @@
             DeValue::Array(_) => "a list",
             DeValue::Table(_) => "a table",
         };
-        let message = format!("`{key}` must be {wanted}, not {found}");
-        self.find(Finding::new(value.span(), message));
+        let message = format!("`{key}` must be {expected}, not {found}");
+        self.report(Finding::new(value.span(), message));
     }
 }
 
--- a/crates/hollyspoke-metrics/src/lib.rs
+++ b/crates/hollyspoke-metrics/src/lib.rs
@@ -6,7 +6,7 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 
 /// The name under which all instruments are made.
-const SCOPE: &str = "hollyspoke";
+const METER_NAME: &str = "hollyspoke";
 
 /// All instruments of a process.
 #[derive(Debug)]
@@ -34,33 +34,33 @@
             .build()
             .wrap_err("the metrics exporter can't be set up")?;
         let provider = SdkMeterProvider::builder().with_reader(reader).build();
-        let meter = provider.meter(SCOPE);
+        let meter = provider.meter(METER_NAME);
         Ok(Exporter { registry, _provider: provider, meter })
     }
 
     /// Makes a counter.
-    pub fn counter(&self, name: &'static str, what: &'static str) -> Counter<u64> {
-        self.meter.u64_counter(name).with_description(what).build()
+    pub fn counter(&self, name: &'static str, help: &'static str) -> Counter<u64> {
+        self.meter.u64_counter(name).with_description(help).build()
     }
 
     /// Makes a gauge.
-    pub fn gauge(&self, name: &'static str, what: &'static str) -> Gauge<u64> {
-        self.meter.u64_gauge(name).with_description(what).build()
+    pub fn gauge(&self, name: &'static str, help: &'static str) -> Gauge<u64> {
+        self.meter.u64_gauge(name).with_description(help).build()
     }
 
     /// Makes a histogram of seconds with the bounds of its buckets.
-    pub fn seconds(
+    pub fn seconds_histogram(
         &self,
         name: &'static str,
-        what: &'static str,
+        help: &'static str,
         bounds: &[f64],
     ) -> Histogram<f64> {
-        let histogram = self.meter.f64_histogram(name).with_description(what);
+        let histogram = self.meter.f64_histogram(name).with_description(help);
         histogram.with_unit("s").with_boundaries(bounds.to_vec()).build()
     }
 
     /// Writes all metrics in Prometheus' text form.
-    pub fn text(&self) -> String {
+    pub fn prometheus_text(&self) -> String {
         let mut bytes = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut bytes) {
             Ok(()) => String::from_utf8_lossy(&bytes).into_owned(),
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -77,7 +77,7 @@
         let count = |name, what| exporter.counter(name, what);
         let gauge = |name, what| exporter.gauge(name, what);
         Ok(Metrics {
-            ended: exporter.seconds("hollyspoke_request", ended, &SECONDS),
+            ended: exporter.seconds_histogram("hollyspoke_request", ended, &SECONDS),
             version: gauge("hollyspoke_configuration_version", version),
             customer_requests: count(
                 "hollyspoke_customer_requests",
@@ -192,7 +192,7 @@
 
     /// Writes all metrics in Prometheus' text form.
     pub fn text(&self) -> String {
-        self.exporter.text()
+        self.exporter.prometheus_text()
     }
 
     /// Takes what an engine takes now.
--- a/crates/hollyspoke-server/src/node.rs
+++ b/crates/hollyspoke-server/src/node.rs
@@ -203,14 +203,14 @@
 
     /// Tells the reducer if the machine was suspended since the last event.
     pub fn notice_suspension(self: &Rc<Node>) {
-        if let Some(span) = self.clock.look() {
+        if let Some(span) = self.clock.take_suspension() {
             self.suspended(span);
         }
     }
 
     /// Tells the reducer that the machine was suspended for a time.
     pub fn suspended(self: &Rc<Node>, span: Duration) {
-        self.clock.add(span);
+        self.clock.add_suspension(span);
         self.step(Event::Suspended(span));
     }
 
--- a/crates/hollyspoke-standin/src/engine.rs
+++ b/crates/hollyspoke-standin/src/engine.rs
@@ -182,7 +182,7 @@
             .route("/v1/report", get(report))
             .route("/standin/faults", post(set_faults))
             .route("/standin/ledger", get(ledger))
-            .layer(axum::extract::DefaultBodyLimit::max(hollyspoke_wire::http::BODY_LIMIT))
+            .layer(axum::extract::DefaultBodyLimit::max(hollyspoke_wire::http::MAX_BODY_BYTES))
             .with_state(self.clone())
     }
 
--- a/crates/hollyspoke-wire/src/engine.rs
+++ b/crates/hollyspoke-wire/src/engine.rs
@@ -19,7 +19,7 @@
 pub const STATUS_FENCED: u16 = 412;
 
 /// The longest line of a stream, in bytes.
-const MOST_LINE: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// `POST /v1/prefill`: compute a prompt and keep the result for a few seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -161,7 +161,7 @@
 }
 
 /// What is left of a body that is cut into lines.
-struct Rest {
+struct LineReader {
     /// The body.
     body: Incoming,
     /// Bytes of a line that has not ended.
@@ -170,11 +170,11 @@
 
 /// Cuts a body into lines of JSON.
 fn lines(body: Incoming) -> impl Stream<Item = Result<Line, CallError>> + Send {
-    let rest = Rest { body, bytes: Vec::new() };
-    stream::unfold(Some(rest), |rest| async move {
-        let mut rest = rest?;
-        match rest.next_line().await {
-            Ok(Some(line)) => Some((Ok(line), Some(rest))),
+    let reader = LineReader { body, bytes: Vec::new() };
+    stream::unfold(Some(reader), |reader| async move {
+        let mut reader = reader?;
+        match reader.next_line().await {
+            Ok(Some(line)) => Some((Ok(line), Some(reader))),
             Ok(None) => None,
             Err(error) => Some((Err(error), None)),
         }
@@ -182,7 +182,7 @@
     .boxed()
 }
 
-impl Rest {
+impl LineReader {
     /// Reads the next line; nothing at the body's end.
     async fn next_line(&mut self) -> Result<Option<Line>, CallError> {
         loop {
@@ -192,7 +192,7 @@
                     .map(Some)
                     .map_err(|it| CallError::Sent(it.to_string()));
             }
-            if self.bytes.len() > MOST_LINE {
+            if self.bytes.len() > MAX_LINE_BYTES {
                 return Err(CallError::Sent("a line is too long".to_owned()));
             }
             let Some(frame) = self.body.frame().await else { return Ok(None) };
--- a/crates/hollyspoke-wire/src/http.rs
+++ b/crates/hollyspoke-wire/src/http.rs
@@ -14,10 +14,10 @@
 use serde::de::DeserializeOwned;
 
 /// How long opening a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The largest body that is read whole, in bytes.
-pub const BODY_LIMIT: usize = 8 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// A client for all calls of one process.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
     /// The connections kept open.
     pooled: Pooled<HttpConnector, Full<Bytes>>,
     /// A client that opens a connection for each call.
-    fresh: Pooled<HttpConnector, Full<Bytes>>,
+    unpooled: Pooled<HttpConnector, Full<Bytes>>,
 }
 
 /// Why a call gave no answer that could be used.
@@ -62,8 +62,8 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::Connect(why) => write!(f, "no connection: {why}"),
-            CallError::Sent(why) => write!(f, "no answer: {why}"),
+            CallError::Connect(reason) => write!(f, "no connection: {reason}"),
+            CallError::Sent(reason) => write!(f, "no answer: {reason}"),
             CallError::Status { status, body } => write!(f, "status {status}: {body}"),
         }
     }
@@ -81,14 +81,14 @@
     /// Makes a client.
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT_LIMIT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let pooled = Pooled::builder(TokioExecutor::new()).build(connector.clone());
-        let fresh = Pooled::builder(TokioExecutor::new())
+        let unpooled = Pooled::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
             .build(connector);
-        Client { pooled, fresh }
+        Client { pooled, unpooled }
     }
 
     /// Sends a request over a kept connection.
@@ -109,11 +109,11 @@
     /// # Errors
     ///
     /// When no answer comes; any status is an answer.
-    pub async fn send_fresh(
+    pub async fn send_unpooled(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        self.fresh.request(request).await.map_err(call_error)
+        self.unpooled.request(request).await.map_err(call_error)
     }
 
     /// Reads a JSON value.
@@ -181,7 +181,7 @@
 ///
 /// When the body breaks off or is larger than [`BODY_LIMIT`].
 pub async fn read_whole(response: Response<Incoming>) -> Result<Bytes, CallError> {
-    let body = Limited::new(response.into_body(), BODY_LIMIT);
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
     let whole = body.collect().await.map_err(|error| CallError::Sent(error.to_string()))?;
     Ok(whole.to_bytes())
 }
@@ -194,9 +194,9 @@
 
 /// Tells apart what was never sent.
 fn call_error(error: hyper_util::client::legacy::Error) -> CallError {
-    let why = match std::error::Error::source(&error) {
+    let reason = match std::error::Error::source(&error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
     };
-    if error.is_connect() { CallError::Connect(why) } else { CallError::Sent(why) }
+    if error.is_connect() { CallError::Connect(reason) } else { CallError::Sent(reason) }
 }
--- a/crates/hollyspoke-wire/src/peer.rs
+++ b/crates/hollyspoke-wire/src/peer.rs
@@ -15,10 +15,10 @@
 use tokio::sync::{mpsc, watch};
 
 /// How long a call to another box may take.
-const LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The largest frame, in bytes.
-const MOST_FRAME: usize = 16 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// What boxes call on each other.
 #[tarpc::service]
@@ -32,23 +32,23 @@
 
 /// A connection to another box.
 #[derive(Debug, Clone)]
-pub struct Link {
+pub struct Connection {
     /// The client of the connection.
     client: PeerClient,
 }
 
-impl Link {
+impl Connection {
     /// Opens a connection.
     ///
     /// # Errors
     ///
     /// When it can't be opened in time.
-    pub async fn open(address: &str) -> std::io::Result<Link> {
+    pub async fn open(address: &str) -> std::io::Result<Connection> {
         let mut connect = tcp::connect(address.to_owned(), Bincode::default);
-        connect.config_mut().max_frame_length(MOST_FRAME);
-        let transport = tokio::time::timeout(LIMIT, connect).await??;
+        connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
+        let transport = tokio::time::timeout(CALL_TIMEOUT, connect).await??;
         let client = PeerClient::new(client::Config::default(), transport).spawn();
-        Ok(Link { client })
+        Ok(Connection { client })
     }
 
     /// Greets the box.
@@ -57,7 +57,7 @@
     ///
     /// When no answer comes in time.
     pub async fn greet(&self, from: Entry) -> Result<Entry, client::RpcError> {
-        self.client.greet(limited(), from).await
+        self.client.greet(call_context(), from).await
     }
 
     /// Delivers messages; false when the box is another incarnation.
@@ -71,13 +71,13 @@
         to: Incarnation,
         messages: Vec<Message>,
     ) -> Result<bool, client::RpcError> {
-        self.client.deliver(limited(), from, to, messages).await
+        self.client.deliver(call_context(), from, to, messages).await
     }
 }
 
 /// What other boxes have sent.
 #[derive(Debug)]
-pub enum Arrived {
+pub enum Received {
     /// A box has greeted this one.
     Greeting(Entry),
     /// A box has sent messages.
@@ -95,13 +95,13 @@
     /// This box's entry as it stands.
     entry: watch::Receiver<Entry>,
     /// Where to put what comes.
-    arrived: mpsc::UnboundedSender<Arrived>,
+    received: mpsc::UnboundedSender<Received>,
 }
 
 impl Inbox {
     /// Makes the receiving end of a box whose entry can be watched.
-    pub fn new(entry: watch::Receiver<Entry>, arrived: mpsc::UnboundedSender<Arrived>) -> Inbox {
-        Inbox { entry, arrived }
+    pub fn new(entry: watch::Receiver<Entry>, received: mpsc::UnboundedSender<Received>) -> Inbox {
+        Inbox { entry, received }
     }
 
     /// Serves the connections that come in on a socket, until the task is dropped.
@@ -117,7 +117,7 @@
                 continue;
             }
             let mut codec = LengthDelimitedCodec::builder();
-            let framed = codec.max_frame_length(MOST_FRAME).new_framed(socket);
+            let framed = codec.max_frame_length(MAX_FRAME_BYTES).new_framed(socket);
             let transport = tarpc::serde_transport::new(framed, Bincode::default());
             let channel = BaseChannel::with_defaults(transport);
             let requests = channel.execute(self.clone().serve_calls());
@@ -136,7 +136,7 @@
 impl Peer for Inbox {
     async fn greet(self, _: context::Context, from: Entry) -> Entry {
         // A closed channel means that this box is stopping, when nobody needs the greeting.
-        let _ = self.arrived.send(Arrived::Greeting(from));
+        let _ = self.received.send(Received::Greeting(from));
         self.entry.borrow().clone()
     }
 
@@ -147,14 +147,14 @@
         to: Incarnation,
         messages: Vec<Message>,
     ) -> bool {
-        let meant = self.entry.borrow().incarnation == to;
-        meant && self.arrived.send(Arrived::Messages { from, messages }).is_ok()
+        let is_addressee = self.entry.borrow().incarnation == to;
+        is_addressee && self.received.send(Received::Messages { from, messages }).is_ok()
     }
 }
 
 /// Makes a call's context with its time limit.
-fn limited() -> context::Context {
+fn call_context() -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + LIMIT;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
--- a/crates/hollyspoke-wire/src/platform.rs
+++ b/crates/hollyspoke-wire/src/platform.rs
@@ -15,7 +15,7 @@
 pub const STATUS_CONFLICT: u16 = 409;
 
 /// The status that says that there is no such object, or that a watch saw no change.
-pub const STATUS_ABSENT: u16 = 404;
+pub const STATUS_NOT_FOUND: u16 = 404;
 
 /// The kind under which sites are kept.
 pub const SITE_KIND: &str = "sites";
@@ -26,7 +26,7 @@
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// How long a read or a write may take.
-pub const CALL_LIMIT: Duration = Duration::from_secs(2);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An object as the platform gives it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -115,7 +115,7 @@
     /// When no answer comes in time.
     pub async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, CallError> {
         let url = self.url(kind, name);
-        absent_as_none(limited(CALL_LIMIT, self.client.get(&url)).await)
+        absent_as_none(with_timeout(CALL_TIMEOUT, self.client.get(&url)).await)
     }
 
     /// Writes an object if its version is the one expected.
@@ -126,7 +126,7 @@
     /// so, or when the version is another one ([`STATUS_CONFLICT`]).
     pub async fn put(&self, kind: &str, name: &str, put: &Put) -> Result<Written, CallError> {
         let url = self.url(kind, name);
-        limited(CALL_LIMIT, self.client.put(&url, put)).await
+        with_timeout(CALL_TIMEOUT, self.client.put(&url, put)).await
     }
 
     /// Waits until an object has a version above the one given; nothing when the wait is over.
@@ -143,7 +143,7 @@
         let wait = WATCH_WAIT.as_millis();
         let address = &self.address;
         let url = format!("http://{address}/v1/watch/{kind}/{name}?after={after}&wait_ms={wait}");
-        absent_as_none(limited(WATCH_WAIT + CALL_LIMIT, self.client.get(&url)).await)
+        absent_as_none(with_timeout(WATCH_WAIT + CALL_TIMEOUT, self.client.get(&url)).await)
     }
 
     /// Reads the platform's list of boxes.
@@ -153,11 +153,11 @@
     /// When no answer comes in time.
     pub async fn boxes(&self) -> Result<Vec<Listed>, CallError> {
         let url = format!("http://{}/v1/boxes", self.address);
-        limited(CALL_LIMIT, self.client.get(&url)).await
+        with_timeout(CALL_TIMEOUT, self.client.get(&url)).await
     }
 
     /// Carries out one of the reducer's operations.
-    pub async fn operate(&self, operation: Operation) -> Answer {
+    pub async fn execute(&self, operation: Operation) -> Answer {
         match operation {
             Operation::Get { kind, name } => match self.get(&kind, &name).await {
                 Ok(Some(Object { version, value })) => Answer::Found { version, value },
@@ -184,17 +184,17 @@
 fn absent_as_none<T>(answer: Result<T, CallError>) -> Result<Option<T>, CallError> {
     match answer {
         Ok(value) => Ok(Some(value)),
-        Err(CallError::Status { status: STATUS_ABSENT, .. }) => Ok(None),
+        Err(CallError::Status { status: STATUS_NOT_FOUND, .. }) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
 /// Waits for a call for so long.
-async fn limited<T>(
-    limit: Duration,
+async fn with_timeout<T>(
+    timeout: Duration,
     call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    match tokio::time::timeout(limit, call).await {
+    match tokio::time::timeout(timeout, call).await {
         Ok(answer) => answer,
         Err(_) => Err(CallError::Sent("it took too long".to_owned())),
     }
--- a/examples/quickstart/src/main.rs
+++ b/examples/quickstart/src/main.rs
@@ -9,7 +9,7 @@
 
 use eyre::{bail, ensure};
 use hollyspoke_cli::apply::{self, Applied};
-use hollyspoke_cli::call::{self, Wanted};
+use hollyspoke_cli::call::{self, Content};
 use hollyspoke_cli::caller::Caller;
 use hollyspoke_cli::exit::Exit;
 use hollyspoke_cli::show;
@@ -30,7 +30,7 @@
 ];
 
 /// How long the boxes get to put the file in force.
-const IN_FORCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An engine of the quickstart.
 struct Started {
@@ -62,13 +62,13 @@
     let boxes = wait_in_force(&client, first.callers, version).await?;
     println!("accepted as version {version}, in force at {boxes} boxes\n");
     let mut caller = Caller::new("quickstart", vec![first.callers.to_string()]);
-    let wanted = Wanted::Generate {
+    let content = Content::Generate {
         model: "demo-8b".to_owned(),
         prompt: "Which seat is mine, and where do I find the press?".to_owned(),
         max_tokens: 24,
     };
     println!("the answer:");
-    let exit = call::call(&mut caller, &wanted, false, Vec::new(), &mut std::io::stdout()).await?;
+    let exit = call::call(&mut caller, &content, false, Vec::new(), &mut std::io::stdout()).await?;
     ensure!(exit == Exit::Done, "the request was not answered");
     println!("\nthe engines' own ledgers:");
     for started in &engines {
@@ -119,7 +119,7 @@
         body_limit: 1024 * 1024,
         log: LogForm::Json,
     };
-    run::start(settings, hollyspoke_daemon::log::none()).await
+    run::start(settings, hollyspoke_daemon::log::discard()).await
 }
 
 /// Writes the site file.
@@ -143,9 +143,9 @@
 
 /// Waits until a version is in force at both boxes; gives their number.
 async fn wait_in_force(client: &Client, first: SocketAddr, version: u64) -> eyre::Result<usize> {
-    let begun = tokio::time::Instant::now();
-    while begun.elapsed() < IN_FORCE {
-        let answers = show::ask_all(client, &first.to_string()).await?;
+    let started = tokio::time::Instant::now();
+    while started.elapsed() < IN_FORCE_TIMEOUT {
+        let answers = show::fetch_all(client, &first.to_string()).await?;
         let in_force = |it: &show::BoxAnswer| {
             it.status.as_ref().is_some_and(|status| status.site_version >= version)
         };
@@ -154,5 +154,5 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    bail!("the file did not come into force in {IN_FORCE:?}")
+    bail!("the file did not come into force in {IN_FORCE_TIMEOUT:?}")
 }
--- a/tests/benches/overhead.rs
+++ b/tests/benches/overhead.rs
@@ -44,7 +44,7 @@
             body_limit: 1024 * 1024,
             log: LogForm::Json,
         };
-        let daemon = run::start(settings, hollyspoke_daemon::log::none()).await?;
+        let daemon = run::start(settings, hollyspoke_daemon::log::discard()).await?;
         let store = Platform::new(Client::new(), platform.address.to_string());
         apply::apply(&store, "bench", &file(service.address), None).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -88,7 +88,7 @@
         }
         let request = request.body(Full::new(Bytes::from(self.body.clone())))?;
         // A client of its own closes the connection when the response is dropped.
-        Ok(Client::new().send_fresh(request).await?)
+        Ok(Client::new().send_unpooled(request).await?)
     }
 
     /// Sends it and reads all that comes back.
--- a/tests/tests/drawn_files.rs
+++ b/tests/tests/drawn_files.rs
@@ -21,11 +21,11 @@
 /// Reads a text as a site file; every finding must lie inside the text and be drawable.
 fn read(text: &str) -> Result<(), String> {
     for finding in hollyspoke_file::read(text).err().unwrap_or_default() {
-        let (line, column) = finding.place(text);
+        let (line, column) = finding.line_and_column(text);
         if finding.span.end > text.len() || line == 0 || column == 0 {
             return Err(format!("{finding:?} lies outside a text of {} bytes", text.len()));
         }
-        finding.draw("drawn.toml", text);
+        finding.render("drawn.toml", text);
     }
     Ok(())
 }
--- a/tests/tests/site_file.rs
+++ b/tests/tests/site_file.rs
@@ -12,7 +12,7 @@
 fn found(text: &str) -> String {
     let findings = hollyspoke_file::read(text).err().unwrap_or_default();
     let line = |it: &hollyspoke_file::Finding| {
-        let (line, column) = it.place(text);
+        let (line, column) = it.line_and_column(text);
         let hint = it.hint.as_deref().unwrap_or("-");
         format!("{line}:{column} {} [{hint}]\n", it.message)
     };
@@ -36,7 +36,7 @@
 fn drawn_finding() {
     let text = "site = \"x\"\ncolour = \"blue\"\n";
     let findings = hollyspoke_file::read(text).err().unwrap_or_default();
-    let drawn: Vec<String> = findings.iter().map(|it| it.draw("x.toml", text)).collect();
+    let drawn: Vec<String> = findings.iter().map(|it| it.render("x.toml", text)).collect();
     insta::assert_snapshot!(drawn.join("\n"));
 }
 
--- a/tests/tests/suspension.rs
+++ b/tests/tests/suspension.rs
@@ -37,7 +37,7 @@
 fn clock_counts_on() {
     let clock = Clock::default();
     let before = clock.now();
-    clock.add(Duration::from_secs(5));
+    clock.add_suspension(Duration::from_secs(5));
     let after = clock.now();
     assert!(after.since(before) >= Duration::from_secs(5));
     let rings = clock.instant(after + Duration::from_secs(1));
@@ -54,7 +54,7 @@
         if round % 200 == 0 {
             std::thread::yield_now();
         }
-        assert_eq!(clock.look(), None);
+        assert_eq!(clock.take_suspension(), None);
     }
 }
 
