--- a/crates/hollyspoke-clock/src/lib.rs
+++ b/crates/hollyspoke-clock/src/lib.rs
@@ -1,7 +1,8 @@
-//! The clock of both daemons' reducers: the runtime's steady time, and the time for which the machine was suspended.
+//! The clock of both daemons' reducers: the runtime's monotonic time plus the time for which the
+//! machine was suspended.
 //!
-//! The steady clock stands still meanwhile, so that a lease, a deadline or another box's last word
-//! would seem as fresh after some seconds away as before. Another clock of the system counts on.
+//! The monotonic clock stops during a suspension, so a lease, a deadline or another box's last
+//! message would not age. `CLOCK_BOOTTIME` keeps counting.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,17 +11,17 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// The least time of suspension that is noted; shorter ones count for nothing in any bound.
+/// The shortest suspension that is recorded; shorter ones are negligible for all time limits.
 const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// A clock that does not stand still while the machine is suspended.
+/// A clock that keeps counting while the machine is suspended.
 #[derive(Debug)]
 pub struct Clock {
-    /// The beginning of its time.
+    /// When the clock was created: its time zero.
     origin: Instant,
-    /// How long the machine had been suspended when it was last looked, since it was booted.
+    /// The suspended time since boot, as of the last recorded suspension.
     last_total: Cell<Duration>,
-    /// How long it was suspended since the beginning.
+    /// The suspended time that was added to the clock.
     suspended: Cell<Duration>,
 }
 
@@ -35,17 +36,19 @@
 }
 
 impl Clock {
-    /// Gives the time, as far as it is known for how long the machine was suspended.
+    /// Returns the time, including the suspensions added so far.
     pub fn now(&self) -> Time {
         Time::ZERO + self.origin.elapsed() + self.suspended.get()
     }
 
-    /// Gives when a time comes by the runtime's clock, unless the machine is suspended until then.
+    /// Returns the instant of the runtime's clock at which a time is reached if no suspension
+    /// comes first.
     pub fn instant(&self, time: Time) -> Instant {
         self.origin + time.since(Time::ZERO).saturating_sub(self.suspended.get())
     }
 
-    /// Tells for how long the machine was suspended since this was last asked, if it was.
+    /// Returns the suspended time since the last recorded suspension; `None` below
+    /// `MIN_SUSPENSION`.
     pub fn take_suspension(&self) -> Option<Duration> {
         let total = suspended_since_boot()?;
         let duration = total.saturating_sub(self.last_total.get());
@@ -56,14 +59,16 @@
         Some(duration)
     }
 
-    /// Adds a time for which the machine was suspended.
+    /// Advances the clock by the duration of a suspension.
     pub fn add_suspension(&self, duration: Duration) {
         self.suspended.set(self.suspended.get() + duration);
     }
 }
 
-/// Gives how long the machine was suspended since it was booted; none where the system does not tell.
-/// The steady clock is read last: a pause between the two readings makes it less, never more.
+/// Returns how long the machine was suspended since boot; `None` where the system does not
+/// report it.
+/// The monotonic clock is read last: a pause between the readings makes the result smaller, never
+/// larger.
 fn suspended_since_boot() -> Option<Duration> {
     let boot_time = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?);
     let monotonic_time = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?);
