--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -78,7 +78,7 @@
         let count = |name, what| exporter.counter(name, what);
         let gauge = |name, what| exporter.gauge(name, what);
         Ok(Metrics {
-            request_duration: exporter.seconds(
+            request_duration: exporter.seconds_histogram(
                 "hollyspoke_request",
                 request_duration,
                 &HISTOGRAM_BOUNDS_S,
@@ -212,7 +212,7 @@
 
     /// Writes all metrics in Prometheus' text form.
     pub fn text(&self) -> String {
-        self.exporter.text()
+        self.exporter.prometheus_text()
     }
 
     /// Takes what an engine takes now.
--- a/crates/hollyspoke-server/src/node.rs
+++ b/crates/hollyspoke-server/src/node.rs
@@ -203,14 +203,14 @@
 
     /// Tells the reducer if the machine was suspended since the last event.
     pub fn detect_suspension(self: &Rc<Node>) {
-        if let Some(duration) = self.clock.look() {
+        if let Some(duration) = self.clock.take_suspension() {
             self.handle_suspension(duration);
         }
     }
 
     /// Tells the reducer that the machine was suspended for a time.
     pub fn handle_suspension(self: &Rc<Node>, duration: Duration) {
-        self.clock.add(duration);
+        self.clock.add_suspension(duration);
         self.step(Event::Suspended(duration));
     }
 
