--- a/tests/benches/boxes.rs
+++ b/tests/benches/boxes.rs
@@ -18,7 +18,7 @@
 use hollyspoke_gateway::request::RequestKey;
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, configuration, engine, heartbeat, only_send, ran, read, request, settings,
+    MODEL, PLAIN, configuration, engine, heartbeat, only_send, prefilled, ran, request, settings,
 };
 
 /// The data centres; the box under test stands in the first.
@@ -107,7 +107,7 @@
             effects
         };
         let reading = only_send(&step(self, Event::Arrived(flight, request("once"))));
-        let answer = Event::Call(reading.call, CallEvent::Answered(read("h")));
+        let answer = Event::Call(reading.call, CallEvent::Answered(prefilled("h")));
         let generating = only_send(&step(self, answer));
         step(self, Event::Call(generating.call, CallEvent::Began(ran(200))));
         step(self, Event::Call(generating.call, CallEvent::Answered(ran(200))));
--- a/tests/soak/src/standin/store.rs
+++ b/tests/soak/src/standin/store.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollyspoke_tests::platform::{self, Backup, Store, StoreMood};
+use hollyspoke_tests::platform::{self, Backup, Store, StoreBehaviour};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -95,12 +95,12 @@
         let mut done = 0;
         while let Some(command) = commands.recv().await {
             match command {
-                Command::Mood(mood) => store.mood.set(match mood {
-                    Mood::Well => StoreMood::Well,
-                    Mood::Busy => StoreMood::Busy,
-                    Mood::Silent => StoreMood::Silent,
-                    Mood::Forgetful => StoreMood::Forgetful,
-                    Mood::Lossy => StoreMood::Lossy,
+                Command::Mood(mood) => store.behaviour.set(match mood {
+                    Mood::Well => StoreBehaviour::Available,
+                    Mood::Busy => StoreBehaviour::Unavailable,
+                    Mood::Silent => StoreBehaviour::Unresponsive,
+                    Mood::Forgetful => StoreBehaviour::HistoryLost,
+                    Mood::Lossy => StoreBehaviour::AnswersLost,
                 }),
                 Command::Put { kind, name, spec } => store.put(&kind, &name, spec),
                 Command::Restore { age_ms } => {
--- a/tests/src/cluster.rs
+++ b/tests/src/cluster.rs
@@ -74,7 +74,7 @@
 }
 
 impl Member {
-    /// Gives its address for callers.
+    /// Returns its address for callers.
     pub fn address(&self) -> &str {
         &self.process.address
     }
@@ -85,20 +85,20 @@
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.process.signal(Signal::SIGCONT);
     }
 
     /// Begins its planned stop.
-    pub fn leave(&self) {
+    pub fn begin_stop(&self) {
         self.process.signal(Signal::SIGTERM);
     }
 
     /// Asks for its state.
     pub async fn status(&self) -> eyre::Result<Status> {
-        let call = Client::new();
+        let client = Client::new();
         let url = format!("http://{}/v1/status", self.address());
-        Ok(tokio::time::timeout(Duration::from_secs(2), call.get(&url)).await??)
+        Ok(tokio::time::timeout(Duration::from_secs(2), client.get(&url)).await??)
     }
 }
 
@@ -180,16 +180,16 @@
              first_token_ms = 3000\nbetween_tokens_ms = 200\n{}\n",
             self.plan.more
         );
-        let named = |processes: &[Process], sort: &str| -> Vec<(String, String, String)> {
+        let named = |processes: &[Process], kind: &str| -> Vec<(String, String, String)> {
             let row = |(number, it): (usize, &Process)| {
-                (format!("{sort}-{number}"), it.address.clone(), sort.to_owned())
+                (format!("{kind}-{number}"), it.address.clone(), kind.to_owned())
             };
             processes.iter().enumerate().map(row).collect()
         };
         let engines = [named(&self.prefills, "prefill"), named(&self.decodes, "decode")].concat();
-        for (place, (name, address, role)) in engines.iter().enumerate() {
+        for (index, (name, address, role)) in engines.iter().enumerate() {
             let leaving = self.leaving.contains(name);
-            let data_centre = if self.plan.orders { "north" } else { DATA_CENTRES[place % 3] };
+            let data_centre = if self.plan.orders { "north" } else { DATA_CENTRES[index % 3] };
             let checks = role == "prefill";
             // Writing to a string does not fail.
             let _ = write!(
@@ -218,7 +218,7 @@
         text
     }
 
-    /// Gives the platform.
+    /// Returns the platform.
     pub fn store(&self) -> Platform {
         Platform::new(Client::new(), self.platform.address.clone())
     }
@@ -246,7 +246,7 @@
 
     /// Waits until a version is in force at every box; gives how long it took.
     pub async fn wait_in_force(&self, version: u64) -> eyre::Result<Duration> {
-        let begun = Instant::now();
+        let started = Instant::now();
         until(SOON, "the file does not come into force", async || {
             for member in &self.boxes {
                 let in_force = member.status().await.map_or(0, |it| it.site_version);
@@ -257,7 +257,7 @@
             true
         })
         .await?;
-        Ok(begun.elapsed())
+        Ok(started.elapsed())
     }
 
     /// Makes a caller that knows some boxes.
@@ -288,12 +288,12 @@
 
     /// Waits until no engine holds memory; gives how long it took.
     pub async fn wait_memory_free(&self, limit: Duration) -> eyre::Result<Duration> {
-        let begun = Instant::now();
+        let started = Instant::now();
         until(limit, "engines still hold memory", async || {
             self.engines().await.iter().all(|it| it.used_tokens == 0)
         })
         .await?;
-        Ok(begun.elapsed())
+        Ok(started.elapsed())
     }
 
     /// Waits until some engine has come so far.
@@ -320,11 +320,11 @@
 pub async fn until(
     limit: Duration,
     what: &str,
-    mut holds: impl AsyncFnMut() -> bool,
+    mut is_met: impl AsyncFnMut() -> bool,
 ) -> eyre::Result<()> {
-    let begun = Instant::now();
-    while !holds().await {
-        ensure!(begun.elapsed() < limit, "{what} within {limit:?}");
+    let started = Instant::now();
+    while !is_met().await {
+        ensure!(started.elapsed() < limit, "{what} within {limit:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
--- a/tests/src/crashes.rs
+++ b/tests/src/crashes.rs
@@ -10,13 +10,13 @@
 use hollyspoke_gateway::request::RequestKey;
 
 /// How long a harmful request runs before its engine crashes.
-pub const CRASHES_AFTER: Duration = Duration::from_millis(60);
+pub const CRASH_DELAY: Duration = Duration::from_millis(60);
 
 /// How long a crashed engine takes to be back.
-pub const BACK_AFTER: Duration = Duration::from_millis(2500);
+pub const RESTART_DELAY: Duration = Duration::from_millis(2500);
 
 /// How many crashes of its engines a request is allowed before it counts as harmful.
-pub const ALLOWED: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// A request that crashes the engines that run it, and comes again at any box.
 #[derive(Debug, Clone, Copy)]
@@ -26,7 +26,7 @@
     /// How often it comes.
     pub every: Duration,
     /// Whether reading its prompt for another engine crashes an engine too.
-    pub when_read: bool,
+    pub crashes_on_prefill: bool,
 }
 
 /// What is known of one engine.
@@ -46,7 +46,7 @@
     /// The requests that are harmful.
     pub harmful: BTreeSet<RequestKey>,
     /// When engines crashed under a harmful request.
-    pub caused: Vec<Time>,
+    pub harmful_crashes: Vec<Time>,
     /// When harmful requests came to engines.
     pub arrivals: Vec<Time>,
     /// What harmful requests were told by the boxes.
@@ -54,33 +54,33 @@
     /// The other requests that were refused, and when.
     pub refused: Vec<(Time, Refusal)>,
     /// When answers to other requests were broken off.
-    pub broken_off: Vec<Time>,
+    pub aborted: Vec<Time>,
 }
 
 impl Crashes {
-    /// Gives what is known of an engine.
+    /// Returns what is known of an engine.
     pub fn state(&self, engine: EngineKey) -> State {
         self.states.get(&engine).copied().unwrap_or_default()
     }
 
-    /// Notes what a request was told by its box.
-    pub fn answered(&mut self, flight: RequestKey, refusal: Refusal, at: Time) {
-        if self.harmful.contains(&flight) {
+    /// Records what a request was told by its box.
+    pub fn record_refusal(&mut self, request: RequestKey, refusal: Refusal, at: Time) {
+        if self.harmful.contains(&request) {
             self.answers.push((at, refusal));
         } else {
             self.refused.push((at, refusal));
         }
     }
 
-    /// Notes that an answer was broken off.
-    pub fn broke_off(&mut self, flight: RequestKey, at: Time) {
-        if !self.harmful.contains(&flight) {
-            self.broken_off.push(at);
+    /// Records that an answer was broken off.
+    pub fn record_abort(&mut self, request: RequestKey, at: Time) {
+        if !self.harmful.contains(&request) {
+            self.aborted.push(at);
         }
     }
 
     /// Counts the harmless requests that were refused as if they were harmful.
-    pub fn wrongly_held(&self) -> usize {
+    pub fn wrongly_quarantined(&self) -> usize {
         let is_wrong = |refusal: &Refusal| {
             matches!(
                 refusal,
@@ -90,10 +90,10 @@
         self.refused.iter().filter(|(_, it)| is_wrong(it)).count()
     }
 
-    /// Gives how often harmful requests came to engines later than some time after the third crash;
+    /// Returns how often harmful requests came to engines later than some time after the third crash;
     /// none if there were not as many crashes.
-    pub fn late_arrivals(&self, contact: Duration) -> Option<usize> {
-        let third = *self.caused.get(ALLOWED - 1)?;
-        Some(self.arrivals.iter().filter(|&&it| it > third + contact).count())
+    pub fn late_arrivals(&self, delay: Duration) -> Option<usize> {
+        let third = *self.harmful_crashes.get(MAX_CRASHES - 1)?;
+        Some(self.arrivals.iter().filter(|&&it| it > third + delay).count())
     }
 }
--- a/tests/src/faults.rs
+++ b/tests/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Behaviour, Fleet, USUAL};
 
 /// The boxes of a fleet.
-pub const FLEET: usize = 6;
+pub const BOX_COUNT: usize = 6;
 
 /// A fault of a fleet.
 #[derive(Debug, Clone)]
@@ -15,13 +15,13 @@
     /// A box is told to stop, and starts some time later.
     Stop(usize),
     /// Boxes are cut off from the others, and hear each other.
-    Part(Vec<usize>),
+    Partition(Vec<usize>),
     /// All boxes hear each other.
     Heal,
     /// A box stands still, for so many milliseconds.
-    Hold(usize, u64),
+    Pause(usize, u64),
     /// A box's calls are held up.
-    HoldCalls(usize, u64),
+    DelayCalls(usize, u64),
     /// Datagrams are lost, a share of a hundred, or late by milliseconds.
     Datagrams(u8, u64),
     /// Engines turn calls away and fail runs, shares of a hundred.
@@ -35,7 +35,7 @@
 }
 
 /// Brings a fault about.
-pub fn bring(fleet: &mut Fleet, fault: &Fault) {
+pub fn inject(fleet: &mut Fleet, fault: &Fault) {
     match fault {
         Fault::Restart(members) => fleet.restart(members.iter().copied()),
         Fault::Stop(number) => {
@@ -43,21 +43,28 @@
             fleet.run(Duration::from_millis(300));
             fleet.start([*number]);
         }
-        Fault::Part(members) => fleet.part(members.iter().copied(), 1),
-        Fault::Heal => fleet.part(0..FLEET, 0),
-        Fault::Hold(number, span) => fleet.hold(*number, Duration::from_millis(*span)),
-        Fault::HoldCalls(number, span) => fleet.hold_calls(*number, Duration::from_millis(*span)),
-        Fault::Datagrams(lost, late) => {
-            fleet.lost = f64::from(*lost) / 100.0;
-            fleet.delay_ms = 1..=*late;
+        Fault::Partition(members) => fleet.partition(members.iter().copied(), 1),
+        Fault::Heal => fleet.partition(0..BOX_COUNT, 0),
+        Fault::Pause(number, duration_ms) => {
+            fleet.pause(*number, Duration::from_millis(*duration_ms))
         }
-        Fault::Engines(turns_away, fails) => {
+        Fault::DelayCalls(number, duration_ms) => {
+            fleet.delay_calls(*number, Duration::from_millis(*duration_ms))
+        }
+        Fault::Datagrams(lost_percent, max_delay_ms) => {
+            fleet.lost = f64::from(*lost_percent) / 100.0;
+            fleet.delay_ms = 1..=*max_delay_ms;
+        }
+        Fault::Engines(reject_percent, fail_percent) => {
             let share = |it: u8| f64::from(it) / 100.0;
-            fleet.behaviour = Behaviour { turns_away: share(*turns_away), fails: share(*fails) };
+            fleet.behaviour = Behaviour {
+                reject_share: share(*reject_percent),
+                fail_share: share(*fail_percent),
+            };
         }
-        Fault::Traffic(times) => {
-            fleet.traffic.plain = USUAL.plain * f64::from(*times);
-            fleet.traffic.streams = USUAL.streams * f64::from(*times);
+        Fault::Traffic(factor) => {
+            fleet.traffic.plain = USUAL.plain * f64::from(*factor);
+            fleet.traffic.streams = USUAL.streams * f64::from(*factor);
         }
         Fault::Crash(step) => {
             let engines = fleet.engines();
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -27,9 +27,9 @@
 
 use crate::crashes::{Crashes, Harmful};
 use crate::gateway::{HOST, MODEL, PLAIN, configuration, request, settings};
-use crate::needs::Needs;
-use crate::repeats::{Asked, Records, Refused};
-use crate::terms::{Rests, Terms};
+use crate::rate_limits::RateLimits;
+use crate::repeats::{ClientRequest, Records, RefusedRetry};
+use crate::statements::{BackOffs, Statements};
 
 pub use store::Store;
 
@@ -37,22 +37,22 @@
 const TRANSIT: Duration = Duration::from_millis(1);
 
 /// How long an engine takes to answer, in milliseconds.
-const ANSWERS_IN_MS: RangeInclusive<u64> = 2..=40;
+const ANSWER_DELAY_MS: RangeInclusive<u64> = 2..=40;
 
 /// How long a stream lasts.
-const STREAM_LASTS: Duration = Duration::from_millis(300);
+const STREAM_DURATION: Duration = Duration::from_millis(300);
 
 /// How often the store answers the watches of a box.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long the store takes to answer.
-const STORE_ANSWERS_IN: Duration = Duration::from_millis(4);
+const STORE_DELAY: Duration = Duration::from_millis(4);
 
 /// How long a handover takes.
-const HANDOVER_TAKES: Duration = Duration::from_millis(10);
+const HANDOVER_DURATION: Duration = Duration::from_millis(10);
 
 /// How many boxes a box is told of by its settings.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 
 /// The last part of a harmful request's path.
 const HARMFUL: &str = "harmful";
@@ -64,9 +64,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Behaviour {
     /// The share of calls that they turn away.
-    pub turns_away: f64,
+    pub reject_share: f64,
     /// The share of runs that they fail.
-    pub fails: f64,
+    pub fail_share: f64,
 }
 
 /// What arrives in a second, at all boxes.
@@ -87,15 +87,15 @@
     /// The reducer; none while the process is down.
     gateway: Option<Gateway>,
     /// When its life began: each life has a clock of its own.
-    began: Time,
+    started_at: Time,
     /// Counts its lives.
-    life: u64,
+    start_count: u64,
     /// With whom it can exchange datagrams: those of the same side.
     side: usize,
     /// Until when it stands still.
-    held_until: Time,
+    paused_until: Time,
     /// Until when its calls are held up on the way.
-    calls_held_until: Time,
+    calls_delayed_until: Time,
 }
 
 /// A call and its box.
@@ -104,14 +104,14 @@
     /// The box.
     number: usize,
     /// The box's life.
-    life: u64,
+    start_count: u64,
     /// The call.
     call: CallKey,
 }
 
 /// What is yet to happen.
 #[derive(Debug)]
-enum Due {
+enum Scheduled {
     /// A request arrives at a box.
     Request(usize, Request),
     /// A datagram arrives at a box.
@@ -146,7 +146,7 @@
     /// The time.
     now: Time,
     /// What is yet to happen, in order.
-    due: BTreeMap<(Time, u64), Due>,
+    scheduled: BTreeMap<(Time, u64), Scheduled>,
     /// The number of the next entry of `due`.
     next: u64,
     /// How the engines behave.
@@ -168,9 +168,9 @@
     /// The engines that crash, and what was seen of that.
     pub crashes: Crashes,
     /// The engines that name limits, and what came to them.
-    pub needs: Needs,
+    pub rate_limits: RateLimits,
     /// The engines that leave or rest, and what came to them.
-    pub terms: Terms,
+    pub statements: Statements,
     /// The source of chance.
     random: Pcg64Mcg,
 }
@@ -181,7 +181,7 @@
         let mut fleet = Fleet {
             members: Vec::new(),
             now: Time::from_millis(1000),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             next: 0,
             behaviour: Behaviour::default(),
             traffic: USUAL,
@@ -192,18 +192,18 @@
             harmful: None,
             popular: None,
             crashes: Crashes::default(),
-            needs: Needs::default(),
-            terms: Terms::default(),
+            rate_limits: RateLimits::default(),
+            statements: Statements::default(),
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for _ in 0..boxes {
             fleet.members.push(Member {
                 gateway: None,
-                began: Time::ZERO,
-                life: 0,
+                started_at: Time::ZERO,
+                start_count: 0,
                 side: 0,
-                held_until: Time::ZERO,
-                calls_held_until: Time::ZERO,
+                paused_until: Time::ZERO,
+                calls_delayed_until: Time::ZERO,
             });
         }
         fleet.start(0..boxes);
@@ -231,14 +231,14 @@
             let boxes = self.members.len();
             let member = &mut self.members[number];
             member.gateway = Some(Gateway::new(Settings { incarnation, ..settings_of(number) }));
-            member.began = self.now;
-            member.life += 1;
-            let seeds = (0..boxes).take(SEEDS).map(|it| settings_of(it).peer).collect();
+            member.started_at = self.now;
+            member.start_count += 1;
+            let seeds = (0..boxes).take(SEED_COUNT).map(|it| settings_of(it).peer).collect();
             self.step(number, Event::Seeds(seeds));
             self.step(number, Event::Configured(Arc::new(configuration(1))));
             self.step(number, Event::Listed(self.engines(), self.store.revision));
-            let life = self.members[number].life;
-            self.plan(self.now, Due::Watched(number, life));
+            let start_count = self.members[number].start_count;
+            self.schedule(self.now, Scheduled::Watched(number, start_count));
         }
     }
 
@@ -249,20 +249,20 @@
     }
 
     /// Has boxes exchange datagrams with those of the same side alone.
-    pub fn part(&mut self, members: impl IntoIterator<Item = usize>, side: usize) {
+    pub fn partition(&mut self, members: impl IntoIterator<Item = usize>, side: usize) {
         for number in members {
             self.members[number].side = side;
         }
     }
 
     /// Has a box stand still.
-    pub fn hold(&mut self, number: usize, span: Duration) {
-        self.members[number].held_until = self.now + span;
+    pub fn pause(&mut self, number: usize, duration: Duration) {
+        self.members[number].paused_until = self.now + duration;
     }
 
     /// Holds up the calls that a box sends, so that they arrive together.
-    pub fn hold_calls(&mut self, number: usize, span: Duration) {
-        self.members[number].calls_held_until = self.now + span;
+    pub fn delay_calls(&mut self, number: usize, duration: Duration) {
+        self.members[number].calls_delayed_until = self.now + duration;
     }
 
     /// Tells a box to stop; it ends at once.
@@ -272,14 +272,14 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         self.draw_requests(PLAIN, self.traffic.plain, end);
         self.draw_requests(MODEL, self.traffic.streams, end);
         self.draw_harmful(end);
         self.draw_popular(end);
         loop {
-            let first = self.due.keys().next().map(|it| it.0);
+            let first = self.scheduled.keys().next().map(|it| it.0);
             let tick = self.next_tick();
             let times = [first, tick.map(|it| it.0)];
             let Some(next) = times.into_iter().flatten().min().filter(|&it| it <= end) else {
@@ -287,8 +287,8 @@
             };
             self.now = self.now.max(next);
             if first.is_some_and(|it| it <= next) {
-                let Some((_, due)) = self.due.pop_first() else { break };
-                self.happen(due);
+                let Some((_, due)) = self.scheduled.pop_first() else { break };
+                self.handle(due);
             } else if let Some((_, number)) = tick {
                 self.step(number, Event::Tick);
             }
@@ -297,10 +297,10 @@
     }
 
     /// Draws the requests for a service until a time.
-    fn draw_requests(&mut self, service: &str, a_second: f64, end: Time) {
+    fn draw_requests(&mut self, service: &str, rate_per_s: f64, end: Time) {
         let mut at = self.now;
         loop {
-            let pause = -(1.0 - self.random.random::<f64>()).ln() / a_second;
+            let pause = -(1.0 - self.random.random::<f64>()).ln() / rate_per_s;
             at = at + Duration::from_secs_f64(pause);
             if at >= end {
                 return;
@@ -310,7 +310,7 @@
             let number = self.random.random_range(0..self.members.len());
             let content = Content::of("POST", HOST, route, id.as_bytes());
             let request = Request { id: id.as_str().into(), content, ..request(route) };
-            self.plan(at, Due::Request(number, request));
+            self.schedule(at, Scheduled::Request(number, request));
         }
     }
 
@@ -323,7 +323,7 @@
             let content = Content::of("POST", HOST, &path, b"");
             let request = Request { path, content, ..request(harmful.route) };
             let number = self.random.random_range(0..self.members.len());
-            self.plan(at, Due::Request(number, request));
+            self.schedule(at, Scheduled::Request(number, request));
             at = at + harmful.every;
         }
     }
@@ -334,91 +334,111 @@
         let mut at = self.now + every;
         while at < end {
             let number = self.random.random_range(0..self.members.len());
-            self.plan(at, Due::Request(number, request(route)));
+            self.schedule(at, Scheduled::Request(number, request(route)));
             at = at + every;
         }
     }
 
     /// Adds what is yet to happen.
-    fn plan(&mut self, at: Time, due: Due) {
+    fn schedule(&mut self, at: Time, due: Scheduled) {
         self.next += 1;
-        self.due.insert((at, self.next), due);
+        self.scheduled.insert((at, self.next), due);
     }
 
-    /// Gives the box that needs a tick first, and when.
+    /// Returns the box that needs a tick first, and when.
     fn next_tick(&self) -> Option<(Time, usize)> {
         let ticks = self.members.iter().enumerate().filter_map(|(number, member)| {
             let gateway = member.gateway.as_ref()?;
-            let due = member.began + gateway.next_due().since(Time::ZERO);
+            let due = member.started_at + gateway.next_due().since(Time::ZERO);
             let soonest = self.now + Duration::from_micros(1);
-            Some((due.max(soonest).max(member.held_until), number))
+            Some((due.max(soonest).max(member.paused_until), number))
         });
         ticks.min()
     }
 
     /// Has something happen. A box that stands still takes it in when it goes on.
-    fn happen(&mut self, due: Due) {
+    fn handle(&mut self, due: Scheduled) {
         let number = match &due {
-            Due::Request(number, _) | Due::Datagram(number, _) => *number,
-            Due::Answer(Caller { number, .. }, ..) | Due::Changed(number, _) => *number,
-            Due::Watched(number, _) | Due::Listed(number, _) => *number,
-            Due::Fetched(number, ..) => *number,
-            Due::Stored(number, ..) => *number,
-            Due::Probed(number, ..) => *number,
-            Due::Call(number, life, send) => return self.arrive(*number, *life, send),
-            Due::Crash(caller, engine, before) => {
-                return self.crash_by(*caller, *engine, *before);
+            Scheduled::Request(number, _) | Scheduled::Datagram(number, _) => *number,
+            Scheduled::Answer(Caller { number, .. }, ..) | Scheduled::Changed(number, _) => *number,
+            Scheduled::Watched(number, _) | Scheduled::Listed(number, _) => *number,
+            Scheduled::Fetched(number, ..) => *number,
+            Scheduled::Stored(number, ..) => *number,
+            Scheduled::Probed(number, ..) => *number,
+            Scheduled::Call(number, start_count, send) => {
+                return self.arrive(*number, *start_count, send);
             }
-            Due::Back(engine) => return self.come_back(*engine),
+            Scheduled::Crash(caller, engine, before) => {
+                return self.crash_by_request(*caller, *engine, *before);
+            }
+            Scheduled::Back(engine) => return self.recover(*engine),
         };
-        let held_until = self.members[number].held_until;
-        if held_until > self.now {
-            return self.plan(held_until, due);
+        let paused_until = self.members[number].paused_until;
+        if paused_until > self.now {
+            return self.schedule(paused_until, due);
         }
         match due {
-            Due::Request(number, request) => self.ask(number, request),
-            Due::Datagram(number, message) => self.step(number, Event::Received(*message)),
-            Due::Answer(Caller { life, call, .. }, engine, event)
-                if self.members[number].life == life =>
+            Scheduled::Request(number, request) => self.send_request(number, request),
+            Scheduled::Datagram(number, message) => self.step(number, Event::Received(*message)),
+            Scheduled::Answer(Caller { start_count, call, .. }, engine, event)
+                if self.members[number].start_count == start_count =>
             {
                 if let CallEvent::Began(answer) | CallEvent::Answered(answer) = &event {
-                    self.terms.tell((number, life), engine, &answer.statement, self.now);
+                    self.statements.record_answer(
+                        (number, start_count),
+                        engine,
+                        &answer.statement,
+                        self.now,
+                    );
                 }
                 self.step(number, Event::Call(call, event));
             }
-            Due::Probed(_, life, engine, probe) if self.members[number].life == life => {
+            Scheduled::Probed(_, start_count, engine, probe)
+                if self.members[number].start_count == start_count =>
+            {
                 self.step(number, Event::Probed(engine, probe));
             }
-            Due::Changed(_, changes) => self.step(number, Event::Changed(changes)),
-            Due::Watched(number, life) if self.members[number].life == life => {
-                self.tell_era(number);
+            Scheduled::Changed(_, changes) => self.step(number, Event::Changed(changes)),
+            Scheduled::Watched(number, start_count)
+                if self.members[number].start_count == start_count =>
+            {
+                self.report_era(number);
                 self.step(number, Event::StoreAnswered(Kind::Configuration));
                 self.step(number, Event::StoreAnswered(Kind::Engines));
                 self.step(number, Event::StoreAnswered(Kind::Evacuations));
-                self.plan(self.now + WATCH_EVERY, Due::Watched(number, life));
+                self.schedule(self.now + WATCH_INTERVAL, Scheduled::Watched(number, start_count));
             }
-            Due::Listed(number, life) if self.members[number].life == life => {
-                self.tell_era(number);
+            Scheduled::Listed(number, start_count)
+                if self.members[number].start_count == start_count =>
+            {
+                self.report_era(number);
                 self.step(number, Event::Listed(self.engines(), self.store.revision));
             }
-            Due::Fetched(_, life, provider, snapshot) if self.members[number].life == life => {
+            Scheduled::Fetched(_, start_count, provider, snapshot)
+                if self.members[number].start_count == start_count =>
+            {
                 self.step(number, Event::SnapshotReceived(provider, snapshot));
             }
-            Due::Stored(number, life, operation, answer) if self.members[number].life == life => {
-                self.tell_era(number);
+            Scheduled::Stored(number, start_count, operation, answer)
+                if self.members[number].start_count == start_count =>
+            {
+                self.report_era(number);
                 self.step(number, Event::Stored(operation, answer));
             }
-            Due::Answer(..) | Due::Call(..) | Due::Watched(..) | Due::Stored(..) => {}
-            Due::Listed(..)
-            | Due::Fetched(..)
-            | Due::Crash(..)
-            | Due::Back(_)
-            | Due::Probed(..) => {}
+            Scheduled::Answer(..)
+            | Scheduled::Call(..)
+            | Scheduled::Watched(..)
+            | Scheduled::Stored(..) => {}
+            Scheduled::Listed(..)
+            | Scheduled::Fetched(..)
+            | Scheduled::Crash(..)
+            | Scheduled::Back(_)
+            | Scheduled::Probed(..) => {}
         }
     }
 
     /// Has a client send a request to a box, or to another one if that is down.
-    fn ask(&mut self, number: usize, request: Request) {
+    fn send_request(&mut self, number: usize, request: Request) {
         let up = |it: &usize| self.members[*it].gateway.is_some();
         let alive: Vec<_> = (0..self.members.len()).filter(up).collect();
         let number =
@@ -430,51 +450,59 @@
         }
         let is_plain = ["/safe/", "/unsafe/"].iter().any(|it| request.path.starts_with(it));
         let service = if is_plain { PLAIN } else { MODEL };
-        self.records.asked.push(Asked { service, at: self.now });
+        self.records.requests.push(ClientRequest { service, at: self.now });
         self.step(number, Event::Arrived(RequestKey(self.next), request));
     }
 
-    /// Gives a box an event and carries out what it does.
+    /// Returns a box an event and carries out what it does.
     fn step(&mut self, number: usize, event: Event) {
         let member = &mut self.members[number];
         let Some(gateway) = &mut member.gateway else { return };
-        let local = Time::ZERO + self.now.since(member.began);
-        let (life, side) = (member.life, member.side);
-        let calls_leave = self.now.max(member.calls_held_until);
+        let local = Time::ZERO + self.now.since(member.started_at);
+        let (start_count, side) = (member.start_count, member.side);
+        let calls_leave = self.now.max(member.calls_delayed_until);
         for effect in gateway.step(local, event) {
             match effect {
                 Effect::Send(send) => {
-                    self.plan(calls_leave + TRANSIT, Due::Call(number, life, Box::new(send)));
+                    self.schedule(
+                        calls_leave + TRANSIT,
+                        Scheduled::Call(number, start_count, Box::new(send)),
+                    );
+                }
+                Effect::Announce(audience, message) => {
+                    self.send_datagrams(side, &audience, &message)
                 }
-                Effect::Announce(audience, message) => self.tell(side, &audience, &message),
                 Effect::Store(operation, what) => {
                     let answer = self.store.carry_out(what);
-                    let at = self.now + STORE_ANSWERS_IN;
-                    self.plan(at, Due::Stored(number, life, operation, answer));
+                    let at = self.now + STORE_DELAY;
+                    self.schedule(at, Scheduled::Stored(number, start_count, operation, answer));
                 }
                 Effect::Read(kind) => {
                     self.store.calls += 1;
                     if kind == Kind::Engines {
-                        self.plan(self.now + STORE_ANSWERS_IN, Due::Listed(number, life));
+                        self.schedule(
+                            self.now + STORE_DELAY,
+                            Scheduled::Listed(number, start_count),
+                        );
                     }
                 }
                 Effect::Fetch(provider) => self.hand_over(number, provider),
                 Effect::Probe(engine) => {
-                    self.ask_engine(number, engine.key);
+                    self.query_engine(number, engine.key);
                     self.probe(number, engine.key);
                 }
                 Effect::QueryCachedPrompts(engine) | Effect::QueryOrderCount(engine) => {
-                    self.ask_engine(number, engine.key);
+                    self.query_engine(number, engine.key);
                 }
-                Effect::Order(order) => self.ask_engine(number, order.engine.key),
-                Effect::Free(source) => self.ask_engine(number, source.engine),
-                Effect::Refuse(flight, refusal) => {
-                    self.crashes.answered(flight, refusal, self.now);
+                Effect::Order(order) => self.query_engine(number, order.engine.key),
+                Effect::Free(source) => self.query_engine(number, source.engine),
+                Effect::Refuse(request, refusal) => {
+                    self.crashes.record_refusal(request, refusal, self.now);
                 }
-                Effect::Abort(flight) => self.crashes.broke_off(flight, self.now),
+                Effect::Abort(request) => self.crashes.record_abort(request, self.now),
                 Effect::Log(LogEvent::Retry { service, is_sent: false, .. }) => {
                     let service = if *service == *PLAIN { PLAIN } else { MODEL };
-                    self.records.refused.push(Refused { service, at: self.now });
+                    self.records.refused.push(RefusedRetry { service, at: self.now });
                 }
                 _ => {}
             }
@@ -482,40 +510,44 @@
     }
 
     /// Has a question or an order of a box come to an engine that may be in need.
-    fn ask_engine(&mut self, number: usize, engine: EngineKey) {
-        let life = self.members[number].life;
-        _ = self.needs.arrive((number, life), engine, self.now);
-        _ = self.terms.arrive((number, life), engine, self.now);
+    fn query_engine(&mut self, number: usize, engine: EngineKey) {
+        let start_count = self.members[number].start_count;
+        _ = self.rate_limits.arrive((number, start_count), engine, self.now);
+        _ = self.statements.arrive((number, start_count), engine, self.now);
     }
 
     /// Has engines name a limit from now on, or none.
-    pub fn limit(&mut self, engines: impl IntoIterator<Item = EngineKey>, rate: Option<f64>) {
+    pub fn set_limit(&mut self, engines: impl IntoIterator<Item = EngineKey>, rate: Option<f64>) {
         for engine in engines {
-            self.needs.name(engine, rate, self.now);
+            self.rate_limits.set_limit(engine, rate, self.now);
         }
     }
 
     /// Has engines say from now on, in their answers alone, that they leave.
-    pub fn leave(&mut self, engines: impl IntoIterator<Item = EngineKey>) {
+    pub fn drain(&mut self, engines: impl IntoIterator<Item = EngineKey>) {
         for engine in engines {
-            self.terms.leave(engine, self.now);
+            self.statements.drain(engine, self.now);
         }
     }
 
     /// Has engines turn all away at times, and say for how long.
-    pub fn rest(&mut self, engines: impl IntoIterator<Item = EngineKey>, rests: Option<Rests>) {
+    pub fn back_off(
+        &mut self,
+        engines: impl IntoIterator<Item = EngineKey>,
+        back_offs: Option<BackOffs>,
+    ) {
         for engine in engines {
-            self.terms.rest(engine, rests, self.now);
+            self.statements.back_off(engine, back_offs, self.now);
         }
     }
 
-    /// Gives the engines of a service.
+    /// Returns the engines of a service.
     pub fn engines_of(&self, service: &str) -> Vec<EngineKey> {
         let engines = self.engines().into_iter();
         engines.filter(|it| *it.service == *service).map(|it| it.key).collect()
     }
 
-    /// Gives the time.
+    /// Returns the time.
     pub fn now(&self) -> Time {
         self.now
     }
@@ -525,23 +557,25 @@
         let is_provider = |it: &usize| settings_of(*it).peer == provider;
         let Some(other) = (0..self.members.len()).find(is_provider) else { return };
         let (asking, other) = (&self.members[number], &self.members[other]);
-        let (Some(gateway), Some(knowing)) = (&asking.gateway, &other.gateway) else { return };
+        let (Some(gateway), Some(provider_gateway)) = (&asking.gateway, &other.gateway) else {
+            return;
+        };
         if asking.side == other.side {
-            let snapshot = Box::new(knowing.snapshot(gateway.snapshot_request()));
-            let due = Due::Fetched(number, asking.life, provider, snapshot);
-            self.plan(self.now + HANDOVER_TAKES, due);
+            let snapshot = Box::new(provider_gateway.snapshot(gateway.snapshot_request()));
+            let due = Scheduled::Fetched(number, asking.start_count, provider, snapshot);
+            self.schedule(self.now + HANDOVER_DURATION, due);
         }
     }
 
     /// Tells a box the store's era, as each answer does.
-    fn tell_era(&mut self, number: usize) {
+    fn report_era(&mut self, number: usize) {
         if self.store.revision.era > 0 {
             self.step(number, Event::StoreEra(self.store.revision.era));
         }
     }
 
     /// Sends a datagram to boxes of one side.
-    fn tell(&mut self, side: usize, audience: &[SocketAddr], message: &Message) {
+    fn send_datagrams(&mut self, side: usize, audience: &[SocketAddr], message: &Message) {
         for &address in audience {
             let is_receiver = |it: &usize| settings_of(*it).peer == address;
             let Some(number) = (0..self.members.len()).find(is_receiver) else { continue };
@@ -550,12 +584,12 @@
                 continue;
             }
             let delay = Duration::from_millis(self.random.random_range(self.delay_ms.clone()));
-            self.plan(self.now + delay, Due::Datagram(number, Box::new(message.clone())));
+            self.schedule(self.now + delay, Scheduled::Datagram(number, Box::new(message.clone())));
         }
     }
 }
 
-/// Gives the settings of a box.
+/// Returns the settings of a box.
 fn settings_of(number: usize) -> Settings {
     let number = u8::try_from(number + 1).expect("at most 255 boxes");
     Settings { retry_bound: BOUND, ..settings(number) }
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -9,47 +9,48 @@
 use hollyspoke_gateway::statement::Statement;
 use rand::Rng;
 
-use super::{ANSWERS_IN_MS, Caller, Due, Fleet, STORE_ANSWERS_IN, STREAM_LASTS, TRANSIT};
-use crate::crashes::{BACK_AFTER, CRASHES_AFTER, State};
-use crate::gateway::{MODEL, PLAIN, engine, ran, read, turned_away};
+use super::{ANSWER_DELAY_MS, Caller, Fleet, STORE_DELAY, STREAM_DURATION, Scheduled, TRANSIT};
+use crate::crashes::{CRASH_DELAY, RESTART_DELAY, State};
+use crate::gateway::{MODEL, PLAIN, engine, prefilled, ran, rejected};
 use crate::repeats::Arrival;
 
 impl Fleet {
     /// Has a call arrive at its engine, which answers.
-    pub(super) fn arrive(&mut self, number: usize, life: u64, send: &Send) {
-        let caller = Caller { number, life, call: send.call };
+    pub(super) fn arrive(&mut self, number: usize, start_count: u64, send: &Send) {
+        let caller = Caller { number, start_count, call: send.call };
         let engine = send.engine.key;
         let State { crashes, down_until } = self.crashes.state(engine);
         if self.now < down_until {
-            let unsent = Due::Answer(caller, engine, CallEvent::NotConnected);
-            return self.plan(self.now + TRANSIT, unsent);
+            let unsent = Scheduled::Answer(caller, engine, CallEvent::NotConnected);
+            return self.schedule(self.now + TRANSIT, unsent);
         }
-        let limit = self.needs.arrive((number, life), engine, self.now);
-        let terms = self.terms.arrive((number, life), engine, self.now);
-        let says = Statement { limit, ..terms };
+        let limit = self.rate_limits.arrive((number, start_count), engine, self.now);
+        let stated = self.statements.arrive((number, start_count), engine, self.now);
+        let statement = Statement { limit, ..stated };
         if self.crashes.harmful.contains(&send.request) {
-            let when_read = self.harmful.is_some_and(|it| it.when_read);
-            if when_read || send.task != Task::Prefill {
+            let crashes_on_prefill = self.harmful.is_some_and(|it| it.crashes_on_prefill);
+            if crashes_on_prefill || send.task != Task::Prefill {
                 self.crashes.arrivals.push(self.now);
-                return self.plan(self.now + CRASHES_AFTER, Due::Crash(caller, engine, crashes));
+                return self
+                    .schedule(self.now + CRASH_DELAY, Scheduled::Crash(caller, engine, crashes));
             }
         }
-        let turns_away = self.random.random_bool(self.behaviour.turns_away);
-        let is_turned_away = turns_away || says.back_off != back_off::Reported::Nothing;
-        let is_failed = self.random.random_bool(self.behaviour.fails);
-        let is_reading = send.task == Task::Prefill;
-        let is_free = is_reading && !is_turned_away;
+        let reject_share = self.random.random_bool(self.behaviour.reject_share);
+        let is_rejected = reject_share || statement.back_off != back_off::Reported::Nothing;
+        let is_failed = self.random.random_bool(self.behaviour.fail_share);
+        let is_prefill = send.task == Task::Prefill;
+        let is_accepted_prefill = is_prefill && !is_rejected;
         let service = if send.engine.stage.is_some() { MODEL } else { PLAIN };
         self.records.arrivals.push(Arrival {
             service,
-            flight: (number, life, send.request.0),
+            request: (number, start_count, send.request.0),
             at: self.now,
-            is_free,
+            is_accepted_prefill,
         });
-        let events: &[CallEvent] = if is_turned_away {
-            &[CallEvent::Answered(turned_away())]
-        } else if is_reading {
-            &[CallEvent::Answered(read("h"))]
+        let events: &[CallEvent] = if is_rejected {
+            &[CallEvent::Answered(rejected())]
+        } else if is_prefill {
+            &[CallEvent::Answered(prefilled("h"))]
         } else if is_failed {
             &[CallEvent::Answered(ran(500))]
         } else if send.task == Task::Plain {
@@ -57,17 +58,17 @@
         } else {
             &[CallEvent::Began(ran(200)), CallEvent::Answered(ran(200))]
         };
-        let mut at = self.now + Duration::from_millis(self.random.random_range(ANSWERS_IN_MS));
+        let mut at = self.now + Duration::from_millis(self.random.random_range(ANSWER_DELAY_MS));
         for event in events {
-            self.plan(at, Due::Answer(caller, engine, saying(event, says)));
-            at = at + STREAM_LASTS;
+            self.schedule(at, Scheduled::Answer(caller, engine, with_statement(event, statement)));
+            at = at + STREAM_DURATION;
         }
     }
 
     /// Has an engine crash under a harmful request, unless it has crashed since that began.
-    pub(super) fn crash_by(&mut self, caller: Caller, engine: EngineKey, before: u64) {
+    pub(super) fn crash_by_request(&mut self, caller: Caller, engine: EngineKey, before: u64) {
         if self.crashes.state(engine).crashes == before {
-            self.crashes.caused.push(self.now);
+            self.crashes.harmful_crashes.push(self.now);
             self.crash(engine, Some(caller));
         }
     }
@@ -81,20 +82,22 @@
 
     /// Has an engine crash, under a call or not: what it has under way breaks.
     pub(super) fn crash(&mut self, engine: EngineKey, caller: Option<Caller>) {
-        self.needs.forget(engine, self.now);
-        self.terms.forget(engine);
+        self.rate_limits.forget(engine, self.now);
+        self.statements.forget(engine);
         let state = self.crashes.states.entry(engine).or_default();
         state.crashes += 1;
-        state.down_until = self.now + BACK_AFTER;
+        state.down_until = self.now + RESTART_DELAY;
         self.reset(engine, caller);
-        self.plan(self.now + BACK_AFTER, Due::Back(engine));
+        self.schedule(self.now + RESTART_DELAY, Scheduled::Back(engine));
     }
 
     /// Has all connections to an engine break, and that of one call more.
     pub(super) fn reset(&mut self, engine: EngineKey, caller: Option<Caller>) {
         let mut broken: Vec<_> = caller.into_iter().collect();
-        self.due.retain(|_, due| match due {
-            Due::Answer(caller, of, ..) | Due::Crash(caller, of, _) if *of == engine => {
+        self.scheduled.retain(|_, due| match due {
+            Scheduled::Answer(caller, of, ..) | Scheduled::Crash(caller, of, _)
+                if *of == engine =>
+            {
                 if !broken.contains(caller) {
                     broken.push(*caller);
                 }
@@ -103,8 +106,8 @@
             _ => true,
         });
         for caller in broken {
-            let answer = Due::Answer(caller, engine, CallEvent::Broken);
-            self.plan(self.now + TRANSIT, answer);
+            let answer = Scheduled::Answer(caller, engine, CallEvent::Broken);
+            self.schedule(self.now + TRANSIT, answer);
         }
     }
 
@@ -116,17 +119,17 @@
     }
 
     /// Has a crashed engine be back, which all boxes hear from the store.
-    pub(super) fn come_back(&mut self, engine: EngineKey) {
+    pub(super) fn recover(&mut self, engine: EngineKey) {
         self.store.revision.number += 1;
         let Some(engine) = self.engines().into_iter().find(|it| it.key == engine) else { return };
         let change = EngineChange::Put(engine, self.store.revision);
         for number in 0..self.members.len() {
-            let at = self.now + STORE_ANSWERS_IN;
-            self.plan(at, Due::Changed(number, vec![change.clone()]));
+            let at = self.now + STORE_DELAY;
+            self.schedule(at, Scheduled::Changed(number, vec![change.clone()]));
         }
     }
 
-    /// Gives the engines as they are listed now.
+    /// Returns the engines as they are listed now.
     pub fn engines(&self) -> Vec<Engine> {
         let current = |it: Engine| {
             let crashes = self.crashes.state(it.key).crashes;
@@ -140,13 +143,16 @@
     pub(super) fn probe(&mut self, number: usize, engine: EngineKey) {
         let State { crashes, down_until } = self.crashes.state(engine);
         let probe = if self.now < down_until { Probe::Silent } else { Probe::Alive(Some(crashes)) };
-        let life = self.members[number].life;
-        self.plan(self.now + TRANSIT * 2, Due::Probed(number, life, engine, probe));
+        let start_count = self.members[number].start_count;
+        self.schedule(
+            self.now + TRANSIT * 2,
+            Scheduled::Probed(number, start_count, engine, probe),
+        );
     }
 }
 
 /// Adds to an event what the engine says of itself.
-fn saying(event: &CallEvent, statement: Statement) -> CallEvent {
+fn with_statement(event: &CallEvent, statement: Statement) -> CallEvent {
     let add = |answer: &Answer| Answer { statement, ..answer.clone() };
     match event {
         CallEvent::Began(answer) => CallEvent::Began(add(answer)),
@@ -155,10 +161,10 @@
     }
 }
 
-/// Gives three plain engines, six that read prompts and twelve that generate.
+/// Returns three plain engines, six that read prompts and twelve that generate.
 fn engines() -> Vec<Engine> {
     let plain = (1..=3).map(|it| engine(it, PLAIN, None));
-    let readers = (11..=16).map(|it| engine(it, MODEL, Some(Stage::Prefill)));
-    let generators = (21..=32).map(|it| engine(it, MODEL, Some(Stage::Decode)));
-    plain.chain(readers).chain(generators).collect()
+    let prefill_engines = (11..=16).map(|it| engine(it, MODEL, Some(Stage::Prefill)));
+    let decode_engines = (21..=32).map(|it| engine(it, MODEL, Some(Stage::Decode)));
+    plain.chain(prefill_engines).chain(decode_engines).collect()
 }
--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -40,10 +40,10 @@
     /// The time.
     pub now: Time,
     /// The number of the next request.
-    pub next_flight: u64,
+    pub next_request: u64,
 }
 
-/// Gives settings of a box.
+/// Returns settings of a box.
 pub fn settings(number: u8) -> Settings {
     Settings {
         data_centre: "north".into(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Gives a route; its prefix is `/NAME/`.
+/// Returns a route; its prefix is `/NAME/`.
 pub fn route(name: &str, kind: RouteKind, service: &str) -> Route {
     Route {
         name: name.into(),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Gives a configuration with the usual services and the routes `safe`, `unsafe`, `once` and
+/// Returns a configuration with the usual services and the routes `safe`, `unsafe`, `once` and
 /// `resumed`.
 pub fn configuration(version: u64) -> Configuration {
     let resumed = Route { resumable: true, ..route("resumed", RouteKind::Stream, MODEL) };
@@ -95,7 +95,7 @@
     configuration_of(version, routes)
 }
 
-/// Gives a configuration with the usual services and some routes.
+/// Returns a configuration with the usual services and some routes.
 pub fn configuration_of(version: u64, routes: Vec<Route>) -> Configuration {
     let staged = Staged {
         memory_tokens: MEMORY,
@@ -117,7 +117,7 @@
     Configuration::new(version, limits, routes, services)
 }
 
-/// Gives an engine; its last address byte is its number.
+/// Returns an engine; its last address byte is its number.
 pub fn engine(number: u8, service: &str, stage: Option<Stage>) -> Engine {
     let id = format!("engine-{number}");
     Engine {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Gives two plain engines (1, 2), two that read prompts (11, 12) and two that generate (21, 22).
+/// Returns two plain engines (1, 2), two that read prompts (11, 12) and two that generate (21, 22).
 pub fn engines() -> Vec<Engine> {
     vec![
         engine(1, PLAIN, None),
@@ -146,7 +146,7 @@
     ]
 }
 
-/// Gives a request on a route of [`configuration`].
+/// Returns a request on a route of [`configuration`].
 pub fn request(route: &str) -> Request {
     Request {
         id: format!("request-{route}").into(),
@@ -164,18 +164,18 @@
     }
 }
 
-/// Gives an answer that proves that the request ran.
+/// Returns an answer that proves that the request ran.
 pub fn ran(status: u16) -> Answer {
     Answer { status, execution: Execution::Ran, statement: Statement::default(), handle: None }
 }
 
-/// Gives an answer that proves that the request did not run.
-pub fn turned_away() -> Answer {
+/// Returns an answer that proves that the request did not run.
+pub fn rejected() -> Answer {
     Answer { execution: Execution::Refused, ..ran(503) }
 }
 
-/// Gives the answer to the reading of a prompt.
-pub fn read(handle: &str) -> Answer {
+/// Returns the answer to the reading of a prompt.
+pub fn prefilled(handle: &str) -> Answer {
     Answer { handle: Some(handle.to_owned()), ..ran(200) }
 }
 
@@ -197,7 +197,7 @@
     /// Makes a box of a number that knows nothing.
     pub fn numbered(number: u8) -> World {
         let gateway = Gateway::new(settings(number));
-        World { gateway, now: Time::from_millis(1000), next_flight: 0 }
+        World { gateway, now: Time::from_millis(1000), next_request: 0 }
     }
 
     /// Makes a box that knows nothing.
@@ -205,13 +205,13 @@
         World::numbered(1)
     }
 
-    /// Gives the reducer an event; the effects leave out the log, and what a box does apart from
+    /// Returns the reducer an event; the effects leave out the log, and what a box does apart from
     /// requests: datagrams, the store, and asking engines which prompts they keep.
     pub fn event(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = self.gateway.step(self.now, event);
         effects.retain(|it| {
-            let is_note = matches!(it, Effect::Log(_));
-            let is_aside = match it {
+            let is_log = matches!(it, Effect::Log(_));
+            let is_background = match it {
                 Effect::Store(_, Operation::Get { kind, .. } | Operation::Put { kind, .. }) => {
                     kind == CASES
                 }
@@ -221,22 +221,22 @@
                 | Effect::Probe(_) => true,
                 _ => false,
             };
-            !is_note && !is_aside
+            !is_log && !is_background
         });
         effects
     }
 
     /// Has a request arrive.
     pub fn arrive(&mut self, request: Request) -> (RequestKey, Vec<Effect>) {
-        let flight = RequestKey(self.next_flight);
-        self.next_flight += 1;
-        (flight, self.event(Event::Arrived(flight, request)))
+        let request_key = RequestKey(self.next_request);
+        self.next_request += 1;
+        (request_key, self.event(Event::Arrived(request_key, request)))
     }
 
     /// Has a request arrive and gives its first call.
-    pub fn sent(&mut self, request: Request) -> (RequestKey, Send) {
-        let (flight, effects) = self.arrive(request);
-        (flight, only_send(&effects))
+    pub fn first_call(&mut self, request: Request) -> (RequestKey, Send) {
+        let (request_key, effects) = self.arrive(request);
+        (request_key, only_send(&effects))
     }
 
     /// Has something happen to a call.
@@ -245,19 +245,19 @@
     }
 
     /// Has a stream's prompt read and its first event come; gives the call that generates.
-    pub fn streaming(&mut self, request: Request) -> (RequestKey, Send) {
-        let (flight, reading) = self.sent(request);
-        assert_eq!(reading.task, Task::Prefill);
-        let effects = self.call(reading.call, CallEvent::Answered(read("h")));
-        let generating = only_send(&effects);
-        let effects = self.call(generating.call, CallEvent::Began(ran(200)));
-        assert_eq!(effects, [Effect::Deliver(flight, generating.call)]);
-        (flight, generating)
+    pub fn begin_stream(&mut self, request: Request) -> (RequestKey, Send) {
+        let (request_key, prefill) = self.first_call(request);
+        assert_eq!(prefill.task, Task::Prefill);
+        let effects = self.call(prefill.call, CallEvent::Answered(prefilled("h")));
+        let decode = only_send(&effects);
+        let effects = self.call(decode.call, CallEvent::Began(ran(200)));
+        assert_eq!(effects, [Effect::Deliver(request_key, decode.call)]);
+        (request_key, decode)
     }
 
     /// Lets time pass, with a tick whenever the reducer asks for one.
-    pub fn pass(&mut self, span: Duration) -> Vec<Effect> {
-        let end = self.now + span;
+    pub fn advance(&mut self, duration: Duration) -> Vec<Effect> {
+        let end = self.now + duration;
         let mut effects = Vec::new();
         while self.now < end {
             let due = self.gateway.next_due();
@@ -268,7 +268,7 @@
     }
 }
 
-/// Gives the only call that was sent.
+/// Returns the only call that was sent.
 pub fn only_send(effects: &[Effect]) -> Send {
     let sends: Vec<_> = effects
         .iter()
@@ -281,7 +281,7 @@
     sends.into_iter().next().expect("there is one")
 }
 
-/// Gives the only refusal.
+/// Returns the only refusal.
 pub fn only_refusal(effects: &[Effect]) -> Refusal {
     let mut refusals = effects.iter().filter_map(|it| match it {
         Effect::Refuse(_, refusal) => Some(*refusal),
@@ -292,7 +292,7 @@
     first
 }
 
-/// Gives a heartbeat of another box that knows something of the store.
+/// Returns a heartbeat of another box that knows something of the store.
 pub fn heartbeat(number: u8, sequence: u64, store_view: StoreView) -> Message {
     let Settings { peer, front, .. } = settings(number);
     Message {
--- a/tests/src/link.rs
+++ b/tests/src/link.rs
@@ -13,7 +13,7 @@
     /// It passes it on.
     Pass,
     /// It keeps connections open and passes nothing on: half-open.
-    Hold,
+    Stall,
     /// It closes connections, and takes no new ones.
     Cut,
 }
@@ -35,7 +35,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
         let mode = Arc::new(watch::Sender::new(Mode::Pass));
-        let task = tokio::spawn(take(listener, to.to_owned(), mode.clone()));
+        let task = tokio::spawn(accept(listener, to.to_owned(), mode.clone()));
         Ok(Link { address, mode, task })
     }
 
@@ -52,27 +52,27 @@
 }
 
 /// Takes connections.
-async fn take(listener: TcpListener, to: String, mode: Arc<watch::Sender<Mode>>) {
-    while let Ok((near, _)) = listener.accept().await {
+async fn accept(listener: TcpListener, to: String, mode: Arc<watch::Sender<Mode>>) {
+    while let Ok((client, _)) = listener.accept().await {
         if *mode.borrow() == Mode::Cut {
             continue;
         }
         let to = to.clone();
         let mode = mode.clone();
         tokio::spawn(async move {
-            let Ok(far) = TcpStream::connect(&to).await else { return };
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+            let Ok(server) = TcpStream::connect(&to).await else { return };
+            let (client_read, client_write) = client.into_split();
+            let (server_read, server_write) = server.into_split();
             tokio::select! {
-                () = pass(near_read, far_write, mode.subscribe()) => {}
-                () = pass(far_read, near_write, mode.subscribe()) => {}
+                () = forward(client_read, server_write, mode.subscribe()) => {}
+                () = forward(server_read, client_write, mode.subscribe()) => {}
             }
         });
     }
 }
 
 /// Passes bytes on one way, until an end closes or the link is cut.
-async fn pass(
+async fn forward(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
     mut mode: watch::Receiver<Mode>,
@@ -85,11 +85,11 @@
         };
         let Ok(count @ 1..) = read else { return };
         // What comes while nothing passes waits here, as it would on a dead path.
-        let Ok(open) = mode.wait_for(|it| *it != Mode::Hold).await.map(|it| *it != Mode::Cut)
+        let Ok(is_open) = mode.wait_for(|it| *it != Mode::Stall).await.map(|it| *it != Mode::Cut)
         else {
             return;
         };
-        if !open || to.write_all(&bytes[..count]).await.is_err() {
+        if !is_open || to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
     }
--- a/tests/src/permits.rs
+++ b/tests/src/permits.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::needs::{WINDOW, allowed};
+use crate::rate_limits::{WINDOW, allowed};
 
 /// The engine.
 const ENGINE: EngineKey = EngineKey(41);
@@ -31,7 +31,7 @@
 
 /// The silence after which a box counts as missing and after which it is taken for dead, in
 /// heartbeats: the means of what boxes go by.
-const MISSED_AFTER_BEATS: (f64, f64) = (1.15, 3.6);
+const TIMEOUT_BEATS: (f64, f64) = (1.15, 3.6);
 
 /// One box.
 #[derive(Debug)]
@@ -41,9 +41,9 @@
     /// What it holds.
     holder: Holder,
     /// When this life of it began.
-    began: Time,
+    started_at: Time,
     /// When the life before ended.
-    died: Time,
+    stopped_at: Time,
     /// Until when it is down.
     down_until: Time,
     /// With whom it exchanges datagrams: those of the same side.
@@ -52,11 +52,11 @@
 
 /// What is yet to happen.
 #[derive(Debug, Clone, Copy)]
-enum Due {
+enum Scheduled {
     /// A request comes to a box.
     Request(usize),
     /// A question comes from one box to another.
-    Ask(usize, usize),
+    Query(usize, usize),
     /// The answer comes to a box: the time until the permit, or until the next one.
     Reply(usize, Result<Duration, Duration>),
     /// A box uses a permit.
@@ -77,11 +77,11 @@
     /// The boxes in the order in which they issue the engine's permits.
     order: Vec<usize>,
     /// When the sides last changed, and what they were before.
-    parted: (Time, Vec<usize>),
+    partition_change: (Time, Vec<usize>),
     /// The time.
     now: Time,
     /// What is yet to happen.
-    due: BTreeMap<(Time, u64), Due>,
+    scheduled: BTreeMap<(Time, u64), Scheduled>,
     /// The number of the next entry.
     next: u64,
     /// The share of datagrams that are lost.
@@ -98,8 +98,8 @@
         let member = |_| Member {
             issuer: Issuer::default(),
             holder: Holder::default(),
-            began: Time::ZERO,
-            died: Time::ZERO,
+            started_at: Time::ZERO,
+            stopped_at: Time::ZERO,
             down_until: Time::ZERO,
             side: 0,
         };
@@ -109,28 +109,28 @@
             rate,
             members: (0..boxes).map(member).collect(),
             order,
-            parted: (Time::ZERO, vec![0; boxes]),
+            partition_change: (Time::ZERO, vec![0; boxes]),
             now: Time::from_millis(60_000),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             next: 0,
             lost: 0.0,
             arrivals: Vec::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for number in 0..boxes {
-            site.plan(site.now, Due::Beat(number));
+            site.schedule(site.now, Scheduled::Beat(number));
         }
         site
     }
 
-    /// Gives the time.
+    /// Returns the time.
     pub fn now(&self) -> Time {
         self.now
     }
 
     /// Cuts boxes off from the others: gives each the number of its side.
-    pub fn part(&mut self, side: impl Fn(usize) -> usize) {
-        self.parted = (self.now, self.members.iter().map(|it| it.side).collect());
+    pub fn partition(&mut self, side: impl Fn(usize) -> usize) {
+        self.partition_change = (self.now, self.members.iter().map(|it| it.side).collect());
         for (number, member) in self.members.iter_mut().enumerate() {
             member.side = side(number);
         }
@@ -142,117 +142,119 @@
             let member = &mut self.members[number];
             member.issuer = Issuer::default();
             member.holder = Holder::default();
-            member.died = self.now;
+            member.stopped_at = self.now;
             member.down_until = self.now + down;
-            member.began = member.down_until;
+            member.started_at = member.down_until;
         }
     }
 
     /// Has time pass, with so many requests a second at all boxes together, and one at each box at the
     /// same moment now and then.
-    pub fn run(&mut self, span: Duration, a_second: f64, all_every: Option<Duration>) {
-        let end = self.now + span;
-        self.draw_requests(a_second, end);
+    pub fn run(&mut self, duration: Duration, rate_per_s: f64, all_every: Option<Duration>) {
+        let end = self.now + duration;
+        self.draw_requests(rate_per_s, end);
         let mut at = all_every.map(|it| self.now + it);
         while let (Some(moment), Some(every)) = (at.filter(|it| *it < end), all_every) {
             for number in 0..self.members.len() {
-                self.plan(moment, Due::Request(number));
+                self.schedule(moment, Scheduled::Request(number));
             }
             at = Some(moment + every);
         }
-        while let Some((&(at, _), _)) = self.due.first_key_value() {
+        while let Some((&(at, _), _)) = self.scheduled.first_key_value() {
             if at > end {
                 break;
             }
-            let Some((_, due)) = self.due.pop_first() else { break };
+            let Some((_, due)) = self.scheduled.pop_first() else { break };
             self.now = at;
-            self.happen(due);
+            self.handle(due);
         }
         self.now = end;
     }
 
-    /// Gives the most that came to the engine in the span, as a share of what is allowed.
+    /// Returns the most that came to the engine in the span, as a share of what is allowed.
     pub fn bound_used(&self) -> f64 {
         let mut first = 0;
-        let mut most = 0;
+        let mut max = 0;
         for (last, at) in self.arrivals.iter().enumerate() {
             while self.arrivals[first] + WINDOW <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max = max.max(last + 1 - first);
         }
-        most as f64 / allowed(self.rate)
+        max as f64 / allowed(self.rate)
     }
 
-    /// Gives the share of the limit that came to the engine from a time on.
+    /// Returns the share of the limit that came to the engine from a time on.
     pub fn limit_used(&self, from: Time) -> f64 {
         let count = self.arrivals.iter().filter(|it| **it >= from).count();
         count as f64 / (self.rate * self.now.since(from).as_secs_f64())
     }
 
     /// Draws when and where requests come until a time.
-    fn draw_requests(&mut self, a_second: f64, end: Time) {
+    fn draw_requests(&mut self, rate_per_s: f64, end: Time) {
         let mut at = self.now;
         loop {
-            let pause = -(1.0 - self.random.random::<f64>()).ln() / a_second;
+            let pause = -(1.0 - self.random.random::<f64>()).ln() / rate_per_s;
             at = at + Duration::from_secs_f64(pause);
             if at >= end {
                 return;
             }
             let number = self.random.random_range(0..self.members.len());
-            self.plan(at, Due::Request(number));
+            self.schedule(at, Scheduled::Request(number));
         }
     }
 
     /// Adds what is yet to happen.
-    fn plan(&mut self, at: Time, due: Due) {
+    fn schedule(&mut self, at: Time, due: Scheduled) {
         self.next += 1;
-        self.due.insert((at, self.next), due);
+        self.scheduled.insert((at, self.next), due);
     }
 
     /// Adds what happens after some milliseconds.
-    fn plan_in(&mut self, millis: RangeInclusive<u64>, due: Due) {
-        let span = Duration::from_millis(self.random.random_range(millis));
-        self.plan(self.now + span, due);
+    fn schedule_in(&mut self, millis: RangeInclusive<u64>, due: Scheduled) {
+        let duration = Duration::from_millis(self.random.random_range(millis));
+        self.schedule(self.now + duration, due);
     }
 
     /// Has something happen. What concerns a box that is down is lost with it.
-    fn happen(&mut self, due: Due) {
+    fn handle(&mut self, due: Scheduled) {
         let concerned = match due {
-            Due::Request(number) | Due::Use(number) | Due::Reply(number, _) => Some(number),
-            Due::Beat(number) => return self.look(number),
-            Due::Ask(_, to) => Some(to),
-            Due::Arrival => None,
+            Scheduled::Request(number) | Scheduled::Use(number) | Scheduled::Reply(number, _) => {
+                Some(number)
+            }
+            Scheduled::Beat(number) => return self.update_issuer(number),
+            Scheduled::Query(_, to) => Some(to),
+            Scheduled::Arrival => None,
         };
         if concerned.is_some_and(|it| self.now < self.members[it].down_until) {
             return;
         }
         match due {
-            Due::Request(number) => self.ask(number),
-            Due::Ask(from, to) => self.answer(from, to),
-            Due::Reply(number, reply) => self.take_reply(number, reply),
-            Due::Use(number) => self.send(number),
-            Due::Arrival => self.arrivals.push(self.now),
-            Due::Beat(_) => {}
+            Scheduled::Request(number) => self.handle_request(number),
+            Scheduled::Query(from, to) => self.handle_query(from, to),
+            Scheduled::Reply(number, reply) => self.handle_reply(number, reply),
+            Scheduled::Use(number) => self.send(number),
+            Scheduled::Arrival => self.arrivals.push(self.now),
+            Scheduled::Beat(_) => {}
         }
     }
 
     /// Has a box look whether it issues the permits, as it does with each heartbeat.
-    fn look(&mut self, number: usize) {
+    fn update_issuer(&mut self, number: usize) {
         if self.now >= self.members[number].down_until {
-            let issues = self.issuer(number) == number;
+            let is_issuer = self.issuer(number) == number;
             let issuer = &mut self.members[number].issuer;
-            if issues {
+            if is_issuer {
                 issuer.begin(ENGINE, self.now);
             } else {
                 issuer.end(ENGINE);
             }
         }
-        self.plan(self.now + self.beat(), Due::Beat(number));
+        self.schedule(self.now + self.beat_interval(), Scheduled::Beat(number));
     }
 
     /// Has a box with a request send it, or ask for a permit.
-    fn ask(&mut self, number: usize) {
+    fn handle_request(&mut self, number: usize) {
         let now = self.now;
         let holder = &self.members[number].holder;
         if holder.has(ENGINE, now) {
@@ -264,16 +266,16 @@
         let issuer = self.issuer(number);
         if issuer == number {
             let issued = self.issue(number);
-            return self.take_reply(number, issued);
+            return self.handle_reply(number, issued);
         }
-        self.tell(number, issuer, Due::Ask(number, issuer));
+        self.send_datagram(number, issuer, Scheduled::Query(number, issuer));
     }
 
     /// Has a box answer a question.
-    fn answer(&mut self, from: usize, to: usize) {
+    fn handle_query(&mut self, from: usize, to: usize) {
         let issued =
             if self.issuer(to) == to { self.issue(to) } else { Err(Duration::from_millis(100)) };
-        self.tell(to, from, Due::Reply(from, issued));
+        self.send_datagram(to, from, Scheduled::Reply(from, issued));
     }
 
     /// Has a box decide on a permit.
@@ -283,12 +285,12 @@
     }
 
     /// Has a box take the answer to its question.
-    fn take_reply(&mut self, number: usize, reply: Result<Duration, Duration>) {
+    fn handle_reply(&mut self, number: usize, reply: Result<Duration, Duration>) {
         let now = self.now;
         match reply {
             Ok(wait) => {
                 self.members[number].holder.add(ENGINE, now + wait);
-                self.plan(now + wait, Due::Use(number));
+                self.schedule(now + wait, Scheduled::Use(number));
             }
             Err(wait) => self.members[number].holder.refuse(ENGINE, wait, now),
         }
@@ -300,56 +302,57 @@
         let holder = &mut self.members[number].holder;
         if holder.has(ENGINE, now) {
             holder.take(ENGINE, now);
-            self.plan_in(TRANSIT_MS, Due::Arrival);
+            self.schedule_in(TRANSIT_MS, Scheduled::Arrival);
         }
     }
 
     /// Sends a datagram from one box to another.
-    fn tell(&mut self, from: usize, to: usize, due: Due) {
+    fn send_datagram(&mut self, from: usize, to: usize, due: Scheduled) {
         let is_lost = self.random.random_bool(self.lost);
         if !is_lost && self.members[from].side == self.members[to].side {
-            self.plan_in(DELAY_MS, due);
+            self.schedule_in(DELAY_MS, due);
         }
     }
 
-    /// Gives the time between two heartbeats.
-    fn beat(&self) -> Duration {
+    /// Returns the time between two heartbeats.
+    fn beat_interval(&self) -> Duration {
         Duration::from_millis(if self.members.len() > 100 { 800 } else { 350 })
     }
 
-    /// Tells whether a box has heard another within some heartbeats.
+    /// Returns whether a box has heard another within some heartbeats.
     fn hears(&self, number: usize, other: usize, beats: f64) -> bool {
         let spread = rank::weight(number as u64, other as u64) as f64 / u64::MAX as f64;
         let (own, its) = (&self.members[number], &self.members[other]);
-        let (parted, before) = &self.parted;
+        let (partition_change, before) = &self.partition_change;
         let is_together = own.side == its.side;
         let was_together = before[number] == before[other];
         let is_up = self.now >= its.down_until;
-        let healed = if was_together { Time::ZERO } else { *parted };
-        let first = own.began.max(its.began).max(healed) + self.beat().mul_f64(spread);
+        let healed = if was_together { Time::ZERO } else { *partition_change };
+        let first =
+            own.started_at.max(its.started_at).max(healed) + self.beat_interval().mul_f64(spread);
         if is_up && is_together && self.now >= first {
             return true;
         }
         let last = match (is_together, was_together) {
-            (true, _) => its.died,
-            (false, true) if its.began > *parted => its.died,
-            (false, true) => *parted,
+            (true, _) => its.stopped_at,
+            (false, true) if its.started_at > *partition_change => its.stopped_at,
+            (false, true) => *partition_change,
             (false, false) => return false,
         };
-        let silence = self.beat().mul_f64(beats - spread);
-        own.began <= last && self.now.since(last) < silence
+        let silence = self.beat_interval().mul_f64(beats - spread);
+        own.started_at <= last && self.now.since(last) < silence
     }
 
-    /// Gives the box that issues permits, as a box knows the others.
+    /// Returns the box that issues permits, as a box knows the others.
     fn issuer(&self, number: usize) -> usize {
-        let (_, dead) = MISSED_AFTER_BEATS;
-        let lives = |it: &&usize| **it == number || self.hears(number, **it, dead);
-        self.order.iter().find(lives).copied().unwrap_or(number)
+        let (_, dead) = TIMEOUT_BEATS;
+        let is_alive = |it: &&usize| **it == number || self.hears(number, **it, dead);
+        self.order.iter().find(is_alive).copied().unwrap_or(number)
     }
 
     /// Tells how a box that issues permits stands to the others.
     fn side(&self, number: usize) -> Side {
-        let (late, dead) = MISSED_AFTER_BEATS;
+        let (late, dead) = TIMEOUT_BEATS;
         let boxes = self.members.len();
         let others = (0..boxes).filter(|it| *it != number);
         let heard = others.filter(|it| self.hears(number, *it, late + 1.0)).count();
@@ -357,9 +360,10 @@
             return Side::Majority;
         }
         // A box knows all others once it has heard them, for a minute.
-        let has_heard_all = self.now.since(self.members[number].began) > Duration::from_secs(5);
-        let first = self.order.iter().take(PART_COUNT);
+        let has_heard_all =
+            self.now.since(self.members[number].started_at) > Duration::from_secs(5);
+        let leaders = self.order.iter().take(PART_COUNT);
         let is_heard = |it: &&usize| **it == number || self.hears(number, **it, dead);
-        Side::Minority(if has_heard_all { first.filter(is_heard).count() } else { 0 })
+        Side::Minority(if has_heard_all { leaders.filter(is_heard).count() } else { 0 })
     }
 }
--- a/tests/src/platform.rs
+++ b/tests/src/platform.rs
@@ -21,17 +21,17 @@
 
 /// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreMood {
+pub enum StoreBehaviour {
     /// It answers.
-    Well,
+    Available,
     /// It refuses with 503.
-    Busy,
+    Unavailable,
     /// It takes requests and says nothing.
-    Silent,
+    Unresponsive,
     /// Its history is gone: watches get 410.
-    Forgetful,
+    HistoryLost,
     /// It does what it is asked, and its answers are lost with the connection.
-    Lossy,
+    AnswersLost,
 }
 
 /// A head and a body that a peer sent.
@@ -46,20 +46,20 @@
 }
 
 impl Received {
-    /// Gives a header's value.
+    /// Returns a header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|it| it.0 == name).map(|it| it.1.as_str())
     }
 
-    /// Tells whether it is a box's question whether the engine lives, and no client's request.
-    pub fn is_question(&self) -> bool {
+    /// Returns whether it is a box's question whether the engine lives, and no client's request.
+    pub fn is_probe(&self) -> bool {
         self.line.starts_with("GET /report ")
     }
 }
 
 /// What an engine does with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Sends bytes and keeps the connection open.
     Send(Vec<u8>),
     /// Waits.
@@ -71,7 +71,7 @@
 }
 
 /// What an engine does with each request.
-pub type Script = Rc<dyn Fn(&Received) -> Vec<Act>>;
+pub type Script = Rc<dyn Fn(&Received) -> Vec<Action>>;
 
 /// An engine.
 #[derive(Clone)]
@@ -113,7 +113,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// How it behaves.
-    pub mood: Rc<Cell<StoreMood>>,
+    pub behaviour: Rc<Cell<StoreBehaviour>>,
     /// The revision.
     revision: Rc<Cell<u64>>,
     /// How often it has come back from a copy; none if it does not tell.
@@ -123,7 +123,7 @@
     /// The objects, those that are gone too.
     objects: Rc<RefCell<Vec<Object>>>,
     /// The most objects of a page.
-    pub page: Rc<Cell<usize>>,
+    pub page_size: Rc<Cell<usize>>,
     /// How often a list of engines was begun.
     pub lists: Rc<Cell<usize>>,
     /// Engines that leave right after the first page was given.
@@ -131,7 +131,7 @@
     /// How many of the next reads of a page after the first are refused.
     pub refused_pages: Rc<Cell<u32>>,
     /// How often the open connections were silenced.
-    silenced: Rc<Cell<u32>>,
+    stalled: Rc<Cell<u32>>,
     /// Wakes watches.
     changed: Rc<Notify>,
 }
@@ -199,25 +199,25 @@
 async fn serve_engine(engine: Engine, mut stream: TcpStream, script: Script) {
     while let Some(received) = receive(&mut stream).await {
         engine.received.borrow_mut().push(received.clone());
-        for act in script(&received) {
-            match act {
-                Act::Send(bytes) => {
+        for action in script(&received) {
+            match action {
+                Action::Send(bytes) => {
                     if stream.write_all(&bytes).await.is_err() {
                         return;
                     }
                 }
-                Act::Wait(span) => {
+                Action::Wait(duration) => {
                     let mut byte = [0];
                     tokio::select! {
-                        () = tokio::time::sleep(span) => {}
+                        () = tokio::time::sleep(duration) => {}
                         _ = stream.read(&mut byte) => {
                             engine.dropped.set(engine.dropped.get() + 1);
                             return;
                         }
                     }
                 }
-                Act::Close => return,
-                Act::Reset => {
+                Action::Close => return,
+                Action::Reset => {
                     stream.set_zero_linger().expect("the socket takes the option");
                     return;
                 }
@@ -226,7 +226,7 @@
     }
 }
 
-/// Gives an answer as an engine sends it: to a request, with a status, headers and a body.
+/// Returns an answer as an engine sends it: to a request, with a status, headers and a body.
 pub fn answer(to: &Received, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let id = to.header("x-request-id").unwrap_or_default();
     let length = body.len();
@@ -237,17 +237,17 @@
     .into_bytes()
 }
 
-/// Gives a whole answer.
+/// Returns a whole answer.
 pub fn whole(to: &Received, body: &str) -> Vec<u8> {
     answer(to, "200 OK", "", body)
 }
 
-/// Gives the answer to the reading of a prompt.
+/// Returns the answer to the reading of a prompt.
 pub fn handle(to: &Received) -> Vec<u8> {
     whole(to, r#"{"prefillHandle":"abc","tokens":3,"version":1}"#)
 }
 
-/// Gives the head of a stream of events in chunks.
+/// Returns the head of a stream of events in chunks.
 pub fn stream_head(to: &Received) -> Vec<u8> {
     let id = to.header("x-request-id").unwrap_or_default();
     format!(
@@ -257,12 +257,12 @@
     .into_bytes()
 }
 
-/// Gives one chunk of a body.
+/// Returns one chunk of a body.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Gives an event.
+/// Returns an event.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
@@ -275,16 +275,16 @@
     let (listener, address) = listener().await;
     let store = Store {
         address,
-        mood: Rc::new(Cell::new(StoreMood::Well)),
+        behaviour: Rc::new(Cell::new(StoreBehaviour::Available)),
         revision: Rc::new(Cell::new(1)),
         era: Rc::default(),
         calls: Rc::default(),
         objects: Rc::default(),
-        page: Rc::new(Cell::new(500)),
+        page_size: Rc::new(Cell::new(500)),
         lists: Rc::default(),
         leave_between_pages: Rc::default(),
         refused_pages: Rc::default(),
-        silenced: Rc::default(),
+        stalled: Rc::default(),
         changed: Rc::default(),
     };
     let copy = store.clone();
@@ -298,26 +298,26 @@
 
 /// Serves one connection of the store.
 async fn serve_store(store: Store, mut stream: TcpStream) {
-    let silenced = store.silenced.get();
+    let stalled = store.stalled.get();
     while let Some(received) = receive(&mut stream).await {
         store.calls.set(store.calls.get() + 1);
         let path = received.line.split(' ').nth(1).unwrap_or_default().to_owned();
-        let (status, body) = match store.mood.get() {
-            StoreMood::Silent => std::future::pending().await,
-            StoreMood::Busy => ("503 Service Unavailable", Value::Null),
+        let (status, body) = match store.behaviour.get() {
+            StoreBehaviour::Unresponsive => std::future::pending().await,
+            StoreBehaviour::Unavailable => ("503 Service Unavailable", Value::Null),
             _ if path.contains("after=") && store.refused_pages.get() > 0 => {
                 store.refused_pages.set(store.refused_pages.get() - 1);
                 ("429 Too Many Requests", Value::Null)
             }
-            StoreMood::Forgetful if path.contains("watch=") => ("410 Gone", Value::Null),
-            StoreMood::Well | StoreMood::Forgetful | StoreMood::Lossy => {
-                store.respond(&received, &path).await
-            }
+            StoreBehaviour::HistoryLost if path.contains("watch=") => ("410 Gone", Value::Null),
+            StoreBehaviour::Available
+            | StoreBehaviour::HistoryLost
+            | StoreBehaviour::AnswersLost => store.respond(&received, &path).await,
         };
-        if store.mood.get() == StoreMood::Lossy {
+        if store.behaviour.get() == StoreBehaviour::AnswersLost {
             return;
         }
-        if store.silenced.get() != silenced {
+        if store.stalled.get() != stalled {
             std::future::pending::<()>().await;
         }
         let body = body.to_string();
@@ -331,8 +331,8 @@
 
 impl Store {
     /// Has the connections that are open say nothing any more; new ones work.
-    pub fn silence_open(&self) {
-        self.silenced.set(self.silenced.get() + 1);
+    pub fn stall_open_connections(&self) {
+        self.stalled.set(self.stalled.get() + 1);
     }
 
     /// Copies all that the store holds.
@@ -422,7 +422,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Gives an object's revision and what was written.
+    /// Returns an object's revision and what was written.
     pub fn object(&self, kind: &str, name: &str) -> Option<(u64, Value)> {
         let objects = self.objects.borrow();
         let found = objects.iter().find(|it| it.kind == kind && it.name == name && !it.is_gone);
@@ -431,19 +431,19 @@
 
     /// Answers a request: a list or a watch, or one object.
     async fn respond(&self, received: &Received, path: &str) -> (&'static str, Value) {
-        let below = path.trim_start_matches("/objects/");
+        let object_path = path.trim_start_matches("/objects/");
         let method = received.line.split(' ').next().unwrap_or_default();
-        match (method, below.split_once('/')) {
-            ("GET", None) => self.answer(path).await,
+        match (method, object_path.split_once('/')) {
+            ("GET", None) => self.list_or_watch(path).await,
             ("GET", Some((kind, name))) => self.found(kind, name),
             ("POST", None) => {
                 let body: Value = serde_json::from_slice(&received.body).unwrap_or_default();
                 let name = body["metadata"]["name"].as_str().unwrap_or_default().to_owned();
-                if self.object(below, &name).is_some() {
+                if self.object(object_path, &name).is_some() {
                     return ("409 Conflict", Value::Null);
                 }
-                self.put(below, &name, body["spec"].clone());
-                self.found(below, &name)
+                self.put(object_path, &name, body["spec"].clone());
+                self.found(object_path, &name)
             }
             ("PUT", Some((kind, name))) => {
                 let body: Value = serde_json::from_slice(&received.body).unwrap_or_default();
@@ -458,7 +458,7 @@
         }
     }
 
-    /// Gives the answer to a read of one object.
+    /// Returns the answer to a read of one object.
     fn found(&self, kind: &str, name: &str) -> (&'static str, Value) {
         match self.object(kind, name) {
             Some((revision, spec)) => {
@@ -470,7 +470,7 @@
     }
 
     /// Answers a list or a watch.
-    async fn answer(&self, path: &str) -> (&'static str, Value) {
+    async fn list_or_watch(&self, path: &str) -> (&'static str, Value) {
         let kind = path.trim_start_matches("/objects/").split('?').next().unwrap_or_default();
         let since = path.split("watch=").nth(1).and_then(|it| it.split('&').next()?.parse().ok());
         let wait = path.split("waitMs=").nth(1).and_then(|it| it.parse().ok()).unwrap_or(0);
@@ -489,15 +489,15 @@
         ("200 OK", json!({"events": events, "at": self.revision.get()}))
     }
 
-    /// Gives a page of a list, by name.
+    /// Returns a page of a list, by name.
     fn page(&self, kind: &str, path: &str) -> Value {
         let after = path.split("after=").nth(1).and_then(|it| it.split('&').next());
         let name = |it: &Value| it["metadata"]["name"].as_str().unwrap_or_default().to_owned();
         let mut items = self.since(kind, 0, false);
         items.sort_by_key(name);
         items.retain(|it| after.is_none_or(|after| name(it).as_str() > after));
-        let more = items.len() > self.page.get();
-        items.truncate(self.page.get());
+        let more = items.len() > self.page_size.get();
+        items.truncate(self.page_size.get());
         let page = json!({"items": items, "more": more, "at": self.revision.get()});
         if after.is_none() && kind == "servers" {
             self.lists.set(self.lists.get() + 1);
@@ -508,7 +508,7 @@
         page
     }
 
-    /// Gives the objects of a kind after a revision, as events or as items.
+    /// Returns the objects of a kind after a revision, as events or as items.
     fn since(&self, kind: &str, since: u64, as_events: bool) -> Vec<Value> {
         let objects = self.objects.borrow();
         let newer = objects.iter().filter(|it| it.kind == kind && it.revision > since);
@@ -528,7 +528,7 @@
 /// repeat within 0.03 ms, since a test's first request may need one.
 const BOUND: Bound = Bound { ratio: 0.2, allowance: 1e6, window: Duration::from_secs(10) };
 
-/// Gives the settings of a box on free ports.
+/// Returns the settings of a box on free ports.
 pub fn settings(store: SocketAddr, seeds: Vec<SocketAddr>) -> Settings {
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
@@ -569,7 +569,7 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// Gives the head of a client's request.
+/// Returns the head of a client's request.
 pub fn client_head(method: &str, path: &str, id: &str, body: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: host.example\r\nX-Request-Id: {id}\r\n\
@@ -600,7 +600,7 @@
     }
 }
 
-/// Tells whether an answer is whole.
+/// Returns whether an answer is whole.
 pub fn is_whole(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let head = head.to_ascii_lowercase();
@@ -611,7 +611,7 @@
     length.and_then(|it| it.trim().parse().ok()).is_some_and(|it: usize| body.len() >= it)
 }
 
-/// Gives the status of an answer.
+/// Returns the status of an answer.
 pub fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or_default()
 }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -20,7 +20,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The bytes of a page of memory.
-const PAGE: f64 = 4096.0;
+const PAGE_BYTES: f64 = 4096.0;
 
 /// A process with an address.
 #[derive(Debug)]
@@ -35,12 +35,12 @@
 
 impl Process {
     /// Starts a stand-in.
-    pub fn standin(sort: &str, arguments: &[&str]) -> eyre::Result<Process> {
+    pub fn standin(kind: &str, arguments: &[&str]) -> eyre::Result<Process> {
         let mut command = Command::new(program("hollyspoke-standin")?);
-        command.arg(sort).args(arguments).stdout(Stdio::piped()).stderr(Stdio::null());
+        command.arg(kind).args(arguments).stdout(Stdio::piped()).stderr(Stdio::null());
         let mut child = command.spawn().wrap_err("the stand-in does not start")?;
         let output = child.stdout.take().ok_or_eyre("no output")?;
-        let (first, lines) = follow(output)?;
+        let (first, lines) = read_lines(output)?;
         let address = first["listening"].as_str().ok_or_eyre("no address")?.to_owned();
         Ok(Process { child, address, lines })
     }
@@ -51,7 +51,7 @@
         command.args(arguments).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().wrap_err("the daemon does not start")?;
         let output = child.stderr.take().ok_or_eyre("no output")?;
-        let (first, lines) = follow(output)?;
+        let (first, lines) = read_lines(output)?;
         let text = |key: &str| first[key].as_str().unwrap_or_default().to_owned();
         let (address, peers, incarnation) = (text("callers"), text("peers"), text("incarnation"));
         if address.is_empty() {
@@ -60,7 +60,7 @@
         Ok((Process { child, address, lines }, peers, incarnation))
     }
 
-    /// Gives the processor time used so far, in seconds, and the resident memory, in bytes.
+    /// Returns the processor time used so far, in seconds, and the resident memory, in bytes.
     pub fn usage(&self) -> Option<(f64, f64)> {
         let read =
             |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).ok();
@@ -69,7 +69,7 @@
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
         let pages: f64 = read("statm")?.split(' ').nth(1)?.parse().ok()?;
-        Some((ticks / TICKS_PER_SECOND, pages * PAGE))
+        Some((ticks / TICKS_PER_SECOND, pages * PAGE_BYTES))
     }
 
     /// Sends the process a signal.
@@ -87,8 +87,8 @@
 
     /// Waits for the process's end.
     pub async fn wait(&mut self, limit: Duration) -> eyre::Result<ExitStatus> {
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < limit {
+        let started = tokio::time::Instant::now();
+        while started.elapsed() < limit {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
@@ -97,7 +97,7 @@
         bail!("the process does not end")
     }
 
-    /// Gives the lines written so far.
+    /// Returns the lines written so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -123,7 +123,7 @@
 }
 
 /// Runs the operators' tool; gives its exit code and what it printed.
-pub async fn tool(arguments: &[&str]) -> eyre::Result<(u8, String)> {
+pub async fn run_cli(arguments: &[&str]) -> eyre::Result<(u8, String)> {
     let arguments = arguments.iter().map(Into::into).collect();
     let mut out = Vec::new();
     let arguments = pico_args::Arguments::from_vec(arguments);
@@ -147,7 +147,9 @@
 }
 
 /// Reads a first line of JSON, and collects the lines after it.
-fn follow(output: impl Read + Send + 'static) -> eyre::Result<(Value, Arc<Mutex<Vec<String>>>)> {
+fn read_lines(
+    output: impl Read + Send + 'static,
+) -> eyre::Result<(Value, Arc<Mutex<Vec<String>>>)> {
     let mut output = BufReader::new(output);
     let mut first = String::new();
     output.read_line(&mut first)?;
--- a/tests/src/quota.rs
+++ b/tests/src/quota.rs
@@ -13,13 +13,13 @@
 pub const STEP: Duration = Duration::from_millis(10);
 
 /// How often boxes tell each other their totals.
-const TELL_EVERY: Duration = Duration::from_millis(350);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
 /// How often a box looks who is heard.
-const SEE_EVERY: Duration = Duration::from_millis(50);
+const VISIBILITY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The silence after which a box is not counted on any more.
-const PUNCTUAL: Duration = Duration::from_millis(402);
+const REACHABLE_TIMEOUT: Duration = Duration::from_millis(402);
 
 /// The customer.
 const CUSTOMER: u32 = 7;
@@ -32,9 +32,9 @@
     /// Each tells the others its totals.
     Totals,
     /// Each tells its totals, and none minds that others are not heard: a mistake to be caught.
-    TotalsUnminded,
+    TotalsIgnoringSilence,
     /// Nobody tells anything, and each has the whole limit: a mistake to be caught.
-    Whole,
+    Unshared,
 }
 
 /// One box.
@@ -43,19 +43,19 @@
     /// Its buckets.
     quota: Quota<u32>,
     /// The number of its life.
-    life: u64,
+    incarnation: u64,
     /// When its life began.
-    began: Time,
+    started_at: Time,
     /// When it tells next.
-    tells: Time,
+    next_announcement: Time,
     /// When it looks next who is heard.
-    sees: Time,
+    next_visibility_update: Time,
     /// When it last heard each box.
     heard: BTreeMap<usize, Time>,
     /// The most boxes that it has heard at once in this life, itself included.
-    most: usize,
+    max_heard: usize,
     /// The most that others have told of.
-    most_by_others: usize,
+    max_reported: usize,
     /// With whom it can talk.
     side: Side,
 }
@@ -94,7 +94,7 @@
     /// The time.
     now: Time,
     /// What was let through, and when.
-    passed: VecDeque<(Time, u64)>,
+    admitted: VecDeque<(Time, u64)>,
     /// The sum of these within the window.
     sum: u64,
     /// The largest such sum.
@@ -124,13 +124,13 @@
         let members = (0..boxes)
             .map(|_| Member {
                 quota: Quota::new(tolerance),
-                life: random.random(),
-                began: Time::ZERO,
-                tells: Time::ZERO + TELL_EVERY.mul_f64(random.random()),
-                sees: Time::ZERO,
+                incarnation: random.random(),
+                started_at: Time::ZERO,
+                next_announcement: Time::ZERO + ANNOUNCE_INTERVAL.mul_f64(random.random()),
+                next_visibility_update: Time::ZERO,
                 heard: BTreeMap::new(),
-                most: 1,
-                most_by_others: 1,
+                max_heard: 1,
+                max_reported: 1,
                 side: Side::Main,
             })
             .collect();
@@ -140,7 +140,7 @@
             tolerance,
             sharing,
             now: Time::ZERO,
-            passed: VecDeque::new(),
+            admitted: VecDeque::new(),
             sum: 0,
             most: 0,
             total: 0.0,
@@ -159,26 +159,26 @@
     /// Lets time pass; the function gives which box is asked for how much in each step.
     pub fn run(
         &mut self,
-        span: Duration,
+        duration: Duration,
         mut load: impl FnMut(&mut Pcg64Mcg, Time) -> Vec<(usize, u64)>,
     ) {
-        let end = self.now + span;
+        let end = self.now + duration;
         while self.now < end {
             self.now = self.now + STEP;
-            self.tell();
+            self.announce_due();
             let asked = load(&mut self.random, self.now);
             let earned = self.limit.rate * STEP.as_secs_f64();
             self.ideal = (self.ideal + earned).min(self.limit.burst);
             for (member, units) in asked {
-                self.ask(member % self.members.len(), units);
+                self.request(member % self.members.len(), units);
             }
         }
     }
 
     /// Cuts the first boxes off, each alone, or heals them.
-    pub fn cut(&mut self, count: usize, is_cut: bool) {
+    pub fn isolate(&mut self, count: usize, is_isolated: bool) {
         for (number, member) in self.members.iter_mut().take(count).enumerate() {
-            member.side = if is_cut { Side::Alone(number) } else { Side::Main };
+            member.side = if is_isolated { Side::Alone(number) } else { Side::Main };
         }
     }
 
@@ -192,18 +192,18 @@
     /// Starts boxes anew.
     pub fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
         for number in members {
-            let life = self.random.random();
+            let incarnation = self.random.random();
             let limit = self.limit;
             let member = &mut self.members[number];
             *member = Member {
                 quota: Quota::new(self.tolerance),
-                life,
-                began: self.now,
-                tells: self.now,
-                sees: self.now,
+                incarnation,
+                started_at: self.now,
+                next_announcement: self.now,
+                next_visibility_update: self.now,
                 heard: BTreeMap::new(),
-                most: 1,
-                most_by_others: 1,
+                max_heard: 1,
+                max_reported: 1,
                 side: member.side,
             };
             member.quota.set_limits(Time::ZERO, BTreeMap::from([(CUSTOMER, limit)]));
@@ -224,19 +224,19 @@
     pub fn set_limit(&mut self, limit: Limit) {
         self.limit = limit;
         for member in &mut self.members {
-            let now = Time::ZERO + self.now.since(member.began);
+            let now = Time::ZERO + self.now.since(member.started_at);
             member.quota.set_limits(now, BTreeMap::from([(CUSTOMER, limit)]));
         }
         self.ideal = self.ideal.min(limit.burst);
     }
 
-    /// Gives what the run has come to.
+    /// Returns what the run has come to.
     pub fn outcome(&self) -> Outcome {
         let allowed = self.limit.rate * self.tolerance.window.as_secs_f64() + self.limit.burst;
         Outcome { share: self.total / self.ideal_total.max(1.0), most: self.most as f64 / allowed }
     }
 
-    /// Gives the largest sum within the window, over the bound that the tolerance widens.
+    /// Returns the largest sum within the window, over the bound that the tolerance widens.
     pub fn bound_used(&self) -> f64 {
         let Tolerance { window, overrun, slack } = self.tolerance;
         let limit = self.limit.rate * window.as_secs_f64() + self.limit.burst;
@@ -244,49 +244,49 @@
     }
 
     /// Forgets what was measured so far.
-    pub fn forget(&mut self) {
+    pub fn reset_counts(&mut self) {
         (self.total, self.ideal_total, self.most) = (0.0, 0.0, self.sum);
     }
 
     /// Asks a box for units.
-    fn ask(&mut self, number: usize, units: u64) {
+    fn request(&mut self, number: usize, units: u64) {
         if self.ideal >= 1.0 {
             self.ideal -= units as f64;
             self.ideal_total += units as f64;
         }
         let member = &mut self.members[number];
-        let now = Time::ZERO + self.now.since(member.began);
+        let now = Time::ZERO + self.now.since(member.started_at);
         if member.quota.take(now, CUSTOMER, units).is_err() {
             return;
         }
         self.total += units as f64;
-        self.passed.push_back((self.now, units));
+        self.admitted.push_back((self.now, units));
         self.sum += units;
-        while let Some(&(at, units)) = self.passed.front()
+        while let Some(&(at, units)) = self.admitted.front()
             && self.now.since(at) > self.tolerance.window
         {
             self.sum -= units;
-            self.passed.pop_front();
+            self.admitted.pop_front();
         }
         self.most = self.most.max(self.sum);
     }
 
     /// Has the boxes whose turn it is tell their totals, and all look who is heard.
-    fn tell(&mut self) {
+    fn announce_due(&mut self) {
         for number in 0..self.members.len() {
-            if self.members[number].sees <= self.now {
-                self.members[number].sees = self.now + SEE_EVERY;
-                self.see(number);
+            if self.members[number].next_visibility_update <= self.now {
+                self.members[number].next_visibility_update = self.now + VISIBILITY_INTERVAL;
+                self.update_visibility(number);
             }
-            if self.members[number].tells > self.now {
+            if self.members[number].next_announcement > self.now {
                 continue;
             }
-            self.members[number].tells = self.now + TELL_EVERY;
-            let is_first = self.now.since(self.members[number].began) < TELL_EVERY;
+            self.members[number].next_announcement = self.now + ANNOUNCE_INTERVAL;
+            let is_first = self.now.since(self.members[number].started_at) < ANNOUNCE_INTERVAL;
             let member = &mut self.members[number];
-            let since = Time::ZERO + self.now.since(member.began);
+            let since = Time::ZERO + self.now.since(member.started_at);
             let accounts = member.quota.take_unannounced(since);
-            let (life, side) = (member.life, member.side);
+            let (incarnation, side) = (member.incarnation, member.side);
             for other in 0..self.members.len() {
                 if other == number || self.members[other].side != side {
                     continue;
@@ -294,54 +294,58 @@
                 if self.random.random_bool(self.lost) {
                     continue;
                 }
-                self.hear(other, number, life, &accounts, is_first);
+                self.receive(other, number, incarnation, &accounts, is_first);
                 // A box that has just started is answered at once, with all totals.
                 if is_first {
-                    let since = Time::ZERO + self.now.since(self.members[other].began);
+                    let since = Time::ZERO + self.now.since(self.members[other].started_at);
                     let answer = self.members[other].quota.accounts(since);
-                    let life = self.members[other].life;
-                    self.hear(number, other, life, &answer, true);
+                    let incarnation = self.members[other].incarnation;
+                    self.receive(number, other, incarnation, &answer, true);
                 }
             }
         }
     }
 
     /// Has a box hear another.
-    fn hear(
+    fn receive(
         &mut self,
         to: usize,
         from: usize,
-        life: u64,
+        incarnation: u64,
         accounts: &[Account<u32>],
         is_complete: bool,
     ) {
         let (now, sharing) = (self.now, self.sharing);
-        let most = self.members[from].most.max(self.members[from].most_by_others);
+        let most = self.members[from].max_heard.max(self.members[from].max_reported);
         let member = &mut self.members[to];
-        member.most_by_others = member.most_by_others.max(most);
+        member.max_reported = member.max_reported.max(most);
         member.heard.insert(from, now);
-        if matches!(sharing, Sharing::Totals | Sharing::TotalsUnminded) {
+        if matches!(sharing, Sharing::Totals | Sharing::TotalsIgnoringSilence) {
             let sender = SocketAddr::from(([10, 0, 0, 1], from as u16));
-            let now = Time::ZERO + now.since(member.began);
-            member.quota.apply_announcement(now, sender, life, accounts, is_complete);
+            let now = Time::ZERO + now.since(member.started_at);
+            member.quota.apply_announcement(now, sender, incarnation, accounts, is_complete);
         }
     }
 
     /// Has a box look who is heard.
-    fn see(&mut self, number: usize) {
+    fn update_visibility(&mut self, number: usize) {
         let boxes = self.members.len();
         let now = self.now;
         let member = &mut self.members[number];
-        let heard = member.heard.values().filter(|&&it| now.since(it) <= PUNCTUAL).count();
-        member.most = member.most.max(1 + heard);
-        let picture = match self.sharing {
+        let heard = member.heard.values().filter(|&&it| now.since(it) <= REACHABLE_TIMEOUT).count();
+        member.max_heard = member.max_heard.max(1 + heard);
+        let visibility = match self.sharing {
             Sharing::Parts => Visibility::isolated(boxes),
             // One that has heard nobody takes many others to be there.
             Sharing::Totals if member.heard.is_empty() => Visibility::isolated(MAX_BOXES),
-            Sharing::Totals => Visibility::connected(member.most.max(member.most_by_others), heard),
-            Sharing::TotalsUnminded | Sharing::Whole => Visibility { boxes, unreachable: 0 },
+            Sharing::Totals => {
+                Visibility::connected(member.max_heard.max(member.max_reported), heard)
+            }
+            Sharing::TotalsIgnoringSilence | Sharing::Unshared => {
+                Visibility { boxes, unreachable: 0 }
+            }
         };
-        let now = Time::ZERO + now.since(member.began);
-        member.quota.set_visibility(now, picture);
+        let now = Time::ZERO + now.since(member.started_at);
+        member.quota.set_visibility(now, visibility);
     }
 }
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -27,19 +27,19 @@
     MODEL, PLAIN, configuration, configuration_of, engine, heartbeat, request, route,
 };
 
-/// Gives where a box listens.
+/// Returns where a box listens.
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-/// Gives the signature of some request.
+/// Returns the signature of some request.
 fn signature() -> Signature {
     let Request { content, .. } = request("safe");
     Signature::of(content, Some("north-desk"), None)
 }
 
-/// Gives an engine with all that its entry tells.
-fn listed() -> Engine {
+/// Returns an engine with all that its entry tells.
+fn full_engine() -> Engine {
     let stage = Some(Stage::Decode);
     Engine {
         started_at: Some(1_790_000_000_123),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Gives a heartbeat in which nothing is left out.
+/// Returns a heartbeat in which nothing is left out.
 pub fn whole() -> Message {
     let load = Load { prefill_tokens: 5000, calls: 3, held_tokens: 70_000 };
     let account =
@@ -59,7 +59,7 @@
         born: Some(1_790_000_000_123),
         proof: Proof::Proven,
     };
-    let word = Announcement {
+    let announcement = Announcement {
         signature: signature(),
         epoch: 2,
         crashes: [Some(crash), None, None],
@@ -91,12 +91,12 @@
         }],
         replaced: vec![EngineKey(1)],
         unreachable: vec![EngineKey(2), EngineKey(3)],
-        crashes: vec![word],
+        crashes: vec![announcement],
         rejections: vec![Rejection { engine: EngineKey(4), held_tokens: 5271 }],
         engine_update: Some(Box::new(EngineUpdate {
             since: 80.into(),
             changes: vec![
-                EngineChange::Put(listed(), 81.into()),
+                EngineChange::Put(full_engine(), 81.into()),
                 EngineChange::Left("engine-1".into(), 82.into()),
             ],
         })),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Gives a datagram that tells a change alone.
+/// Returns a datagram that tells a change alone.
 pub fn partial() -> Message {
     let load = Load { prefill_tokens: 0, calls: 1, held_tokens: 0 };
     Message {
@@ -116,12 +116,12 @@
     }
 }
 
-/// Gives what a box asks that has a list.
-pub fn question() -> SnapshotRequest {
+/// Returns what a box asks that has a list.
+pub fn snapshot_request() -> SnapshotRequest {
     SnapshotRequest { version: 11, revision: Some(70.into()) }
 }
 
-/// Gives a handover of a whole configuration and list.
+/// Returns a handover of a whole configuration and list.
 pub fn snapshot() -> Snapshot {
     let homes = Homes::new(vec![Arc::from("south")]);
     let customer = Customer {
@@ -149,7 +149,7 @@
     };
     Snapshot {
         configuration: Some(version),
-        listing: Some(Listing::Whole { engines: vec![listed()], revision: 99.into() }),
+        listing: Some(Listing::Whole { engines: vec![full_engine()], revision: 99.into() }),
         evacuation: Evacuation {
             revision: 90.into(),
             data_centres: BTreeSet::from([Arc::from("north")]),
@@ -158,10 +158,10 @@
     }
 }
 
-/// Gives a handover of changes alone.
+/// Returns a handover of changes alone.
 pub fn changes() -> Snapshot {
     let changes = vec![
-        EngineChange::Put(listed(), 81.into()),
+        EngineChange::Put(full_engine(), 81.into()),
         EngineChange::Left("engine-1".into(), 82.into()),
     ];
     Snapshot {
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -14,11 +14,11 @@
 use crate::cluster::Member;
 
 /// How long one answer may take.
-const LIMIT: Duration = Duration::from_secs(40);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A request to one box.
 #[derive(Debug, Clone)]
-pub struct Sending {
+pub struct CallerRequest {
     /// The method.
     pub method: Method,
     /// The path.
@@ -31,7 +31,7 @@
 
 /// What came back.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Got {
+pub enum CallerResponse {
     /// An answer.
     Answer {
         /// The status.
@@ -42,39 +42,39 @@
     /// A problem.
     Problem(Problem),
     /// The connection broke, or nothing came in time.
-    Nothing(String),
+    Failed(String),
 }
 
-impl Sending {
+impl CallerRequest {
     /// Makes a request for tokens.
-    pub fn generate(prompt: &str, max_tokens: u32, stream: bool) -> Sending {
+    pub fn generate(prompt: &str, max_tokens: u32, stream: bool) -> CallerRequest {
         let body = json!({
             "model": "m", "prompt": prompt, "max_tokens": max_tokens, "stream": stream,
         });
         let path = "/v1/completions".to_owned();
-        Sending { method: Method::POST, path, headers: Vec::new(), body: body.to_string() }
+        CallerRequest { method: Method::POST, path, headers: Vec::new(), body: body.to_string() }
     }
 
     /// Makes a call of the plain service that must run at most once.
-    pub fn hold(body: &str) -> Sending {
+    pub fn hold(body: &str) -> CallerRequest {
         let path = "/holds/seat".to_owned();
-        Sending { method: Method::POST, path, headers: Vec::new(), body: body.to_owned() }
+        CallerRequest { method: Method::POST, path, headers: Vec::new(), body: body.to_owned() }
             .header(ONCE, "true")
     }
 
     /// Adds a header.
-    pub fn header(mut self, name: &str, value: &str) -> Sending {
+    pub fn header(mut self, name: &str, value: &str) -> CallerRequest {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
     /// Adds a key.
-    pub fn key(self, key: &str) -> Sending {
+    pub fn key(self, key: &str) -> CallerRequest {
         self.header(KEY, key)
     }
 
     /// Adds a caller's own key.
-    pub fn own_key(self, key: &str) -> Sending {
+    pub fn own_key(self, key: &str) -> CallerRequest {
         self.header(IDEMPOTENCY_KEY, key)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Sends it and reads all that comes back.
-    pub async fn send(&self, address: &str) -> Got {
+    pub async fn send(&self, address: &str) -> CallerResponse {
         let whole = async {
             let response = self.begin(address).await?;
             let status = response.status().as_u16();
@@ -100,42 +100,44 @@
                 response.headers().get("content-type").is_some_and(|it| it == PROBLEM_TYPE);
             let body = response.into_body().collect().await?.to_bytes();
             if is_problem {
-                return Ok(Got::Problem(serde_json::from_slice(&body)?));
+                return Ok(CallerResponse::Problem(serde_json::from_slice(&body)?));
             }
-            Ok(Got::Answer { status, body: String::from_utf8_lossy(&body).into_owned() })
+            Ok(CallerResponse::Answer { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
-        match tokio::time::timeout(LIMIT, whole).await {
-            Ok(Ok(got)) => got,
+        match tokio::time::timeout(ANSWER_TIMEOUT, whole).await {
+            Ok(Ok(response)) => response,
             Ok(Err(error)) => {
                 let error: eyre::Report = error;
-                Got::Nothing(format!("{error:#}"))
+                CallerResponse::Failed(format!("{error:#}"))
             }
-            Err(_) => Got::Nothing("nothing came in time".to_owned()),
+            Err(_) => CallerResponse::Failed("nothing came in time".to_owned()),
         }
     }
 }
 
-impl Got {
-    /// Gives the generated text of a whole answer.
+impl CallerResponse {
+    /// Returns the generated text of a whole answer.
     pub fn text(&self) -> eyre::Result<String> {
-        let Got::Answer { status: 200, body } = self else { eyre::bail!("no answer: {self:?}") };
+        let CallerResponse::Answer { status: 200, body } = self else {
+            eyre::bail!("no answer: {self:?}")
+        };
         let value: Value = serde_json::from_str(body).wrap_err("the answer is no JSON")?;
         let text = value["choices"][0]["text"].as_str().ok_or_eyre("the answer has no text")?;
         Ok(text.to_owned())
     }
 
-    /// Gives the last part of a problem's type; empty for an answer.
+    /// Returns the last part of a problem's type; empty for an answer.
     pub fn slug(&self) -> &str {
         match self {
-            Got::Problem(problem) => problem.kind.rsplit(':').next().unwrap_or_default(),
-            Got::Answer { .. } => "",
-            Got::Nothing(_) => "nothing",
+            CallerResponse::Problem(problem) => problem.kind.rsplit(':').next().unwrap_or_default(),
+            CallerResponse::Answer { .. } => "",
+            CallerResponse::Failed(_) => "nothing",
         }
     }
 
-    /// Tells whether the request was answered.
+    /// Returns whether the request was answered.
     pub fn is_answer(&self) -> bool {
-        matches!(self, Got::Answer { status: 200, .. })
+        matches!(self, CallerResponse::Answer { status: 200, .. })
     }
 }
 
--- a/tests/src/stages.rs
+++ b/tests/src/stages.rs
@@ -14,13 +14,13 @@
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind, Service, Staged};
 use hollyspoke_gateway::statement::Statement;
 
-use crate::gateway::{MODEL, World, configuration, engine, ran, read, request, route};
+use crate::gateway::{MODEL, World, configuration, engine, prefilled, ran, request, route};
 
 /// How long an engine takes to change its stage.
 pub const SWITCH: Duration = Duration::from_secs(6);
 
 /// The tokens that an engine reads in a millisecond.
-const READ_A_MS: u64 = 30;
+const PREFILL_TOKENS_PER_MS: u64 = 30;
 
 /// How often the store is asked whether something has changed.
 const STEP: Duration = Duration::from_millis(10);
@@ -36,26 +36,26 @@
 
 /// How the engines answer orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Obedience {
+pub enum OrderBehaviour {
     /// They take them.
-    Takes,
+    Accepts,
     /// They refuse them.
     Refuses,
     /// They take them, and the answer is lost.
-    Silent,
+    LosesAnswers,
     /// They neither take them nor answer.
-    Deaf,
+    Unreachable,
 }
 
 /// A box, the store and the engines.
 #[derive(Debug)]
-pub struct Loop {
+pub struct StageWorld {
     /// The box.
     pub world: World,
     /// Whether the store answers.
     pub has_store: bool,
     /// How the engines answer orders.
-    pub obedience: Obedience,
+    pub order_behaviour: OrderBehaviour,
     /// How long a run takes.
     pub run: Duration,
     /// The tokens of the prompts that arrive now.
@@ -65,7 +65,7 @@
     /// When each of them was given.
     pub ordered_at: Vec<Time>,
     /// When another box last took the lease.
-    pub seized_at: Option<Time>,
+    pub lease_taken_at: Option<Time>,
     /// When this box last wrote the lease.
     pub written_at: Option<Time>,
     /// The requests refused.
@@ -79,18 +79,18 @@
     /// The engines with stages.
     engines: Vec<Engine>,
     /// The orders that each engine has taken.
-    counts: BTreeMap<EngineKey, u64>,
+    order_counts: BTreeMap<EngineKey, u64>,
     /// What is yet to happen, by time.
-    due: Vec<(Time, Due)>,
+    scheduled: Vec<(Time, Scheduled)>,
     /// The store's revision.
     revision: u64,
 }
 
 /// What is yet to happen.
 #[derive(Debug, Clone)]
-enum Due {
+enum Scheduled {
     /// A prompt has been read.
-    Read(CallKey),
+    Prefilled(CallKey),
     /// A stream begins.
     Begin(CallKey),
     /// A stream ends.
@@ -99,7 +99,7 @@
     Changed(EngineKey, Stage),
 }
 
-/// Gives the usual configuration with engines that can change their stage.
+/// Returns the usual configuration with engines that can change their stage.
 pub fn switchable(version: u64) -> Configuration {
     let staged = Staged {
         memory_tokens: 40_000,
@@ -113,67 +113,67 @@
     Configuration::new(version, configuration(1).limits, vec![once], services)
 }
 
-impl Default for Loop {
-    fn default() -> Loop {
-        Loop::new(4, 5)
+impl Default for StageWorld {
+    fn default() -> StageWorld {
+        StageWorld::new(4, 5)
     }
 }
 
-impl Loop {
+impl StageWorld {
     /// Makes a box that knows engines that read and engines that generate.
-    pub fn new(readers: u8, generators: u8) -> Loop {
+    pub fn new(prefill_engines: u8, decode_engines: u8) -> StageWorld {
         let mut world = World::unconfigured();
-        let reader = |it| engine(10 + it, MODEL, Some(Stage::Prefill));
-        let generator = |it| engine(30 + it, MODEL, Some(Stage::Decode));
-        let mut engines: Vec<_> = (0..readers).map(reader).collect();
-        engines.extend((0..generators).map(generator));
+        let prefill_engine = |it| engine(10 + it, MODEL, Some(Stage::Prefill));
+        let decode_engine = |it| engine(30 + it, MODEL, Some(Stage::Decode));
+        let mut engines: Vec<_> = (0..prefill_engines).map(prefill_engine).collect();
+        engines.extend((0..decode_engines).map(decode_engine));
         world.event(Event::Configured(Arc::new(switchable(1))));
         world.event(Event::Listed(engines.clone(), 10.into()));
         world.event(Event::StoreAnswered(Kind::Configuration));
         world.event(Event::StoreAnswered(Kind::Engines));
         world.event(Event::StoreAnswered(Kind::Evacuations));
-        Loop {
+        StageWorld {
             world,
             has_store: true,
-            obedience: Obedience::Takes,
+            order_behaviour: OrderBehaviour::Accepts,
             run: Duration::from_secs(3),
             tokens: 0,
             orders: Vec::new(),
             ordered_at: Vec::new(),
-            seized_at: None,
+            lease_taken_at: None,
             limits: BTreeMap::new(),
             calls: BTreeMap::new(),
             written_at: None,
             refused: 0,
             objects: BTreeMap::new(),
             engines,
-            counts: BTreeMap::new(),
-            due: Vec::new(),
+            order_counts: BTreeMap::new(),
+            scheduled: Vec::new(),
             revision: 10,
         }
     }
 
-    /// Gives how many engines read, as the store lists them.
-    pub fn readers(&self) -> usize {
+    /// Returns how many engines read, as the store lists them.
+    pub fn prefill_count(&self) -> usize {
         self.engines.iter().filter(|it| it.stage == Some(Stage::Prefill)).count()
     }
 
-    /// Gives the version of the lease in the store.
+    /// Returns the version of the lease in the store.
     pub fn lease_version(&self) -> Option<u64> {
         self.objects.get("stages").map(|it| it.version)
     }
 
-    /// Gives how many engines change their stage now.
-    pub fn changing(&self) -> usize {
-        self.due.iter().filter(|it| matches!(it.1, Due::Changed(..))).count()
+    /// Returns how many engines change their stage now.
+    pub fn switching_count(&self) -> usize {
+        self.scheduled.iter().filter(|it| matches!(it.1, Scheduled::Changed(..))).count()
     }
 
-    /// Gives how many engines will read once all changes are done.
-    pub fn coming_readers(&self) -> usize {
+    /// Returns how many engines will read once all changes are done.
+    pub fn prefill_count_after_switches(&self) -> usize {
         let mut stages: BTreeMap<EngineKey, Option<Stage>> =
             self.engines.iter().map(|it| (it.key, it.stage)).collect();
-        for (_, due) in &self.due {
-            if let Due::Changed(key, stage) = due {
+        for (_, due) in &self.scheduled {
+            if let Scheduled::Changed(key, stage) = due {
                 stages.insert(*key, Some(*stage));
             }
         }
@@ -181,22 +181,22 @@
     }
 
     /// Lets another box take the lease.
-    pub fn seize(&mut self) {
+    pub fn take_lease(&mut self) {
         self.revision += 1;
         let object = Object { version: self.revision, value: "another box".to_owned() };
         self.objects.insert("stages".to_owned(), object);
-        self.seized_at = Some(self.world.now);
+        self.lease_taken_at = Some(self.world.now);
     }
 
     /// Has requests arrive at a rate for a time, and all that follows from them.
-    pub fn play(&mut self, a_second: u32, tokens: u64, span: Duration) {
+    pub fn run_load(&mut self, rate_per_s: u32, tokens: u64, duration: Duration) {
         self.tokens = tokens;
-        let end = self.world.now + span;
-        let every = Duration::from_secs(1).checked_div(a_second);
+        let end = self.world.now + duration;
+        let every = Duration::from_secs(1).checked_div(rate_per_s);
         let mut next = self.world.now;
         while self.world.now < end {
             self.world.now = self.world.now + STEP;
-            self.keep_contact();
+            self.answer_watches();
             while let Some(every) = every.filter(|_| next <= self.world.now) {
                 next = next + every;
                 let mut asked = request("once");
@@ -204,76 +204,76 @@
                 asked.max_answer_tokens = Some(160);
                 asked.expected_answer_tokens = Some(80);
                 let (_, effects) = self.world.arrive(asked);
-                self.follow(effects);
+                self.apply_effects(effects);
             }
             let effects = self.world.event(Event::Tick);
-            self.follow(effects);
-            self.happen();
+            self.apply_effects(effects);
+            self.handle_due();
         }
     }
 
     /// Has the store's watches answer, if it is there.
-    fn keep_contact(&mut self) {
+    fn answer_watches(&mut self) {
         for kind in [Kind::Configuration, Kind::Engines, Kind::Evacuations] {
             let contact = if self.has_store { Event::StoreAnswered } else { Event::StoreFailed };
             let effects = self.world.event(contact(kind));
-            self.follow(effects);
+            self.apply_effects(effects);
         }
     }
 
     /// Carries effects out.
-    fn follow(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             let now = self.world.now;
             match effect {
                 Effect::Send(send) if send.task == Task::Prefill => {
                     self.calls.insert(send.call, send.engine.key);
-                    let took = Duration::from_millis(self.tokens / READ_A_MS);
-                    self.due.push((now + took, Due::Read(send.call)));
+                    let took = Duration::from_millis(self.tokens / PREFILL_TOKENS_PER_MS);
+                    self.scheduled.push((now + took, Scheduled::Prefilled(send.call)));
                 }
                 Effect::Send(send) => {
                     self.calls.insert(send.call, send.engine.key);
                     let begins = now + Duration::from_millis(50);
-                    self.due.push((begins, Due::Begin(send.call)));
-                    self.due.push((now + self.run, Due::End(send.call)));
+                    self.scheduled.push((begins, Scheduled::Begin(send.call)));
+                    self.scheduled.push((now + self.run, Scheduled::End(send.call)));
                 }
                 Effect::Refuse(..) => self.refused += 1,
                 Effect::Store(number, operation) => {
                     let answer = self.store(operation);
                     let next = self.world.event(Event::Stored(number, answer));
-                    self.follow(next);
+                    self.apply_effects(next);
                 }
                 Effect::QueryOrderCount(engine) => {
-                    let count = self.counts.get(&engine.key).copied().unwrap_or(0);
+                    let count = self.order_counts.get(&engine.key).copied().unwrap_or(0);
                     let next = self.world.event(Event::OrderCount(engine.key, Some(count)));
-                    self.follow(next);
+                    self.apply_effects(next);
                 }
-                Effect::Order(order) => self.take(order),
+                Effect::Order(order) => self.accept_order(order),
                 _ => {}
             }
         }
     }
 
     /// Has an engine take an order.
-    fn take(&mut self, order: Order) {
+    fn accept_order(&mut self, order: Order) {
         let key = order.engine.key;
-        let count = self.counts.entry(key).or_default();
-        let answer = match self.obedience {
-            Obedience::Refuses => OrderAnswer::Refused,
-            Obedience::Deaf => OrderAnswer::Unknown,
+        let count = self.order_counts.entry(key).or_default();
+        let answer = match self.order_behaviour {
+            OrderBehaviour::Refuses => OrderAnswer::Refused,
+            OrderBehaviour::Unreachable => OrderAnswer::Unknown,
             _ if order.expected_count != *count => OrderAnswer::Conflict,
-            Obedience::Takes | Obedience::Silent => {
+            OrderBehaviour::Accepts | OrderBehaviour::LosesAnswers => {
                 *count += 1;
                 let done = self.world.now + SWITCH;
-                self.due.push((done, Due::Changed(key, order.stage)));
-                let is_told = self.obedience == Obedience::Takes;
-                if is_told { OrderAnswer::Accepted } else { OrderAnswer::Unknown }
+                self.scheduled.push((done, Scheduled::Changed(key, order.stage)));
+                let is_answered = self.order_behaviour == OrderBehaviour::Accepts;
+                if is_answered { OrderAnswer::Accepted } else { OrderAnswer::Unknown }
             }
         };
         self.orders.push(order);
         self.ordered_at.push(self.world.now);
         let next = self.world.event(Event::Ordered(key, answer));
-        self.follow(next);
+        self.apply_effects(next);
     }
 
     /// Carries out an operation on the store.
@@ -301,28 +301,34 @@
     }
 
     /// Has what is due happen.
-    fn happen(&mut self) {
+    fn handle_due(&mut self) {
         let now = self.world.now;
-        let (due, later) = std::mem::take(&mut self.due).into_iter().partition(|it| it.0 <= now);
-        self.due = later;
+        let (due, later) =
+            std::mem::take(&mut self.scheduled).into_iter().partition(|it| it.0 <= now);
+        self.scheduled = later;
         let mut due: Vec<_> = due;
         due.sort_by_key(|it| it.0);
         for (_, what) in due {
             let event = match what {
-                Due::Read(call) => {
-                    Event::Call(call, CallEvent::Answered(self.says(call, read("handle"))))
+                Scheduled::Prefilled(call) => Event::Call(
+                    call,
+                    CallEvent::Answered(self.with_limit(call, prefilled("handle"))),
+                ),
+                Scheduled::Begin(call) => {
+                    Event::Call(call, CallEvent::Began(self.with_limit(call, ran(200))))
                 }
-                Due::Begin(call) => Event::Call(call, CallEvent::Began(self.says(call, ran(200)))),
-                Due::End(call) => Event::Call(call, CallEvent::Answered(self.says(call, ran(200)))),
-                Due::Changed(key, stage) => self.changed(key, stage),
+                Scheduled::End(call) => {
+                    Event::Call(call, CallEvent::Answered(self.with_limit(call, ran(200))))
+                }
+                Scheduled::Changed(key, stage) => self.changed(key, stage),
             };
             let effects = self.world.event(event);
-            self.follow(effects);
+            self.apply_effects(effects);
         }
     }
 
     /// Adds to an answer what its engine takes.
-    fn says(&self, call: CallKey, answer: Answered) -> Answered {
+    fn with_limit(&self, call: CallKey, answer: Answered) -> Answered {
         let engine = self.calls.get(&call);
         let rate = engine.and_then(|it| self.limits.get(it));
         let limit = rate.map_or(Reported::Nothing, |&it| Reported::Rate(it));
--- a/tests/tests/caller_errors.rs
+++ b/tests/tests/caller_errors.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hollyspoke_tests::cluster::{Cluster, Plan};
-use hollyspoke_tests::request::{Got, Sending};
+use hollyspoke_tests::request::{CallerRequest, CallerResponse};
 use http::Method;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -22,8 +22,8 @@
 }
 
 /// Asserts a problem's status, slug and claim.
-fn assert_problem(got: &Got, status: u16, slug: &str) {
-    let Got::Problem(problem) = got else { panic!("no problem but {got:?}") };
+fn assert_problem(got: &CallerResponse, status: u16, slug: &str) {
+    let CallerResponse::Problem(problem) = got else { panic!("no problem but {got:?}") };
     assert_eq!((problem.status, got.slug(), problem.ran.as_str()), (status, slug, "no"));
     assert!(!problem.detail.is_empty());
 }
@@ -33,8 +33,8 @@
 async fn wrong_requests() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { boxes: 1, services: 1, ..Plan::default() }).await?;
     let address = cluster.boxes[0].address();
-    let good = Sending::generate("a", 4, false);
-    let with_body = |body: &str| Sending { body: body.to_owned(), ..good.clone() };
+    let good = CallerRequest::generate("a", 4, false);
+    let with_body = |body: &str| CallerRequest { body: body.to_owned(), ..good.clone() };
 
     assert_problem(&with_body("{\"model\": ").send(address).await, 400, "malformed");
     assert_problem(&with_body("{\"model\": \"m\"}").send(address).await, 400, "malformed");
@@ -44,9 +44,10 @@
     assert_problem(&none.send(address).await, 400, "malformed");
     let huge = with_body(&" ".repeat(1024 * 1024 + 1));
     assert_problem(&huge.send(address).await, 413, "too-large");
-    let too_long = Sending::generate("a", 30_000, false);
+    let too_long = CallerRequest::generate("a", 30_000, false);
     assert_problem(&too_long.send(address).await, 422, "invalid");
-    let no_path = Sending { path: "/nowhere".to_owned(), method: Method::GET, ..good.clone() };
+    let no_path =
+        CallerRequest { path: "/nowhere".to_owned(), method: Method::GET, ..good.clone() };
     assert_problem(&no_path.send(address).await, 404, "not-found");
     assert_problem(&good.clone().key("not-a-key").send(address).await, 400, "malformed");
     let future = format!("{}.ffff.1", cluster.boxes[0].incarnation);
@@ -63,9 +64,9 @@
     let cluster = Cluster::start(Plan { boxes: 1, ..Plan::default() }).await?;
     let key = hollyspoke_tests::request::key_of(&cluster.boxes[0], 7);
     let address = cluster.boxes[0].address();
-    assert!(Sending::generate("a", 4, false).key(&key).send(address).await.is_answer());
-    assert!(Sending::generate("a", 4, false).key(&key).send(address).await.is_answer());
-    let other = Sending::generate("b", 4, false).key(&key).send(address).await;
+    assert!(CallerRequest::generate("a", 4, false).key(&key).send(address).await.is_answer());
+    assert!(CallerRequest::generate("a", 4, false).key(&key).send(address).await.is_answer());
+    let other = CallerRequest::generate("b", 4, false).key(&key).send(address).await;
     assert_problem(&other, 422, "invalid");
     Ok(())
 }
--- a/tests/tests/cancel.rs
+++ b/tests/tests/cancel.rs
@@ -4,7 +4,7 @@
 
 use hollyspoke_standin::engine::Faults;
 use hollyspoke_tests::cluster::{Cluster, Plan, SOON, until};
-use hollyspoke_tests::request::Sending;
+use hollyspoke_tests::request::CallerRequest;
 use tokio::time::Instant;
 
 /// How long a cancel may take before the test fails; the figures are printed.
@@ -13,7 +13,7 @@
 /// Starts a streamed request on a task of its own, which the caller may abort.
 fn caller(cluster: &Cluster, prompt: &str, tokens: u32) -> tokio::task::JoinHandle<()> {
     let address = cluster.boxes[0].address().to_owned();
-    let sending = Sending::generate(prompt, tokens, true);
+    let sending = CallerRequest::generate(prompt, tokens, true);
     tokio::spawn(async move {
         if let Ok(response) = sending.begin(&address).await {
             hollyspoke_tests::request::read_stream(response).await;
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -6,8 +6,8 @@
 use hollyspoke_standin::answer;
 use hollyspoke_standin::platform::Faults;
 use hollyspoke_tests::cluster::{Cluster, Plan, SOON};
-use hollyspoke_tests::process::tool;
-use hollyspoke_tests::request::Sending;
+use hollyspoke_tests::process::run_cli;
+use hollyspoke_tests::request::CallerRequest;
 
 /// A site of four boxes.
 async fn site() -> eyre::Result<Cluster> {
@@ -38,7 +38,8 @@
     cluster.platform.faults(&Faults { down: true, ..Faults::default() }).await?;
     let took = cluster.wait_in_force(version).await?;
     println!("in force at 3 boxes {took:?} after a write that the store's outage followed");
-    let got = Sending::generate("in the outage", 10, false).send(cluster.boxes[0].address()).await;
+    let got =
+        CallerRequest::generate("in the outage", 10, false).send(cluster.boxes[0].address()).await;
     assert_eq!(got.text()?, answer::whole("in the outage", 10));
     Ok(())
 }
@@ -52,7 +53,7 @@
     cluster.platform.faults(&Faults { down: true, ..Faults::default() }).await?;
     cluster.add_box()?;
     cluster.wait_in_force(version).await?;
-    let got = Sending::generate("new box", 10, false).send(cluster.boxes[4].address()).await;
+    let got = CallerRequest::generate("new box", 10, false).send(cluster.boxes[4].address()).await;
     assert_eq!(got.text()?, answer::whole("new box", 10));
     Ok(())
 }
@@ -93,7 +94,8 @@
     let version = cluster.apply().await?;
     let took = cluster.wait_in_force(version).await?;
     println!("in force {took:?} after an apply at a store that is 1.2 s late");
-    let got = Sending::generate("slow store", 10, false).send(cluster.boxes[0].address()).await;
+    let got =
+        CallerRequest::generate("slow store", 10, false).send(cluster.boxes[0].address()).await;
     assert_eq!(got.text()?, answer::whole("slow store", 10));
     Ok(())
 }
@@ -107,11 +109,11 @@
         cluster.add_box()?;
     }
     cluster.wait_for_members(2).await?;
-    let early = Sending::generate("early", 10, false).send(cluster.boxes[0].address()).await;
+    let early = CallerRequest::generate("early", 10, false).send(cluster.boxes[0].address()).await;
     assert_eq!(early.slug(), "unavailable", "{early:?}");
     cluster.platform.faults(&Faults::default()).await?;
     cluster.wait_in_force(1).await?;
-    let got = Sending::generate("later", 10, false).send(cluster.boxes[0].address()).await;
+    let got = CallerRequest::generate("later", 10, false).send(cluster.boxes[0].address()).await;
     assert_eq!(got.text()?, answer::whole("later", 10));
     Ok(())
 }
@@ -135,7 +137,7 @@
         let platform = cluster.platform.address.as_str();
         let first = ["apply", &paths[0], "--platform", platform, "--seen", &seen];
         let second = ["apply", &paths[1], "--platform", platform, "--seen", &seen];
-        let (first, second) = tokio::try_join!(tool(&first), tool(&second))?;
+        let (first, second) = tokio::try_join!(run_cli(&first), run_cli(&second))?;
         let mut codes = [first.0, second.0];
         codes.sort_unstable();
         assert_eq!(codes, [0, 4], "{first:?} {second:?}");
@@ -158,7 +160,7 @@
         version = cluster.apply().await?;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    cluster.boxes[1].thaw();
+    cluster.boxes[1].resume();
     let mut last = 0;
     let begun = tokio::time::Instant::now();
     while last < version && begun.elapsed() < SOON {
--- a/tests/tests/crashes_drawn.rs
+++ b/tests/tests/crashes_drawn.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollyspoke_tests::crashes::Harmful;
-use hollyspoke_tests::faults::{FLEET, Fault, bring};
+use hollyspoke_tests::faults::{BOX_COUNT, Fault, inject};
 use hollyspoke_tests::fleet::Fleet;
 use proptest::prelude::*;
 
@@ -16,18 +16,19 @@
 
 /// Draws a fault.
 fn fault() -> impl Strategy<Value = Fault> {
-    let some = || prop::sample::subsequence((0..FLEET).collect::<Vec<_>>(), 1..=FLEET);
+    let some = || prop::sample::subsequence((0..BOX_COUNT).collect::<Vec<_>>(), 1..=BOX_COUNT);
     prop_oneof![
         some().prop_map(Fault::Restart),
-        (0..FLEET).prop_map(Fault::Stop),
-        some().prop_map(Fault::Part),
+        (0..BOX_COUNT).prop_map(Fault::Stop),
+        some().prop_map(Fault::Partition),
         Just(Fault::Heal),
         (0..70u8, 1..800u64).prop_map(|(lost, late)| Fault::Datagrams(lost, late)),
         (2..6usize).prop_map(Fault::Crash),
         Just(Fault::Reset),
-        (0..FLEET, 100..2500u64).prop_map(|(number, span)| Fault::Hold(number, span)),
-        (0..FLEET, 100..800u64).prop_map(|(number, span)| Fault::HoldCalls(number, span)),
-        (0..=100u8, 0..=100u8).prop_map(|(turns_away, fails)| Fault::Engines(turns_away, fails)),
+        (0..BOX_COUNT, 100..2500u64).prop_map(|(number, span)| Fault::Pause(number, span)),
+        (0..BOX_COUNT, 100..800u64).prop_map(|(number, span)| Fault::DelayCalls(number, span)),
+        (0..=100u8, 0..=100u8)
+            .prop_map(|(reject_share, fails)| Fault::Engines(reject_share, fails)),
         (1..=3u8).prop_map(Fault::Traffic),
     ]
 }
@@ -35,10 +36,10 @@
 /// Draws a harmful request.
 fn harmful() -> impl Strategy<Value = Harmful> {
     let routes = prop::sample::select(vec!["resumed", "once", "safe", "unsafe"]);
-    (routes, 100..1500u64, any::<bool>()).prop_map(|(route, every, when_read)| Harmful {
+    (routes, 100..1500u64, any::<bool>()).prop_map(|(route, every, crashes_on_prefill)| Harmful {
         route,
         every: Duration::from_millis(every),
-        when_read,
+        crashes_on_prefill,
     })
 }
 
@@ -53,15 +54,15 @@
         harmful in harmful(),
         faults in prop::collection::vec((fault(), 100..3000u64), 1..12),
     ) {
-        let mut fleet = Fleet::settled(FLEET, seed);
+        let mut fleet = Fleet::settled(BOX_COUNT, seed);
         fleet.harmful = Some(harmful);
         for (fault, pause) in &faults {
-            bring(&mut fleet, fault);
+            inject(&mut fleet, fault);
             fleet.run(Duration::from_millis(*pause));
         }
         fleet.run(Duration::from_secs(5));
         let late = fleet.crashes.late_arrivals(CONTACT).unwrap_or(0);
-        prop_assert!(late <= MOST_REPEATS, "{late} late arrivals, {} crashes", fleet.crashes.caused.len());
+        prop_assert!(late <= MOST_REPEATS, "{late} late arrivals, {} crashes", fleet.crashes.harmful_crashes.len());
     }
 
     /// Whatever happens, neither a popular request nor any other harmless one is taken for harmful.
@@ -72,14 +73,14 @@
         popular in prop::sample::select(vec!["resumed", "once", "safe"]),
         faults in prop::collection::vec((fault(), 100..3000u64), 1..12),
     ) {
-        let mut fleet = Fleet::settled(FLEET, seed);
+        let mut fleet = Fleet::settled(BOX_COUNT, seed);
         fleet.harmful = Some(harmful);
         fleet.popular = Some((popular, Duration::from_millis(100)));
         for (fault, pause) in &faults {
-            bring(&mut fleet, fault);
+            inject(&mut fleet, fault);
             fleet.run(Duration::from_millis(*pause));
         }
         fleet.run(Duration::from_secs(5));
-        prop_assert_eq!(fleet.crashes.wrongly_held(), 0);
+        prop_assert_eq!(fleet.crashes.wrongly_quarantined(), 0);
     }
 }
--- a/tests/tests/data_centres.rs
+++ b/tests/tests/data_centres.rs
@@ -129,7 +129,7 @@
     let mut world = world(50);
     let all = (0..DATA_CENTRES.len()).flat_map(engines_in).collect();
     world.event(Event::Listed(all, 10.into()));
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     assert_eq!(&*send.engine.data_centre, DATA_CENTRES[0]);
     let mut elsewhere = 0;
     for number in 0..40 {
@@ -220,7 +220,7 @@
 fn silence_near_and_far() {
     let mut world = world(50);
     world.event(Event::Listed(engines_in(0), 10.into()));
-    world.pass(Duration::from_millis(3500));
+    world.advance(Duration::from_millis(3500));
     let effects = world.gateway.step(world.now, Event::Stop);
     let told = effects.iter().filter_map(|it| match it {
         Effect::Announce(nodes, message) if message.is_whole => Some(nodes),
@@ -263,7 +263,7 @@
     world.event(Event::Listed(engines_in(0), 10.into()));
     let prompt = Some(PromptKey(7));
     let asked = Request { prompt, prompt_tokens: Some(2000), ..request("once") };
-    let (_, generating) = world.streaming(asked);
+    let (_, generating) = world.begin_stream(asked);
     let now = world.now;
     let ended = Event::Call(generating.call, CallEvent::Answered(ran(200)));
     let mut effects = world.gateway.step(now, ended);
@@ -285,7 +285,7 @@
     let mut world = world(50);
     world.event(Event::Listed(engines_in(0), 10.into()));
     let asked = Request { prompt_tokens: Some(40_000), ..request("once") };
-    let (_, generating) = world.streaming(asked);
+    let (_, generating) = world.begin_stream(asked);
     let ended = Event::Call(generating.call, CallEvent::Answered(ran(200)));
     let effects = world.gateway.step(world.now, ended);
     assert_eq!(changes_told(&effects), 1);
@@ -307,7 +307,7 @@
             world.event(Event::Received(Message { sender, ..heartbeat(2, 1, knowledge) }));
         }
         // It has heard the others when it next decides whether it follows the store itself.
-        world.pass(Duration::from_secs(2));
+        world.advance(Duration::from_secs(2));
         let newer = StoreView { version: 2, ..StoreView::default() };
         let sender = SocketAddr::from(([10, 9, 0, 0], 7000));
         let message = Message { sender, ..heartbeat(2, 2, newer) };
@@ -315,7 +315,7 @@
         let is_read = effects.contains(&Effect::Read(Kind::Configuration));
         readers += usize::from(is_read);
         // The next heartbeat: 600 boxes of one data centre beat every 4.8 s.
-        let effects = world.pass(Duration::from_secs(5));
+        let effects = world.advance(Duration::from_secs(5));
         assert!(effects.iter().any(|it| matches!(it, Effect::Fetch(_))), "{effects:?}");
     }
     assert!((2..=20).contains(&readers), "{readers} of 64 read it");
--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -22,7 +22,7 @@
 use hollyspoke_server::handover::format::{
     Asked, read_question, read_snapshot, write_question, write_snapshot,
 };
-use hollyspoke_tests::recorded::{changes, partial, question, snapshot, whole};
+use hollyspoke_tests::recorded::{changes, partial, snapshot, snapshot_request, whole};
 use proptest::prelude::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -113,7 +113,7 @@
 #[test]
 fn handovers_without_eras_are_read() {
     let asked = read_question(&recorded("question-numbered")).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::Handovers });
+    assert_eq!(asked, Asked { question: snapshot_request(), format: Format::Handovers });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let bytes = recorded("snapshot-numbered");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
@@ -124,7 +124,7 @@
 fn old_handovers_are_read() {
     assert_eq!(
         read_first::<SnapshotRequest>(&recorded("question")).expect("it is read"),
-        question()
+        snapshot_request()
     );
     assert_eq!(read_first::<Snapshot>(&recorded("snapshot")).expect("it is read"), snapshot());
     assert_eq!(read_first::<Snapshot>(&recorded("changes")).expect("it is read"), changes());
@@ -134,12 +134,12 @@
 #[test]
 fn old_boxes_hand_over_and_get() {
     let asked = read_question(&recorded("question")).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::First });
+    assert_eq!(asked, Asked { question: snapshot_request(), format: Format::First });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     assert_eq!(write_snapshot(&told, asked.format).expect("it is written"), recorded("snapshot"));
     assert_eq!(read_snapshot(&recorded("changes")).expect("it is read"), changes());
     for format in [Format::First, Format::Permits] {
-        let bytes = write_question(&question(), format).expect("it is written");
+        let bytes = write_question(&snapshot_request(), format).expect("it is written");
         assert_eq!(bytes, recorded("question"));
     }
 }
@@ -147,9 +147,9 @@
 /// Boxes that read the later format hand over all; fields of a later version are passed over.
 #[test]
 fn new_boxes_hand_over_all() {
-    let bytes = write_question(&question(), Format::Handovers).expect("it is written");
+    let bytes = write_question(&snapshot_request(), Format::Handovers).expect("it is written");
     let asked = read_question(&bytes).expect("it is read");
-    assert_eq!(asked, Asked { question: question(), format: Format::Handovers });
+    assert_eq!(asked, Asked { question: snapshot_request(), format: Format::Handovers });
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let mut bytes = write_snapshot(&told, asked.format).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
@@ -164,7 +164,7 @@
 /// which this box tells what it can read; that one it keeps, for no service.
 #[test]
 fn old_boxes_read_what_they_are_sent() {
-    assert_eq!(write_first(&question()), recorded("question"));
+    assert_eq!(write_first(&snapshot_request()), recorded("question"));
     assert_eq!(write_first(&snapshot()), recorded("snapshot"));
     assert_eq!(write_first(&changes()), recorded("changes"));
     let extended = |message| Message { extension: extension().non_empty(), ..message };
@@ -207,7 +207,7 @@
     };
     let bytes = write_snapshot(&told, Format::Eras).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
-    let asked = SnapshotRequest { revision: Some(Revision::new(3, 70)), ..question() };
+    let asked = SnapshotRequest { revision: Some(Revision::new(3, 70)), ..snapshot_request() };
     let bytes = write_question(&asked, Format::Eras).expect("it is written");
     assert_eq!(read_question(&bytes).expect("it is read").question, asked);
 }
--- a/tests/tests/fuzz.rs
+++ b/tests/tests/fuzz.rs
@@ -165,9 +165,9 @@
             world.event(Event::Received(message));
             world.arrive(request("safe"));
             world.arrive(request("resumed"));
-            world.pass(Duration::from_millis(400));
+            world.advance(Duration::from_millis(400));
         }
-        world.pass(Duration::from_secs(16));
+        world.advance(Duration::from_secs(16));
         prop_assert_eq!(world.gateway.in_flight_count(), 0);
     }
 
--- a/tests/tests/gateway_census.rs
+++ b/tests/tests/gateway_census.rs
@@ -60,7 +60,7 @@
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Configuration)));
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Engines)));
             effects.extend(self.world.event(Event::StoreAnswered(Kind::Evacuations)));
-            effects.extend(self.world.pass(Duration::from_millis(200)));
+            effects.extend(self.world.advance(Duration::from_millis(200)));
             self.answer(&effects);
         }
     }
--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -64,7 +64,7 @@
     for _ in 0..50 {
         let engine = sent_to(&mut world).expect("one engine is warm");
         taken += usize::from(engine == cold);
-        world.pass(Duration::from_millis(20));
+        world.advance(Duration::from_millis(20));
     }
     assert!(taken <= 10, "{taken}");
 }
@@ -74,7 +74,7 @@
     let mut world = world(vec![cold(1, 3000)]);
     let served = |world: &mut World| (0..5).filter_map(|_| sent_to(world)).count();
     assert!(served(&mut world) <= 1);
-    world.pass(Duration::from_millis(3100));
+    world.advance(Duration::from_millis(3100));
     assert_eq!(served(&mut world), 5);
     // It may become cold again at any moment, and warm before its time.
     world.event(Event::Changed(vec![EngineChange::Put(cold(1, 5000), 20.into())]));
--- a/tests/tests/gateway_crashes.rs
+++ b/tests/tests/gateway_crashes.rs
@@ -5,7 +5,7 @@
 use hollyspoke_gateway::effect::Refusal;
 use hollyspoke_gateway::engine::{EngineKey, Stage};
 use hollyspoke_tests::crashes::Harmful;
-use hollyspoke_tests::faults::{Fault, bring};
+use hollyspoke_tests::faults::{Fault, inject};
 use hollyspoke_tests::fleet::Fleet;
 
 /// The time after the third crash in which all boxes come to know.
@@ -19,12 +19,12 @@
 
 /// A stream that may be resumed, twice a second.
 const STREAM: Harmful =
-    Harmful { route: "resumed", every: Duration::from_millis(500), when_read: false };
+    Harmful { route: "resumed", every: Duration::from_millis(500), crashes_on_prefill: false };
 
 /// The harmful requests that are played.
 const KINDS: [Harmful; 5] = [
     STREAM,
-    Harmful { when_read: true, ..STREAM },
+    Harmful { crashes_on_prefill: true, ..STREAM },
     Harmful { route: "once", ..STREAM },
     Harmful { route: "safe", ..STREAM },
     Harmful { route: "unsafe", ..STREAM },
@@ -46,13 +46,13 @@
             let mut fleet = troubled(harmful, seed);
             play(&mut fleet);
             let late = fleet.crashes.late_arrivals(CONTACT).unwrap_or(0);
-            let crashes = fleet.crashes.caused.len();
+            let crashes = fleet.crashes.harmful_crashes.len();
             let refused = fleet.crashes.refused.len();
-            let broken_off = fleet.crashes.broken_off.len();
-            let asked = fleet.records.asked.len();
+            let aborted = fleet.crashes.aborted.len();
+            let asked = fleet.records.requests.len();
             let what = format!(
                 "{name}, {harmful:?}, seed {seed}: {late} late arrivals, {crashes} crashes; of \
-                 {asked} requests {refused} refused, {broken_off} broken off"
+                 {asked} requests {refused} refused, {aborted} broken off"
             );
             println!("{what}");
             if late > MOST_REPEATS {
@@ -97,14 +97,14 @@
 fn known_without_datagrams() {
     check_repeats("all cut off from each other", |fleet| {
         for number in 0..6 {
-            fleet.part([number], number);
+            fleet.partition([number], number);
         }
         fleet.run(LASTS);
-        fleet.part(0..6, 0);
+        fleet.partition(0..6, 0);
         fleet.run(Duration::from_secs(5));
     });
     check_repeats("halves", |fleet| {
-        fleet.part(0..3, 1);
+        fleet.partition(0..3, 1);
         fleet.run(LASTS);
     });
     check_repeats("lost datagrams", |fleet| {
@@ -147,7 +147,7 @@
             }
         }
         fleet.run(Duration::from_secs(3));
-        assert_eq!(fleet.crashes.wrongly_held(), 0, "seed {seed}, {popular}");
+        assert_eq!(fleet.crashes.wrongly_quarantined(), 0, "seed {seed}, {popular}");
     }
 }
 
@@ -158,8 +158,8 @@
         let mut fleet = troubled(STREAM, seed);
         fleet.popular = Some(("resumed", Duration::from_millis(50)));
         fleet.run(LASTS);
-        assert_eq!(fleet.crashes.wrongly_held(), 0, "seed {seed}");
-        assert_eq!(fleet.crashes.caused.len(), 3, "seed {seed}");
+        assert_eq!(fleet.crashes.wrongly_quarantined(), 0, "seed {seed}");
+        assert_eq!(fleet.crashes.harmful_crashes.len(), 3, "seed {seed}");
     }
 }
 
@@ -174,7 +174,7 @@
         fleet.run(Duration::from_millis(100));
         fleet.reset_all(engines.iter().copied());
     }
-    assert_eq!(fleet.crashes.wrongly_held(), 0);
+    assert_eq!(fleet.crashes.wrongly_quarantined(), 0);
 }
 
 /// A request that is held back gets a final answer at once, at every box, and engines hear nothing
@@ -216,7 +216,7 @@
 fn proven_after_all_were_lost() {
     let every = Duration::from_millis(485);
     let mut fleet = Fleet::settled(6, 12);
-    fleet.harmful = Some(Harmful { route: "resumed", every, when_read: true });
+    fleet.harmful = Some(Harmful { route: "resumed", every, crashes_on_prefill: true });
     let faults = [
         (Fault::Stop(0), 2745),
         (Fault::Crash(2), 101),
@@ -227,7 +227,7 @@
         (Fault::Engines(84, 18), 2706),
     ];
     for (fault, pause) in &faults {
-        bring(&mut fleet, fault);
+        inject(&mut fleet, fault);
         fleet.run(Duration::from_millis(*pause));
     }
     fleet.run(Duration::from_secs(5));
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -15,7 +15,7 @@
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind};
 use hollyspoke_tests::gateway::{
     MEMORY, PLAIN, World, configuration, configuration_of, engines, heartbeat, only_refusal,
-    only_send, ran, request, route, turned_away,
+    only_send, ran, rejected, request, route,
 };
 
 /// The key of the customer `press`.
@@ -45,7 +45,7 @@
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     world.event(with_customers(1, vec![customer("press", KEY, rate)]));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     world
 }
 
@@ -64,14 +64,14 @@
 
 /// Has a plain request answered.
 fn answer(world: &mut World, request: Request) {
-    let (_, send) = world.sent(request);
+    let (_, send) = world.first_call(request);
     world.call(send.call, CallEvent::Answered(ran(200)));
 }
 
 #[test]
 fn known_key() {
     let mut world = world(0.0);
-    let (_, send) = world.sent(keyed("safe", KEY));
+    let (_, send) = world.first_call(keyed("safe", KEY));
     assert_eq!(send.caller, Caller::Customer("press".into()));
 }
 
@@ -88,7 +88,7 @@
 #[test]
 fn no_customers_no_keys() {
     let mut world = World::new();
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     assert_eq!(send.caller, Caller::Unchecked);
 }
 
@@ -109,16 +109,16 @@
     let customers = Customers::new(vec![customer("press", KEY, 0.0)]);
     let configuration: Configuration = configuration_of(1, vec![open]).with_customers(customers);
     world.event(Event::Configured(Arc::new(configuration)));
-    let (_, send) = world.sent(request("open"));
+    let (_, send) = world.first_call(request("open"));
     assert_eq!(send.caller, Caller::Anonymous);
-    let (_, send) = world.sent(keyed("open", KEY));
+    let (_, send) = world.first_call(keyed("open", KEY));
     assert_eq!(send.caller, Caller::Customer("press".into()));
 }
 
 #[test]
 fn key_taken_away() {
     let mut world = world(0.0);
-    let (_, under_way) = world.sent(keyed("safe", KEY));
+    let (_, under_way) = world.first_call(keyed("safe", KEY));
     world.event(with_customers(2, vec![customer("press", b"newer", 0.0)]));
     let (_, effects) = world.arrive(keyed("safe", KEY));
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
@@ -132,9 +132,9 @@
 #[test]
 fn key_taken_away_before_a_second_engine() {
     let mut world = world(0.0);
-    let (_, first) = world.sent(keyed("safe", KEY));
+    let (_, first) = world.first_call(keyed("safe", KEY));
     world.event(with_customers(2, Vec::new()));
-    let effects = world.call(first.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(first.call, CallEvent::Answered(rejected()));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Send(_))), "{effects:?}");
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
 }
@@ -163,10 +163,10 @@
     let first = Customer { priority: Some(0), ..customer("first", b"first-key", 0.0) };
     let customers = vec![customer("press", KEY, 0.0), first];
     world.event(with_customers(1, customers));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     let filling = |key| Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", key) };
-    let (_, running) = world.sent(filling(KEY));
-    world.sent(filling(KEY));
+    let (_, running) = world.first_call(filling(KEY));
+    world.first_call(filling(KEY));
     let (low, effects) = world.arrive(filling(KEY));
     assert!(effects.is_empty(), "it waits: {effects:?}");
     let (high, effects) = world.arrive(filling(b"first-key"));
@@ -190,11 +190,11 @@
 fn limit_in_tokens() {
     let mut world = world(6000.0);
     // The prompt and the most of the answer are 6,000 tokens.
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
     assert!(wait > Duration::ZERO && wait < Duration::from_secs(2), "{wait:?}");
-    world.pass(wait);
-    world.sent(keyed("once", KEY));
+    world.advance(wait);
+    world.first_call(keyed("once", KEY));
 }
 
 /// Requests that tell no tokens count as many as the configuration says.
@@ -212,12 +212,12 @@
 #[test]
 fn retry_is_counted_once() {
     let mut world = world(12_000.0);
-    let (_, first) = world.sent(keyed("safe", KEY));
+    let (_, first) = world.first_call(keyed("safe", KEY));
     let effects = world.call(first.call, CallEvent::Broken);
     let second = only_send(&effects);
     assert_eq!(second.caller, Caller::Customer("press".into()));
     world.call(second.call, CallEvent::Answered(ran(200)));
-    world.sent(keyed("safe", KEY));
+    world.first_call(keyed("safe", KEY));
     over_limit(&world.arrive(keyed("safe", KEY)).1);
 }
 
@@ -225,10 +225,10 @@
 #[test]
 fn not_run_is_given_back() {
     let mut world = world(6000.0);
-    let (flight, _) = world.sent(keyed("once", KEY));
+    let (flight, _) = world.first_call(keyed("once", KEY));
     // Its prompt is being read, which is no run.
     world.event(Event::ClientDisconnected(flight));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// One customer's flood leaves another's requests alone.
@@ -238,7 +238,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let customers = vec![customer("press", KEY, 1000.0), customer("town", b"town-key", 1000.0)];
     world.event(with_customers(1, customers));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     let plain =
         |key| Request { prompt_tokens: None, max_answer_tokens: None, ..keyed("safe", key) };
     let refused = (0..50)
@@ -270,7 +270,7 @@
 fn others_count() {
     let mut world = world(6000.0);
     world.event(Event::Received(told(2, 1, 0, true)));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     world.event(Event::Received(told(2, 2, 0, false)));
     world.event(Event::Received(told(2, 3, 9000, false)));
     world.event(Event::Received(told(2, 4, 9000, false)));
@@ -284,18 +284,18 @@
 fn part_of_the_silent() {
     let mut world = world(6000.0);
     world.event(Event::Received(told(2, 1, 0, true)));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     world.event(Event::Received(told(2, 2, 9000, false)));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// The total of a box that was not known before tells nothing of late.
 #[test]
 fn first_total_is_no_change() {
     let mut world = world(6000.0);
-    world.pass(Duration::from_secs(5));
+    world.advance(Duration::from_secs(5));
     world.event(Event::Received(told(2, 900, 4_000_000, false)));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// A limit that is lowered binds at once what it leaves, and one that is raised lets more through.
@@ -303,11 +303,11 @@
 fn limit_changes() {
     let mut world = world(60_000.0);
     world.event(with_customers(2, vec![customer("press", KEY, 6000.0)]));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     over_limit(&world.arrive(keyed("once", KEY)).1);
     world.event(with_customers(3, vec![customer("press", KEY, 600_000.0)]));
-    world.pass(Duration::from_millis(50));
-    world.sent(keyed("safe", KEY));
+    world.advance(Duration::from_millis(50));
+    world.first_call(keyed("safe", KEY));
 }
 
 /// Keys stay out of everything that is printed.
@@ -323,7 +323,7 @@
 #[test]
 fn refusals_are_logged() {
     let mut world = world(6000.0);
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     let now = world.now;
     let effects = world.gateway.step(now, Event::Arrived(RequestKey(99), keyed("once", KEY)));
     let logged = effects.iter().find_map(|it| match it {
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -112,7 +112,7 @@
     put(&mut world, leaving(100), LOST);
     come_back(&mut world, both(first(100)));
     assert!(!is_used(&mut world));
-    world.pass(DOUBTED);
+    world.advance(DOUBTED);
     assert!(!is_used(&mut world));
     put(&mut world, first(200), Revision::new(2, 25));
     assert!(is_used(&mut world));
@@ -131,7 +131,7 @@
             let gone = EngineChange::Left(first(100).id, Revision::new(2, 30));
             world.event(Event::Changed(vec![gone]));
         }
-        world.pass(DOUBTED);
+        world.advance(DOUBTED);
         assert_eq!(is_used(&mut world), !lapses);
     }
 }
@@ -152,7 +152,7 @@
     let mut world = world(both(first(100)));
     come_back(&mut world, vec![engine(2, PLAIN, None)]);
     assert!(is_used(&mut world));
-    world.pass(Duration::from_millis(2100));
+    world.advance(Duration::from_millis(2100));
     assert!(!is_used(&mut world));
 }
 
@@ -226,7 +226,7 @@
             let begun = Change::Begun("north".into());
             world.event(Event::EvacuationChanged(vec![begun], Revision::new(2, 25)));
         }
-        world.pass(HELD);
+        world.advance(HELD);
         assert_eq!(is_used(&mut world), !is_rewritten);
         let lifted = Change::Lifted("north".into());
         world.event(Event::EvacuationChanged(vec![lifted], Revision::new(2, 30)));
@@ -255,7 +255,7 @@
         effects.iter().any(|it| matches!(it, Effect::Log(LogEvent::StoreReturned { .. })))
     };
     let mut world = world(engines());
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     let effects = step(&mut world, Event::StoreEra(2));
     assert!(returned(&effects));
     let reads = effects.iter().filter(|it| matches!(it, Effect::Read(_))).count();
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -15,8 +15,8 @@
 use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, configuration, engine, heartbeat, only_refusal, only_send, ran, read,
-    request, settings, turned_away,
+    MODEL, PLAIN, World, configuration, engine, heartbeat, only_refusal, only_send, prefilled, ran,
+    rejected, request, settings,
 };
 use proptest::prelude::*;
 
@@ -85,7 +85,7 @@
     assert_eq!(plain_go_to(&mut world).len(), 2);
     world.event(Event::Evacuated(evacuated(20, &["north"])));
     assert_eq!(plain_go_to(&mut world), BTreeSet::from(["south".to_owned()]));
-    let (_, send) = world.sent(request("resumed"));
+    let (_, send) = world.first_call(request("resumed"));
     assert_eq!(*send.engine.data_centre, *"south");
     world.event(Event::EvacuationChanged(vec![Change::Lifted("north".into())], 30.into()));
     assert!(plain_go_to(&mut world).contains("north"));
@@ -104,16 +104,16 @@
 #[test]
 fn a_retry_goes_elsewhere() {
     let mut world = world();
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
-    let effects = world.call(send.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(send.call, CallEvent::Answered(rejected()));
     assert_ne!(only_send(&effects).engine.data_centre, send.engine.data_centre);
 }
 
 #[test]
 fn a_stream_goes_on_elsewhere() {
     let mut world = world();
-    let (_, generating) = world.streaming(request("resumed"));
+    let (_, generating) = world.begin_stream(request("resumed"));
     let from = generating.engine.data_centre.clone();
     world.event(Event::Evacuated(evacuated(20, &[&*from])));
     // What runs goes on; only when it breaks the stream moves.
@@ -128,12 +128,12 @@
 fn a_prompt_read_there_is_not_freed_there() {
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["south"])));
-    let (flight, reading) = world.sent(request("once"));
+    let (flight, reading) = world.first_call(request("once"));
     assert_eq!((&*reading.engine.data_centre, &reading.task), ("north", &Task::Prefill));
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let effects = world.call(reading.call, CallEvent::Answered(prefilled("h")));
     let generating = only_send(&effects);
     world.event(Event::Evacuated(evacuated(30, &["north", "south"])));
-    let mut effects = world.call(generating.call, CallEvent::Answered(turned_away()));
+    let mut effects = world.call(generating.call, CallEvent::Answered(rejected()));
     effects.extend(world.event(Event::ClientDisconnected(flight)));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
@@ -156,7 +156,7 @@
 #[test]
 fn no_question_to_a_broken_engine() {
     let mut world = world();
-    let (_, send) = world.sent(request("unsafe"));
+    let (_, send) = world.first_call(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
     let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Probe(_))), "{effects:?}");
@@ -204,7 +204,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let (_, effects) = world.arrive(request("safe"));
     assert!(matches!(only_refusal(&effects), Refusal::NotRun(..)), "{effects:?}");
-    world.pass(Duration::from_millis(1000));
+    world.advance(Duration::from_millis(1000));
     assert!(world.gateway.is_ready());
     // An answer that came after all is taken.
     world.event(Event::Evacuated(evacuated(20, &["north"])));
@@ -214,7 +214,7 @@
 #[test]
 fn a_call_ends_as_ever() {
     let mut world = world();
-    let (flight, send) = world.sent(request("unsafe"));
+    let (flight, send) = world.first_call(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &["north", "south"])));
     let effects = world.call(send.call, CallEvent::Answered(ran(200)));
     assert_eq!(effects, [Effect::Deliver(flight, send.call)]);
--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -77,7 +77,7 @@
     let message = Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
     world.event(Event::Received(message));
     for _ in 0..6 {
-        let (_, send) = world.sent(request("safe"));
+        let (_, send) = world.first_call(request("safe"));
         assert_eq!(&*send.engine.id, "engine-2");
     }
 }
@@ -91,7 +91,7 @@
     let message = Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, SEEING) };
     world.event(Event::Received(message));
     for _ in 0..12 {
-        let (_, send) = world.sent(request("safe"));
+        let (_, send) = world.first_call(request("safe"));
         assert_ne!(&*send.engine.id, "engine-3");
     }
     let ahead = StoreView { revision: 14.into(), ..SEEING };
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -7,7 +7,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Message, Rejection, StoreView};
 use hollyspoke_gateway::request::Request;
-use hollyspoke_tests::gateway::{World, heartbeat, only_send, read, request, turned_away};
+use hollyspoke_tests::gateway::{World, heartbeat, only_send, prefilled, rejected, request};
 
 /// Gives the word of another box that both engines that generate had no room.
 fn both_full(held_tokens: u32) -> Event {
@@ -28,7 +28,7 @@
     world.event(both_full(4000));
     let (_, effects) = world.arrive(sized(5000));
     assert_eq!(effects, []);
-    let effects = world.pass(Duration::from_millis(250));
+    let effects = world.advance(Duration::from_millis(250));
     assert!(!effects.is_empty(), "the word counts for a short time");
 }
 
@@ -36,7 +36,7 @@
 fn smaller_one_may_fit() {
     let mut world = World::new();
     world.event(both_full(9000));
-    let (_, send) = world.sent(sized(2000));
+    let (_, send) = world.first_call(sized(2000));
     assert_eq!(send.task, Task::Prefill);
 }
 
@@ -44,9 +44,9 @@
 fn own_refusal_is_told() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, reading) = world.sent(sized(5000));
-    let generating = only_send(&world.call(reading.call, CallEvent::Answered(read("h"))));
-    let refused = Event::Call(generating.call, CallEvent::Answered(turned_away()));
+    let (_, reading) = world.first_call(sized(5000));
+    let generating = only_send(&world.call(reading.call, CallEvent::Answered(prefilled("h"))));
+    let refused = Event::Call(generating.call, CallEvent::Answered(rejected()));
     let effects = world.gateway.step(world.now, refused);
     let is_told = effects.iter().any(|it| match it {
         Effect::Announce(_, message) => message
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -61,7 +61,7 @@
     let mut asked = 0;
     for beat in 0..beats {
         world.event(Event::Received(heartbeat(2, 1000 + beat, knowledge)));
-        let effects = world.pass(Duration::from_millis(350));
+        let effects = world.advance(Duration::from_millis(350));
         let provider = settings(2).peer;
         asked += effects.iter().filter(|it| **it == Effect::Fetch(provider)).count();
     }
@@ -131,7 +131,7 @@
             }
             world.event(Event::Received(message));
         }
-        let effects = world.pass(Duration::from_millis(350));
+        let effects = world.advance(Duration::from_millis(350));
         asked.extend(effects.into_iter().filter(|it| matches!(it, Effect::Fetch(_))));
     }
     assert!(!asked.is_empty());
@@ -147,7 +147,7 @@
     let mut message = heartbeat(2, 1000, starting);
     message.readiness = hollyspoke_gateway::message::Readiness::Starting;
     world.event(Event::Received(message));
-    let effects = world.pass(Duration::from_secs(1));
+    let effects = world.advance(Duration::from_secs(1));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Fetch(_))));
 }
 
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -20,7 +20,7 @@
 use hollyspoke_gateway::route::{Route, RouteKind};
 use hollyspoke_tests::gateway::{
     MODEL, PLAIN, World, configuration_of, engine, heartbeat, only_refusal, only_send, ran,
-    request, route, settings, turned_away,
+    rejected, request, route, settings,
 };
 
 /// The key of the customer whose requests stay in the region `cold`.
@@ -107,7 +107,7 @@
 #[test]
 fn all_calls_of_a_stream_are_bound() {
     let mut world = world();
-    let (_, generating) = world.streaming(request("warm-stream"));
+    let (_, generating) = world.begin_stream(request("warm-stream"));
     assert!(generating.engine.data_centre.starts_with("south"));
     let effects = world.call(generating.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty());
@@ -138,8 +138,8 @@
 #[test]
 fn no_retry_elsewhere() {
     let mut world = world();
-    let (_, send) = world.sent(of_customer("both"));
-    let effects = world.call(send.call, CallEvent::Answered(turned_away()));
+    let (_, send) = world.first_call(of_customer("both"));
+    let effects = world.call(send.call, CallEvent::Answered(rejected()));
     let goes_north = |it: &Effect| match it {
         Effect::Send(send) => *send.engine.data_centre == *"north",
         _ => true,
@@ -176,7 +176,7 @@
     assert_eq!(told(&world, None), [1, 2]);
     // With no box in their region they are told of any that serves.
     assert_eq!(told(&world, Some("moon")), [1, 2, 3, 4]);
-    world.pass(Duration::from_secs(10));
+    world.advance(Duration::from_secs(10));
     // Nor are boxes elsewhere named when all others have fallen silent.
     assert_eq!(told(&world, Some("cold")), [1, 2]);
 }
@@ -199,7 +199,7 @@
     let few = [91, 92].map(|it| Engine { data_centre: "south".into(), ..engine(it, PLAIN, None) });
     world.event(Event::Listed(many.chain(few).collect(), 20.into()));
     for _ in 0..32 {
-        let (_, send) = world.sent(request("warm"));
+        let (_, send) = world.first_call(request("warm"));
         assert_eq!(*send.engine.data_centre, *"south");
         world.call(send.call, CallEvent::Answered(ran(200)));
     }
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -19,10 +19,10 @@
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, engine, engines, heartbeat, only_refusal, only_send, ran, read, request,
-    settings, turned_away,
+    MODEL, PLAIN, World, engine, engines, heartbeat, only_refusal, only_send, prefilled, ran,
+    rejected, request, settings,
 };
-use hollyspoke_tests::terms::DRAIN;
+use hollyspoke_tests::statements::DRAIN;
 
 /// What the news of an engine that leaves takes to come to all boxes.
 const TOLD_WITHIN: Duration = Duration::from_millis(60);
@@ -31,9 +31,9 @@
 fn engine_that_leaves_gets_nothing() {
     let mut fleet = Fleet::settled(6, 1);
     let leaving = fleet.engines_of(PLAIN)[0];
-    fleet.leave([leaving]);
+    fleet.drain([leaving]);
     fleet.run(Duration::from_secs(15));
-    assert_eq!(fleet.terms.late(DRAIN), 0, "later than {DRAIN:?}");
+    assert_eq!(fleet.statements.late(DRAIN), 0, "later than {DRAIN:?}");
 }
 
 /// Where others serve, all boxes stop as soon as one of them has been told.
@@ -42,9 +42,9 @@
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
         let mut fleet = Fleet::settled(6, seed);
         let leaving: Vec<_> = fleet.engines_of(service).into_iter().step_by(3).collect();
-        fleet.leave(leaving);
+        fleet.drain(leaving);
         fleet.run(Duration::from_secs(12));
-        assert_eq!(fleet.terms.late_at_all(TOLD_WITHIN), 0, "{service}");
+        assert_eq!(fleet.statements.late_after_first(TOLD_WITHIN), 0, "{service}");
     }
 }
 
@@ -54,13 +54,16 @@
     for (service, seed) in [(PLAIN, 4), (MODEL, 5)] {
         let mut fleet = Fleet::settled(6, seed);
         let leaving = fleet.engines_of(service);
-        fleet.leave(leaving.clone());
+        fleet.drain(leaving.clone());
         let from = fleet.now();
         fleet.run(DRAIN / 2);
-        let got: usize = leaving.iter().map(|it| fleet.terms.got(*it, from, fleet.now())).sum();
+        let got: usize = leaving
+            .iter()
+            .map(|it| fleet.statements.arrivals_between(*it, from, fleet.now()))
+            .sum();
         assert!(got >= 12, "{got} requests in the first second of {service}");
         fleet.run(Duration::from_secs(10));
-        assert_eq!(fleet.terms.late(DRAIN), 0, "{service}");
+        assert_eq!(fleet.statements.late(DRAIN), 0, "{service}");
     }
 }
 
@@ -70,30 +73,30 @@
 fn boxes_started_again() {
     let mut fleet = Fleet::settled(6, 6);
     let leaving = fleet.engines_of(PLAIN)[0];
-    fleet.leave([leaving]);
+    fleet.drain([leaving]);
     fleet.run(Duration::from_secs(1));
     let from = fleet.now();
     for number in 0..6 {
         fleet.restart([number]);
         fleet.run(Duration::from_secs(2));
     }
-    let got = fleet.terms.got(leaving, from, fleet.now());
+    let got = fleet.statements.arrivals_between(leaving, from, fleet.now());
     assert_eq!(got, 0, "from boxes that others could tell");
     fleet.restart(0..6);
     fleet.run(Duration::from_secs(6));
-    assert_eq!(fleet.terms.late(TOLD_WITHIN), 0);
+    assert_eq!(fleet.statements.late(TOLD_WITHIN), 0);
 }
 
 /// Boxes that are cut off from each other learn it each from an answer of their own.
 #[test]
 fn boxes_cut_off() {
     let mut fleet = Fleet::settled(6, 7);
-    (0..6).for_each(|number| fleet.part([number], number));
-    fleet.leave([fleet.engines_of(PLAIN)[0]]);
+    (0..6).for_each(|number| fleet.partition([number], number));
+    fleet.drain([fleet.engines_of(PLAIN)[0]]);
     fleet.run(Duration::from_secs(8));
-    fleet.part(0..6, 0);
+    fleet.partition(0..6, 0);
     fleet.run(Duration::from_secs(4));
-    assert_eq!(fleet.terms.late(TOLD_WITHIN), 0);
+    assert_eq!(fleet.statements.late(TOLD_WITHIN), 0);
 }
 
 /// A datagram of four that is lost leaves nobody without the news for longer than some heartbeats.
@@ -102,11 +105,11 @@
     let mut fleet = Fleet::settled(6, 8);
     fleet.lost = 0.25;
     let leaving = fleet.engines_of(MODEL)[15];
-    fleet.leave([leaving]);
+    fleet.drain([leaving]);
     fleet.run(Duration::from_secs(4));
     let from = fleet.now();
     fleet.run(Duration::from_secs(10));
-    assert_eq!(fleet.terms.got(leaving, from, fleet.now()), 0);
+    assert_eq!(fleet.statements.arrivals_between(leaving, from, fleet.now()), 0);
 }
 
 /// A new life under the id is used again.
@@ -114,14 +117,14 @@
 fn started_again_under_its_id() {
     let mut fleet = Fleet::settled(6, 9);
     let leaving = fleet.engines_of(PLAIN)[0];
-    fleet.leave([leaving]);
+    fleet.drain([leaving]);
     fleet.run(Duration::from_secs(2));
     fleet.crash_all([leaving]);
     fleet.run(Duration::from_secs(6));
-    fleet.limit([leaving], Some(100.0));
+    fleet.set_limit([leaving], Some(100.0));
     let from = fleet.now();
     fleet.run(Duration::from_secs(5));
-    assert!(fleet.needs.got(leaving, from, fleet.now()) > 20);
+    assert!(fleet.rate_limits.arrivals_between(leaving, from, fleet.now()) > 20);
 }
 
 /// Says that an engine leaves.
@@ -185,7 +188,7 @@
     ];
     for event in events {
         world.event(event.clone());
-        world.pass(Duration::from_millis(400));
+        world.advance(Duration::from_millis(400));
         assert!(!plain_go_to(&mut world).contains(&key), "after {event:?}");
     }
     world.event(put(first(Some(200)), 28));
@@ -208,14 +211,14 @@
 fn answers_of_others() {
     let mut world = World::new();
     world.event(Event::Listed(vec![first(Some(100))], 20.into()));
-    let (_, early) = world.sent(request("safe"));
+    let (_, early) = world.first_call(request("safe"));
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(200)), 21.into())]));
     world.call(early.call, CallEvent::Answered(ran_leaving(200)));
-    let (_, moved) = world.sent(request("safe"));
+    let (_, moved) = world.first_call(request("safe"));
     let answer = Answer { execution: Execution::Replaced, ..ran_leaving(421) };
     world.call(moved.call, CallEvent::Answered(answer));
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(300)), 22.into())]));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
 }
 
 /// All kinds of answers tell: those of runs, failures, refusals and readings, and heads of streams.
@@ -224,14 +227,14 @@
     let kinds: [(&str, CallEvent); 6] = [
         ("safe", CallEvent::Answered(ran_leaving(200))),
         ("safe", CallEvent::Answered(ran_leaving(500))),
-        ("safe", CallEvent::Answered(Answer { statement: leaving(), ..turned_away() })),
+        ("safe", CallEvent::Answered(Answer { statement: leaving(), ..rejected() })),
         ("safe", CallEvent::Answered(ran_leaving(503))),
-        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..read("h") })),
-        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..turned_away() })),
+        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..prefilled("h") })),
+        ("resumed", CallEvent::Answered(Answer { statement: leaving(), ..rejected() })),
     ];
     for (route, event) in kinds {
         let mut world = World::new();
-        let (_, send) = world.sent(request(route));
+        let (_, send) = world.first_call(request(route));
         let mut effects = world.call(send.call, event.clone());
         for number in 0..8 {
             let id = format!("request-{number}");
@@ -240,8 +243,8 @@
         assert!(!reached(&effects).contains(&send.engine.key), "{event:?}");
     }
     let mut world = World::new();
-    let (_, reading) = world.sent(request("resumed"));
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let (_, reading) = world.first_call(request("resumed"));
+    let effects = world.call(reading.call, CallEvent::Answered(prefilled("h")));
     let generating = only_send(&effects);
     world.call(generating.call, CallEvent::Began(ran_leaving(200)));
     let (_, effects) = generated(&mut world, "second");
@@ -259,8 +262,8 @@
 
 /// Has a stream's prompt be read; gives the reading call, and what follows.
 fn generated(world: &mut World, id: &str) -> (Send, Vec<Effect>) {
-    let (_, reading) = world.sent(Request { id: id.into(), ..request("resumed") });
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let (_, reading) = world.first_call(Request { id: id.into(), ..request("resumed") });
+    let effects = world.call(reading.call, CallEvent::Answered(prefilled("h")));
     (reading, effects)
 }
 
@@ -269,10 +272,10 @@
 #[test]
 fn a_prompt_goes_to_another_generator() {
     let mut world = World::new();
-    let (flight, running) = world.streaming(request("resumed"));
-    let (_, reading) = world.sent(Request { id: "second".into(), ..request("resumed") });
+    let (flight, running) = world.begin_stream(request("resumed"));
+    let (_, reading) = world.first_call(Request { id: "second".into(), ..request("resumed") });
     world.event(Event::Statement(running.engine.key, leaving()));
-    let effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let effects = world.call(reading.call, CallEvent::Answered(prefilled("h")));
     let generating = only_send(&effects);
     assert_ne!(generating.engine.key, running.engine.key);
     assert!(matches!(generating.task, Task::Decode(Prompt::Prefilled(_))));
@@ -284,11 +287,11 @@
 #[test]
 fn repeats_and_resumed_streams_go_elsewhere() {
     let mut world = World::new();
-    let (_, running) = world.streaming(request("resumed"));
+    let (_, running) = world.begin_stream(request("resumed"));
     world.event(Event::Statement(running.engine.key, leaving()));
     let effects = world.call(running.call, CallEvent::Broken);
     assert!(!reached(&effects).contains(&running.engine.key), "{effects:?}");
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     let effects = world.call(send.call, CallEvent::Answered(ran_leaving(500)));
     assert_ne!(only_send(&effects).engine.key, send.engine.key);
 }
@@ -298,7 +301,7 @@
 fn a_kept_prompt_is_handed_over() {
     let mut world = World::new();
     let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-    let (_, generating) = world.streaming(asked());
+    let (_, generating) = world.begin_stream(asked());
     world.call(generating.call, CallEvent::Forwarded(Some(1)));
     world.call(generating.call, CallEvent::Answered(ran_leaving(200)));
     world.event(Event::Statement(generating.engine.key, leaving()));
@@ -315,10 +318,10 @@
     for engine in engines() {
         world.event(Event::Statement(engine.key, leaving()));
     }
-    let (flight, reading) = world.sent(request("once"));
-    let mut effects = world.call(reading.call, CallEvent::Answered(read("h")));
+    let (flight, reading) = world.first_call(request("once"));
+    let mut effects = world.call(reading.call, CallEvent::Answered(prefilled("h")));
     effects.extend(world.event(Event::ClientDisconnected(flight)));
-    let (_, send) = world.sent(request("unsafe"));
+    let (_, send) = world.first_call(request("unsafe"));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
         world.now = world.now + Duration::from_millis(100);
@@ -344,10 +347,10 @@
         engines().iter().for_each(|it| {
             world.event(Event::Statement(it.key, leaving()));
         });
-        world.pass(DRAIN / 2 - Duration::from_millis(1));
+        world.advance(DRAIN / 2 - Duration::from_millis(1));
         let (_, effects) = world.arrive(request(route));
         only_send(&effects);
-        world.pass(Duration::from_millis(2));
+        world.advance(Duration::from_millis(2));
         let (_, effects) = world.arrive(Request { id: "late".into(), ..request(route) });
         let refusal = only_refusal(&effects);
         let is_leaving = matches!(refusal, Refusal::NotRun(_, NotRunReason::ShuttingDown, _));
@@ -361,7 +364,7 @@
     let mut world = one_leaves();
     let limit = rate_limit::Reported::Rate(1.0);
     world.event(Event::Statement(first(None).key, Statement { limit, ..Statement::default() }));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     assert!(!plain_go_to(&mut world).contains(&first(None).key));
 }
 
@@ -412,13 +415,13 @@
     };
     let mut world = only(100);
     world.event(Event::Received(word(100, 500)));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
     let mut world = only(100);
     world.event(Event::Received(word(100, 1500)));
     only_refusal(&world.arrive(request("safe")).1);
     let mut world = only(200);
     world.event(Event::Received(word(100, 1500)));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
     let mut known = World::new();
     known.event(Event::Received(word(100, 5)));
     known.event(Event::Listed(vec![first(Some(100)), engine(2, PLAIN, None)], 20.into()));
@@ -430,7 +433,7 @@
 #[test]
 fn handed_over_to_a_box_that_starts() {
     let mut provider = one_leaves();
-    provider.pass(Duration::from_secs(3));
+    provider.advance(Duration::from_secs(3));
     let mut world = World::numbered(2);
     let snapshot = provider.gateway.snapshot(SnapshotRequest::default());
     world.event(Event::SnapshotReceived(settings(1).peer, Box::new(snapshot)));
@@ -447,6 +450,6 @@
     readers.iter().for_each(|it| {
         world.event(Event::Statement(it.key, leaving()));
     });
-    let (_, send) = world.sent(request("resumed"));
+    let (_, send) = world.first_call(request("resumed"));
     assert_eq!(send.task, Task::Decode(Prompt::NotPrefilled));
 }
