--- a/tests/src/statements.rs
+++ b/tests/src/statements.rs
@@ -1,5 +1,5 @@
-//! Engines that say that they leave, or for how long they want nothing from the box that asked, and
-//! what came to them.
+//! Engines that report that they are draining, or how long the asking box should back off, and the
+//! requests that they receive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::rate_limits::Sender;
 
-/// How long after a box was told that an engine leaves it may send there.
+/// How long a box may still send to an engine after it was told that the engine drains.
 pub const DRAIN: Duration = Duration::from_secs(2);
 
-/// How long after a box was told of a rest what it sends counts.
+/// Requests count only from this long after a box was told to back off.
 const COUNTED_AFTER: Duration = Duration::from_millis(500);
 
-/// What may come from a box while an engine rests.
+/// How many requests a box may send to an engine during a back-off.
 pub const MAX_DURING_BACK_OFF: usize = 2;
 
-/// When an engine turns all away.
+/// When an engine rejects all requests.
 #[derive(Debug, Clone, Copy)]
 pub struct BackOffs {
     /// For how long, each time.
@@ -29,7 +29,7 @@
     pub period: Duration,
 }
 
-/// Something that came to an engine.
+/// A request that reached an engine.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     /// The box that sent it.
@@ -40,7 +40,7 @@
     at: Time,
 }
 
-/// A rest that an engine asked a box for.
+/// A back-off that an engine asked a box for.
 #[derive(Debug, Clone, Copy)]
 struct BackOff {
     /// The box.
@@ -53,30 +53,30 @@
     until: Time,
 }
 
-/// All engines that set terms.
+/// All engines that drain or ask for back-offs.
 #[derive(Debug, Clone, Default)]
 pub struct Statements {
-    /// The engines that leave, since when.
+    /// When each draining engine began to drain.
     draining: BTreeMap<EngineKey, Time>,
-    /// The engines that rest at times: how, and since when.
+    /// The engines with periodic back-offs, and since when they have them.
     backing_off: BTreeMap<EngineKey, (BackOffs, Time)>,
-    /// When each life of a box was first told that an engine leaves.
+    /// When each run of a box was first told that an engine drains.
     informed: BTreeMap<(Sender, EngineKey), Time>,
-    /// The rests that boxes were asked for.
+    /// The back-offs that boxes were asked for.
     requested: Vec<BackOff>,
-    /// What came.
+    /// The requests that arrived.
     arrivals: Vec<Arrival>,
-    /// The longest rest that engines ask for, if they know no better.
+    /// The longest back-off that engines ask for; no limit if absent.
     max_back_off: Option<Duration>,
 }
 
 impl Statements {
-    /// Has an engine say from now on that it leaves.
+    /// Has an engine report from now on that it drains.
     pub fn drain(&mut self, engine: EngineKey, now: Time) {
         self.draining.entry(engine).or_insert(now);
     }
 
-    /// Has an engine turn all away at times from now on, or no more.
+    /// Has an engine begin periodic back-offs, or end them.
     pub fn back_off(&mut self, engine: EngineKey, back_offs: Option<BackOffs>, now: Time) {
         match back_offs {
             Some(back_offs) => self.backing_off.insert(engine, (back_offs, now)),
@@ -84,12 +84,12 @@
         };
     }
 
-    /// Has engines ask for no more than a span at once.
+    /// Limits the back-off that engines ask for at once.
     pub fn set_max_back_off(&mut self, duration: Duration) {
         self.max_back_off = Some(duration);
     }
 
-    /// Has an engine begin a new life, which sets none.
+    /// Drops what is known of an engine that starts a new incarnation.
     pub fn forget(&mut self, engine: EngineKey) {
         self.draining.remove(&engine);
         self.backing_off.remove(&engine);
@@ -97,8 +97,8 @@
         self.requested.retain(|it| it.engine != engine);
     }
 
-    /// Records that something of a box comes to an engine; gives what the answer says. The engine
-    /// rejects the request if that asks for rest.
+    /// Records a box's request at an engine and returns the statement in its answer. The engine
+    /// rejects the request if the statement asks for a back-off.
     pub fn arrive(&mut self, sender: Sender, engine: EngineKey, now: Time) -> Statement {
         let is_tracked =
             self.draining.contains_key(&engine) || self.backing_off.contains_key(&engine);
@@ -113,7 +113,7 @@
         Statement { is_leaving, back_off, ..Statement::default() }
     }
 
-    /// Records that an answer has come to its box.
+    /// Records that an answer has reached its box.
     pub fn record_answer(
         &mut self,
         sender: Sender,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns how much longer an engine rests, if it does now.
+    /// Returns the time left of an engine's current back-off.
     fn back_off_left(&self, engine: EngineKey, now: Time) -> Option<Duration> {
         let (BackOffs { duration, period }, since) = *self.backing_off.get(&engine)?;
         let cycle = now.since(since).as_micros() % period.as_micros();
@@ -137,7 +137,7 @@
         duration.checked_sub(within).filter(|it| !it.is_zero())
     }
 
-    /// Returns how many came to engines later than a span after their box was told that they leave.
+    /// Counts requests sent later than a duration after their box was told that the engine drains.
     pub fn late(&self, duration: Duration) -> usize {
         let is_late = |it: &&Arrival| {
             let informed = self.informed.get(&(it.sender, it.engine));
@@ -146,7 +146,7 @@
         self.arrivals.iter().filter(is_late).count()
     }
 
-    /// Returns how many came to engines later than a span after any box was told that they leave.
+    /// Counts requests sent later than a duration after any box was told that the engine drains.
     pub fn late_after_first(&self, duration: Duration) -> usize {
         let is_late = |it: &&Arrival| {
             let informed = self.informed.iter().filter(|((_, engine), _)| *engine == it.engine);
@@ -155,7 +155,7 @@
         self.arrivals.iter().filter(is_late).count()
     }
 
-    /// Returns the most that came from one box to an engine that had asked it for rest.
+    /// Returns the most requests that one box sent to an engine during a back-off.
     pub fn max_during_back_off(&self) -> usize {
         let counts = self.requested.iter().map(|requested| {
             let is_within = |it: &&Arrival| {
@@ -167,12 +167,12 @@
         counts.max().unwrap_or(0)
     }
 
-    /// Returns how many rests boxes were asked for.
+    /// Returns how many back-offs boxes were asked for.
     pub fn back_off_count(&self) -> usize {
         self.requested.len()
     }
 
-    /// Returns how many came to an engine in a time.
+    /// Counts the requests that reached an engine in an interval.
     pub fn arrivals_between(&self, engine: EngineKey, from: Time, to: Time) -> usize {
         let is_within = |it: &&Arrival| it.engine == engine && it.at >= from && it.at < to;
         self.arrivals.iter().filter(is_within).count()
