--- a/tests/tests/gateway_cold.rs
+++ b/tests/tests/gateway_cold.rs
@@ -65,7 +65,7 @@
     for _ in 0..50 {
         let engine = serving_engine(&mut world).expect("one engine is warm");
         taken += usize::from(engine == cold);
-        world.pass(Duration::from_millis(20));
+        world.advance(Duration::from_millis(20));
     }
     assert!(taken <= 10, "{taken}");
 }
@@ -75,7 +75,7 @@
     let mut world = world(vec![cold(1, 3000)]);
     let served = |world: &mut World| (0..5).filter_map(|_| serving_engine(world)).count();
     assert!(served(&mut world) <= 1);
-    world.pass(Duration::from_millis(3100));
+    world.advance(Duration::from_millis(3100));
     assert_eq!(served(&mut world), 5);
     // An entry may make it cold again, or warm before its time.
     world.event(Event::Changed(vec![EngineChange::Put(cold(1, 5000), 20.into())]));
--- a/tests/tests/gateway_customers.rs
+++ b/tests/tests/gateway_customers.rs
@@ -14,7 +14,7 @@
 use hollyspoke_gateway::route::{Configuration, Route, RouteKind};
 use hollyspoke_tests::gateway::{
     MEMORY, PLAIN, World, configuration, configuration_of, engines, heartbeat, only_refusal,
-    only_send, ran, request, route, turned_away,
+    only_send, ran, rejected, request, route,
 };
 
 /// The key of the customer `press`.
@@ -44,7 +44,7 @@
     let mut world = World::unconfigured();
     world.event(Event::Listed(engines(), 10.into()));
     world.event(with_customers(1, vec![customer("press", KEY, rate)]));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     world
 }
 
@@ -63,14 +63,14 @@
 
 /// Sends a plain request and answers it.
 fn answer(world: &mut World, request: Request) {
-    let (_, send) = world.sent(request);
+    let (_, send) = world.first_call(request);
     world.call(send.call, CallEvent::Answered(ran(200)));
 }
 
 #[test]
 fn known_key_rejected() {
     let mut world = world(0.0);
-    let (_, send) = world.sent(keyed("safe", KEY));
+    let (_, send) = world.first_call(keyed("safe", KEY));
     assert_eq!(send.caller, Caller::Customer("press".into()));
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn key_required_without_customers() {
     let mut world = World::new();
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     assert_eq!(send.caller, Caller::Unchecked);
 }
 
@@ -108,16 +108,16 @@
     let customers = Customers::new(vec![customer("press", KEY, 0.0)]);
     let configuration: Configuration = configuration_of(1, vec![open]).with_customers(customers);
     world.event(Event::Configured(Arc::new(configuration)));
-    let (_, send) = world.sent(request("open"));
+    let (_, send) = world.first_call(request("open"));
     assert_eq!(send.caller, Caller::Anonymous);
-    let (_, send) = world.sent(keyed("open", KEY));
+    let (_, send) = world.first_call(keyed("open", KEY));
     assert_eq!(send.caller, Caller::Customer("press".into()));
 }
 
 #[test]
 fn revoked_key_accepted() {
     let mut world = world(0.0);
-    let (_, in_flight) = world.sent(keyed("safe", KEY));
+    let (_, in_flight) = world.first_call(keyed("safe", KEY));
     world.event(with_customers(2, vec![customer("press", b"newer", 0.0)]));
     let (_, effects) = world.arrive(keyed("safe", KEY));
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
@@ -131,9 +131,9 @@
 #[test]
 fn revoked_key_retried() {
     let mut world = world(0.0);
-    let (_, first) = world.sent(keyed("safe", KEY));
+    let (_, first) = world.first_call(keyed("safe", KEY));
     world.event(with_customers(2, Vec::new()));
-    let effects = world.call(first.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(first.call, CallEvent::Answered(rejected()));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Send(_))), "{effects:?}");
     assert_eq!(only_refusal(&effects), Refusal::UnknownKey);
 }
@@ -162,11 +162,11 @@
     let first = Customer { priority: Some(0), ..customer("first", b"first-key", 0.0) };
     let customers = vec![customer("press", KEY, 0.0), first];
     world.event(with_customers(1, customers));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     let filling_request =
         |key| Request { prompt_tokens: Some(MEMORY * 9 / 10), ..keyed("once", key) };
-    let (_, running) = world.sent(filling_request(KEY));
-    world.sent(filling_request(KEY));
+    let (_, running) = world.first_call(filling_request(KEY));
+    world.first_call(filling_request(KEY));
     let (low, effects) = world.arrive(filling_request(KEY));
     assert!(effects.is_empty(), "it waits: {effects:?}");
     let (high, effects) = world.arrive(filling_request(b"first-key"));
@@ -190,11 +190,11 @@
 fn token_limit_ignored() {
     let mut world = world(6000.0);
     // The prompt and the longest answer are 6,000 tokens.
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     let wait = over_limit(&world.arrive(keyed("once", KEY)).1);
     assert!(wait > Duration::ZERO && wait < Duration::from_secs(2), "{wait:?}");
-    world.pass(wait);
-    world.sent(keyed("once", KEY));
+    world.advance(wait);
+    world.first_call(keyed("once", KEY));
 }
 
 /// Requests without a number of tokens count as many as the configuration sets.
@@ -212,12 +212,12 @@
 #[test]
 fn retry_counted_twice() {
     let mut world = world(12_000.0);
-    let (_, first) = world.sent(keyed("safe", KEY));
+    let (_, first) = world.first_call(keyed("safe", KEY));
     let effects = world.call(first.call, CallEvent::Broken);
     let second = only_send(&effects);
     assert_eq!(second.caller, Caller::Customer("press".into()));
     world.call(second.call, CallEvent::Answered(ran(200)));
-    world.sent(keyed("safe", KEY));
+    world.first_call(keyed("safe", KEY));
     over_limit(&world.arrive(keyed("safe", KEY)).1);
 }
 
@@ -225,10 +225,10 @@
 #[test]
 fn unrun_request_charged() {
     let mut world = world(6000.0);
-    let (request_key, _) = world.sent(keyed("once", KEY));
+    let (request_key, _) = world.first_call(keyed("once", KEY));
     // Its prompt is being prefilled, which is not a run.
     world.event(Event::ClientDisconnected(request_key));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// One customer's flood must not use up another's limit.
@@ -238,7 +238,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let customers = vec![customer("press", KEY, 1000.0), customer("town", b"town-key", 1000.0)];
     world.event(with_customers(1, customers));
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     let plain =
         |key| Request { prompt_tokens: None, max_answer_tokens: None, ..keyed("safe", key) };
     let refused = (0..50)
@@ -270,7 +270,7 @@
 fn other_usage_counted_twice() {
     let mut world = world(6000.0);
     world.event(Event::Received(usage_announcement(2, 1, 0, true)));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     world.event(Event::Received(usage_announcement(2, 2, 0, false)));
     world.event(Event::Received(usage_announcement(2, 3, 9000, false)));
     world.event(Event::Received(usage_announcement(2, 4, 9000, false)));
@@ -284,18 +284,18 @@
 fn silent_usage_counted() {
     let mut world = world(6000.0);
     world.event(Event::Received(usage_announcement(2, 1, 0, true)));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     world.event(Event::Received(usage_announcement(2, 2, 9000, false)));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// The first total of a new box says nothing of its recent use.
 #[test]
 fn first_total_counted() {
     let mut world = world(6000.0);
-    world.pass(Duration::from_secs(5));
+    world.advance(Duration::from_secs(5));
     world.event(Event::Received(usage_announcement(2, 900, 4_000_000, false)));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
 }
 
 /// A lowered limit binds at once, and a raised one admits more.
@@ -303,11 +303,11 @@
 fn limit_change_ignored() {
     let mut world = world(60_000.0);
     world.event(with_customers(2, vec![customer("press", KEY, 6000.0)]));
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     over_limit(&world.arrive(keyed("once", KEY)).1);
     world.event(with_customers(3, vec![customer("press", KEY, 600_000.0)]));
-    world.pass(Duration::from_millis(50));
-    world.sent(keyed("safe", KEY));
+    world.advance(Duration::from_millis(50));
+    world.first_call(keyed("safe", KEY));
 }
 
 /// Keys must not appear in debug output.
@@ -323,7 +323,7 @@
 #[test]
 fn refusal_not_logged() {
     let mut world = world(6000.0);
-    world.sent(keyed("once", KEY));
+    world.first_call(keyed("once", KEY));
     let now = world.now;
     let effects = world.gateway.step(now, Event::Arrived(RequestKey(99), keyed("once", KEY)));
     let logged = effects.iter().find_map(|it| match it {
--- a/tests/tests/gateway_era.rs
+++ b/tests/tests/gateway_era.rs
@@ -112,7 +112,7 @@
     put(&mut world, draining(100), LAST_REVISION);
     restore_store(&mut world, plain_engines(first(100)));
     assert!(!is_used(&mut world));
-    world.pass(DEPARTURE_MEMORY);
+    world.advance(DEPARTURE_MEMORY);
     assert!(!is_used(&mut world));
     put(&mut world, first(200), Revision::new(2, 25));
     assert!(is_used(&mut world));
@@ -131,7 +131,7 @@
             let gone = EngineChange::Left(first(100).id, Revision::new(2, 30));
             world.event(Event::Changed(vec![gone]));
         }
-        world.pass(DEPARTURE_MEMORY);
+        world.advance(DEPARTURE_MEMORY);
         assert_eq!(is_used(&mut world), !expires);
     }
 }
@@ -152,7 +152,7 @@
     let mut world = world(plain_engines(first(100)));
     restore_store(&mut world, vec![engine(2, PLAIN, None)]);
     assert!(is_used(&mut world));
-    world.pass(Duration::from_millis(2100));
+    world.advance(Duration::from_millis(2100));
     assert!(!is_used(&mut world));
 }
 
@@ -233,7 +233,7 @@
             let begun = Change::Begun("north".into());
             world.event(Event::EvacuationChanged(vec![begun], Revision::new(2, 25)));
         }
-        world.pass(EVACUATION_MEMORY);
+        world.advance(EVACUATION_MEMORY);
         assert_eq!(is_used(&mut world), !is_rewritten);
         let lifted = Change::Lifted("north".into());
         world.event(Event::EvacuationChanged(vec![lifted], Revision::new(2, 30)));
@@ -262,7 +262,7 @@
         effects.iter().any(|it| matches!(it, Effect::Log(LogEvent::StoreReturned { .. })))
     };
     let mut world = world(engines());
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     let effects = step(&mut world, Event::StoreEra(2));
     assert!(returned(&effects));
     let reads = effects.iter().filter(|it| matches!(it, Effect::Read(_))).count();
--- a/tests/tests/gateway_evacuation.rs
+++ b/tests/tests/gateway_evacuation.rs
@@ -14,8 +14,8 @@
 use hollyspoke_gateway::message::{Message, StoreView};
 use hollyspoke_gateway::snapshot::SnapshotRequest;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, configuration, engine, heartbeat, only_refusal, only_send, ran, read,
-    request, settings, turned_away,
+    MODEL, PLAIN, World, configuration, engine, heartbeat, only_refusal, only_send, prefilled, ran,
+    rejected, request, settings,
 };
 use proptest::prelude::*;
 
@@ -84,7 +84,7 @@
     assert_eq!(plain_data_centres(&mut world).len(), 2);
     world.event(Event::Evacuated(evacuated(20, &["north"])));
     assert_eq!(plain_data_centres(&mut world), BTreeSet::from(["south".to_owned()]));
-    let (_, send) = world.sent(request("resumed"));
+    let (_, send) = world.first_call(request("resumed"));
     assert_eq!(*send.engine.data_centre, *"south");
     world.event(Event::EvacuationChanged(vec![Change::Lifted("north".into())], 30.into()));
     assert!(plain_data_centres(&mut world).contains("north"));
@@ -103,16 +103,16 @@
 #[test]
 fn retry_sent_to_evacuated() {
     let mut world = world();
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
-    let effects = world.call(send.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(send.call, CallEvent::Answered(rejected()));
     assert_ne!(only_send(&effects).engine.data_centre, send.engine.data_centre);
 }
 
 #[test]
 fn stream_resumed_in_evacuated() {
     let mut world = world();
-    let (_, decode_call) = world.streaming(request("resumed"));
+    let (_, decode_call) = world.begin_stream(request("resumed"));
     let from = decode_call.engine.data_centre.clone();
     world.event(Event::Evacuated(evacuated(20, &[&*from])));
     // A running call continues; the stream moves only when it breaks.
@@ -127,12 +127,12 @@
 fn evacuated_prompt_freed() {
     let mut world = world();
     world.event(Event::Evacuated(evacuated(20, &["south"])));
-    let (request_key, prefill_call) = world.sent(request("once"));
+    let (request_key, prefill_call) = world.first_call(request("once"));
     assert_eq!((&*prefill_call.engine.data_centre, &prefill_call.task), ("north", &Task::Prefill));
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     let decode_call = only_send(&effects);
     world.event(Event::Evacuated(evacuated(30, &["north", "south"])));
-    let mut effects = world.call(decode_call.call, CallEvent::Answered(turned_away()));
+    let mut effects = world.call(decode_call.call, CallEvent::Answered(rejected()));
     effects.extend(world.event(Event::ClientDisconnected(request_key)));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
@@ -155,7 +155,7 @@
 #[test]
 fn evacuated_engine_probed() {
     let mut world = world();
-    let (_, send) = world.sent(request("unsafe"));
+    let (_, send) = world.first_call(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &[&*send.engine.data_centre])));
     let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Probe(_))), "{effects:?}");
@@ -203,7 +203,7 @@
     world.event(Event::Listed(engines(), 10.into()));
     let (_, effects) = world.arrive(request("safe"));
     assert!(matches!(only_refusal(&effects), Refusal::NotRun(..)), "{effects:?}");
-    world.pass(Duration::from_millis(1000));
+    world.advance(Duration::from_millis(1000));
     assert!(world.gateway.is_ready());
     // A late answer is applied.
     world.event(Event::Evacuated(evacuated(20, &["north"])));
@@ -213,7 +213,7 @@
 #[test]
 fn running_call_stopped() {
     let mut world = world();
-    let (request_key, send) = world.sent(request("unsafe"));
+    let (request_key, send) = world.first_call(request("unsafe"));
     world.event(Event::Evacuated(evacuated(20, &["north", "south"])));
     let effects = world.call(send.call, CallEvent::Answered(ran(200)));
     assert_eq!(effects, [Effect::Deliver(request_key, send.call)]);
--- a/tests/tests/gateway_followers.rs
+++ b/tests/tests/gateway_followers.rs
@@ -82,7 +82,7 @@
         Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, CURRENT_VIEW) };
     world.event(Event::Received(message));
     for _ in 0..6 {
-        let (_, send) = world.sent(request("safe"));
+        let (_, send) = world.first_call(request("safe"));
         assert_eq!(&*send.engine.id, "engine-2");
     }
 }
@@ -97,7 +97,7 @@
         Message { engine_update: Some(Box::new(news)), ..heartbeat(2, 1000, CURRENT_VIEW) };
     world.event(Event::Received(message));
     for _ in 0..12 {
-        let (_, send) = world.sent(request("safe"));
+        let (_, send) = world.first_call(request("safe"));
         assert_ne!(&*send.engine.id, "engine-3");
     }
     let ahead = StoreView { revision: 14.into(), ..CURRENT_VIEW };
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -7,7 +7,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::message::{Message, Rejection, StoreView};
 use hollyspoke_gateway::request::Request;
-use hollyspoke_tests::gateway::{World, heartbeat, only_send, read, request, turned_away};
+use hollyspoke_tests::gateway::{World, heartbeat, only_send, prefilled, rejected, request};
 
 /// Returns another box's announcement that both decode engines lacked free capacity.
 fn rejections_from_peer(held_tokens: u32) -> Event {
@@ -28,7 +28,7 @@
     world.event(rejections_from_peer(4000));
     let (_, effects) = world.arrive(sized(5000));
     assert_eq!(effects, []);
-    let effects = world.pass(Duration::from_millis(250));
+    let effects = world.advance(Duration::from_millis(250));
     assert!(!effects.is_empty(), "the announcement expires after a short time");
 }
 
@@ -36,7 +36,7 @@
 fn small_request_blocked() {
     let mut world = World::new();
     world.event(rejections_from_peer(9000));
-    let (_, send) = world.sent(sized(2000));
+    let (_, send) = world.first_call(sized(2000));
     assert_eq!(send.task, Task::Prefill);
 }
 
@@ -44,9 +44,9 @@
 fn rejection_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, prefill_call) = world.sent(sized(5000));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
-    let refused = Event::Call(decode_call.call, CallEvent::Answered(turned_away()));
+    let (_, prefill_call) = world.first_call(sized(5000));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let refused = Event::Call(decode_call.call, CallEvent::Answered(rejected()));
     let effects = world.gateway.step(world.now, refused);
     let is_announced = effects.iter().any(|it| match it {
         Effect::Announce(_, message) => message
--- a/tests/tests/gateway_handover.rs
+++ b/tests/tests/gateway_handover.rs
@@ -61,7 +61,7 @@
     let mut fetch_count = 0;
     for beat in 0..beats {
         world.event(Event::Received(heartbeat(2, 1000 + beat, store_view)));
-        let effects = world.pass(Duration::from_millis(350));
+        let effects = world.advance(Duration::from_millis(350));
         let provider = settings(2).peer;
         fetch_count += effects.iter().filter(|it| **it == Effect::Fetch(provider)).count();
     }
@@ -131,7 +131,7 @@
             }
             world.event(Event::Received(message));
         }
-        let effects = world.pass(Duration::from_millis(350));
+        let effects = world.advance(Duration::from_millis(350));
         fetch_count.extend(effects.into_iter().filter(|it| matches!(it, Effect::Fetch(_))));
     }
     assert!(!fetch_count.is_empty());
@@ -147,7 +147,7 @@
     let mut message = heartbeat(2, 1000, starting);
     message.readiness = hollyspoke_gateway::message::Readiness::Starting;
     world.event(Event::Received(message));
-    let effects = world.pass(Duration::from_secs(1));
+    let effects = world.advance(Duration::from_secs(1));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Fetch(_))));
 }
 
--- a/tests/tests/gateway_homes.rs
+++ b/tests/tests/gateway_homes.rs
@@ -20,7 +20,7 @@
 use hollyspoke_gateway::route::{Route, RouteKind};
 use hollyspoke_tests::gateway::{
     MODEL, PLAIN, World, configuration_of, engine, heartbeat, only_refusal, only_send, ran,
-    request, route, settings, turned_away,
+    rejected, request, route, settings,
 };
 
 /// The key of the customer whose requests stay in the region `cold`.
@@ -107,7 +107,7 @@
 #[test]
 fn stream_leaves_region() {
     let mut world = world();
-    let (_, decode_call) = world.streaming(request("warm-stream"));
+    let (_, decode_call) = world.begin_stream(request("warm-stream"));
     assert!(decode_call.engine.data_centre.starts_with("south"));
     let effects = world.call(decode_call.call, CallEvent::Forwarded(Some(3)));
     assert!(effects.is_empty());
@@ -138,8 +138,8 @@
 #[test]
 fn retry_leaves_region() {
     let mut world = world();
-    let (_, send) = world.sent(of_customer("both"));
-    let effects = world.call(send.call, CallEvent::Answered(turned_away()));
+    let (_, send) = world.first_call(of_customer("both"));
+    let effects = world.call(send.call, CallEvent::Answered(rejected()));
     let goes_north = |it: &Effect| match it {
         Effect::Send(send) => *send.engine.data_centre == *"north",
         _ => true,
@@ -176,7 +176,7 @@
     assert_eq!(listed_boxes(&world, None), [1, 2]);
     // Without a box in their region, clients are given all that serve.
     assert_eq!(listed_boxes(&world, Some("moon")), [1, 2, 3, 4]);
-    world.pass(Duration::from_secs(10));
+    world.advance(Duration::from_secs(10));
     // Boxes of other regions are not given when all others have timed out.
     assert_eq!(listed_boxes(&world, Some("cold")), [1, 2]);
 }
@@ -199,7 +199,7 @@
     let few = [91, 92].map(|it| Engine { data_centre: "south".into(), ..engine(it, PLAIN, None) });
     world.event(Event::Listed(many.chain(few).collect(), 20.into()));
     for _ in 0..32 {
-        let (_, send) = world.sent(request("warm"));
+        let (_, send) = world.first_call(request("warm"));
         assert_eq!(*send.engine.data_centre, *"south");
         world.call(send.call, CallEvent::Answered(ran(200)));
     }
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -18,10 +18,10 @@
 use hollyspoke_gateway::statement::Statement;
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, engine, engines, heartbeat, only_refusal, only_send, ran, read, request,
-    settings, turned_away,
+    MODEL, PLAIN, World, engine, engines, heartbeat, only_refusal, only_send, prefilled, ran,
+    rejected, request, settings,
 };
-use hollyspoke_tests::terms::DRAIN;
+use hollyspoke_tests::statements::DRAIN;
 
 /// The time within which all boxes learn that an engine is shutting down.
 const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(60);
@@ -30,9 +30,9 @@
 fn draining_engine_used() {
     let mut fleet = Fleet::settled(6, 1);
     let shutdown_statement = fleet.engines_of(PLAIN)[0];
-    fleet.leave([shutdown_statement]);
+    fleet.drain([shutdown_statement]);
     fleet.run(Duration::from_secs(15));
-    assert_eq!(fleet.terms.late(DRAIN), 0, "later than {DRAIN:?}");
+    assert_eq!(fleet.statements.late(DRAIN), 0, "later than {DRAIN:?}");
 }
 
 /// Where other engines serve, all boxes have to stop as soon as one has received the statement.
@@ -41,9 +41,9 @@
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
         let mut fleet = Fleet::settled(6, seed);
         let shutdown_statement: Vec<_> = fleet.engines_of(service).into_iter().step_by(3).collect();
-        fleet.leave(shutdown_statement);
+        fleet.drain(shutdown_statement);
         fleet.run(Duration::from_secs(12));
-        assert_eq!(fleet.terms.late_at_all(ANNOUNCEMENT_TIME), 0, "{service}");
+        assert_eq!(fleet.statements.late_after_first(ANNOUNCEMENT_TIME), 0, "{service}");
     }
 }
 
@@ -53,14 +53,16 @@
     for (service, seed) in [(PLAIN, 4), (MODEL, 5)] {
         let mut fleet = Fleet::settled(6, seed);
         let shutdown_statement = fleet.engines_of(service);
-        fleet.leave(shutdown_statement.clone());
+        fleet.drain(shutdown_statement.clone());
         let from = fleet.now();
         fleet.run(DRAIN / 2);
         let got: usize =
-            shutdown_statement.iter().map(|it| fleet.terms.got(*it, from, fleet.now())).sum();
+            shutdown_statement.iter()
+            .map(|it| fleet.statements.arrivals_between(*it, from, fleet.now()))
+            .sum();
         assert!(got >= 12, "{got} requests in the first second of {service}");
         fleet.run(Duration::from_secs(10));
-        assert_eq!(fleet.terms.late(DRAIN), 0, "{service}");
+        assert_eq!(fleet.statements.late(DRAIN), 0, "{service}");
     }
 }
 
@@ -70,30 +72,30 @@
 fn shutdown_lost_on_restart() {
     let mut fleet = Fleet::settled(6, 6);
     let shutdown_statement = fleet.engines_of(PLAIN)[0];
-    fleet.leave([shutdown_statement]);
+    fleet.drain([shutdown_statement]);
     fleet.run(Duration::from_secs(1));
     let from = fleet.now();
     for number in 0..6 {
         fleet.restart([number]);
         fleet.run(Duration::from_secs(2));
     }
-    let got = fleet.terms.got(shutdown_statement, from, fleet.now());
+    let got = fleet.statements.arrivals_between(shutdown_statement, from, fleet.now());
     assert_eq!(got, 0, "from boxes that others could inform");
     fleet.restart(0..6);
     fleet.run(Duration::from_secs(6));
-    assert_eq!(fleet.terms.late(ANNOUNCEMENT_TIME), 0);
+    assert_eq!(fleet.statements.late(ANNOUNCEMENT_TIME), 0);
 }
 
 /// Partitioned boxes each have to learn of the shutdown from an answer of their own.
 #[test]
 fn partitioned_box_uses_draining() {
     let mut fleet = Fleet::settled(6, 7);
-    (0..6).for_each(|number| fleet.part([number], number));
-    fleet.leave([fleet.engines_of(PLAIN)[0]]);
+    (0..6).for_each(|number| fleet.partition([number], number));
+    fleet.drain([fleet.engines_of(PLAIN)[0]]);
     fleet.run(Duration::from_secs(8));
-    fleet.part(0..6, 0);
+    fleet.partition(0..6, 0);
     fleet.run(Duration::from_secs(4));
-    assert_eq!(fleet.terms.late(ANNOUNCEMENT_TIME), 0);
+    assert_eq!(fleet.statements.late(ANNOUNCEMENT_TIME), 0);
 }
 
 /// If a quarter of the datagrams is lost, all boxes have to know within a few heartbeats.
@@ -102,11 +104,11 @@
     let mut fleet = Fleet::settled(6, 8);
     fleet.lost = 0.25;
     let shutdown_statement = fleet.engines_of(MODEL)[15];
-    fleet.leave([shutdown_statement]);
+    fleet.drain([shutdown_statement]);
     fleet.run(Duration::from_secs(4));
     let from = fleet.now();
     fleet.run(Duration::from_secs(10));
-    assert_eq!(fleet.terms.got(shutdown_statement, from, fleet.now()), 0);
+    assert_eq!(fleet.statements.arrivals_between(shutdown_statement, from, fleet.now()), 0);
 }
 
 /// A new incarnation under the same id has to be used again.
@@ -114,14 +116,14 @@
 fn restarted_engine_unused() {
     let mut fleet = Fleet::settled(6, 9);
     let shutdown_statement = fleet.engines_of(PLAIN)[0];
-    fleet.leave([shutdown_statement]);
+    fleet.drain([shutdown_statement]);
     fleet.run(Duration::from_secs(2));
     fleet.crash_all([shutdown_statement]);
     fleet.run(Duration::from_secs(6));
-    fleet.limit([shutdown_statement], Some(100.0));
+    fleet.set_limit([shutdown_statement], Some(100.0));
     let from = fleet.now();
     fleet.run(Duration::from_secs(5));
-    assert!(fleet.needs.got(shutdown_statement, from, fleet.now()) > 20);
+    assert!(fleet.rate_limits.arrivals_between(shutdown_statement, from, fleet.now()) > 20);
 }
 
 /// Returns a statement that the engine is shutting down.
@@ -185,7 +187,7 @@
     ];
     for event in events {
         world.event(event.clone());
-        world.pass(Duration::from_millis(400));
+        world.advance(Duration::from_millis(400));
         assert!(!plain_serving_engines(&mut world).contains(&key), "after {event:?}");
     }
     world.event(put(first(Some(200)), 28));
@@ -208,14 +210,14 @@
 fn foreign_answer_applied() {
     let mut world = World::new();
     world.event(Event::Listed(vec![first(Some(100))], 20.into()));
-    let (_, early) = world.sent(request("safe"));
+    let (_, early) = world.first_call(request("safe"));
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(200)), 21.into())]));
     world.call(early.call, CallEvent::Answered(ran_during_shutdown(200)));
-    let (_, moved) = world.sent(request("safe"));
+    let (_, moved) = world.first_call(request("safe"));
     let answer = Answer { execution: Execution::Replaced, ..ran_during_shutdown(421) };
     world.call(moved.call, CallEvent::Answered(answer));
     world.event(Event::Changed(vec![EngineChange::Put(first(Some(300)), 22.into())]));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
 }
 
 /// The statement counts in every answer: runs, failures, rejections, prefills and stream heads.
@@ -224,17 +226,17 @@
     let kinds: [(&str, CallEvent); 6] = [
         ("safe", CallEvent::Answered(ran_during_shutdown(200))),
         ("safe", CallEvent::Answered(ran_during_shutdown(500))),
-        ("safe", CallEvent::Answered(Answer { statement: shutdown_statement(), ..turned_away() })),
+        ("safe", CallEvent::Answered(Answer { statement: shutdown_statement(), ..rejected() })),
         ("safe", CallEvent::Answered(ran_during_shutdown(503))),
-        ("resumed", CallEvent::Answered(Answer { statement: shutdown_statement(), ..read("h") })),
+        ("resumed", CallEvent::Answered(Answer { statement: shutdown_statement(), ..prefilled("h") })),
         (
             "resumed",
-            CallEvent::Answered(Answer { statement: shutdown_statement(), ..turned_away() }),
+            CallEvent::Answered(Answer { statement: shutdown_statement(), ..rejected() }),
         ),
     ];
     for (route, event) in kinds {
         let mut world = World::new();
-        let (_, send) = world.sent(request(route));
+        let (_, send) = world.first_call(request(route));
         let mut effects = world.call(send.call, event.clone());
         for number in 0..8 {
             let id = format!("request-{number}");
@@ -243,8 +245,8 @@
         assert!(!called_engines(&effects).contains(&send.engine.key), "{event:?}");
     }
     let mut world = World::new();
-    let (_, prefill_call) = world.sent(request("resumed"));
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let (_, prefill_call) = world.first_call(request("resumed"));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     let decode_call = only_send(&effects);
     world.call(decode_call.call, CallEvent::Began(ran_during_shutdown(200)));
     let (_, effects) = prefilled_request(&mut world, "second");
@@ -262,8 +264,8 @@
 
 /// Prefills a stream's prompt; returns the prefill call and the effects that follow.
 fn prefilled_request(world: &mut World, id: &str) -> (Send, Vec<Effect>) {
-    let (_, prefill_call) = world.sent(Request { id: id.into(), ..request("resumed") });
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let (_, prefill_call) = world.first_call(Request { id: id.into(), ..request("resumed") });
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     (prefill_call, effects)
 }
 
@@ -272,10 +274,10 @@
 #[test]
 fn prompt_sent_to_draining() {
     let mut world = World::new();
-    let (request_key, running) = world.streaming(request("resumed"));
-    let (_, prefill_call) = world.sent(Request { id: "second".into(), ..request("resumed") });
+    let (request_key, running) = world.begin_stream(request("resumed"));
+    let (_, prefill_call) = world.first_call(Request { id: "second".into(), ..request("resumed") });
     world.event(Event::Statement(running.engine.key, shutdown_statement()));
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     let decode_call = only_send(&effects);
     assert_ne!(decode_call.engine.key, running.engine.key);
     assert!(matches!(decode_call.task, Task::Decode(Prompt::Prefilled(_))));
@@ -287,11 +289,11 @@
 #[test]
 fn retry_sent_to_draining() {
     let mut world = World::new();
-    let (_, running) = world.streaming(request("resumed"));
+    let (_, running) = world.begin_stream(request("resumed"));
     world.event(Event::Statement(running.engine.key, shutdown_statement()));
     let effects = world.call(running.call, CallEvent::Broken);
     assert!(!called_engines(&effects).contains(&running.engine.key), "{effects:?}");
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     let effects = world.call(send.call, CallEvent::Answered(ran_during_shutdown(500)));
     assert_ne!(only_send(&effects).engine.key, send.engine.key);
 }
@@ -301,7 +303,7 @@
 fn cached_prompt_abandoned() {
     let mut world = World::new();
     let new_request = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-    let (_, decode_call) = world.streaming(new_request());
+    let (_, decode_call) = world.begin_stream(new_request());
     world.call(decode_call.call, CallEvent::Forwarded(Some(1)));
     world.call(decode_call.call, CallEvent::Answered(ran_during_shutdown(200)));
     world.event(Event::Statement(decode_call.engine.key, shutdown_statement()));
@@ -318,10 +320,10 @@
     for engine in engines() {
         world.event(Event::Statement(engine.key, shutdown_statement()));
     }
-    let (request_key, prefill_call) = world.sent(request("once"));
-    let mut effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let (request_key, prefill_call) = world.first_call(request("once"));
+    let mut effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     effects.extend(world.event(Event::ClientDisconnected(request_key)));
-    let (_, send) = world.sent(request("unsafe"));
+    let (_, send) = world.first_call(request("unsafe"));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
         world.now = world.now + Duration::from_millis(100);
@@ -347,10 +349,10 @@
         engines().iter().for_each(|it| {
             world.event(Event::Statement(it.key, shutdown_statement()));
         });
-        world.pass(DRAIN / 2 - Duration::from_millis(1));
+        world.advance(DRAIN / 2 - Duration::from_millis(1));
         let (_, effects) = world.arrive(request(route));
         only_send(&effects);
-        world.pass(Duration::from_millis(2));
+        world.advance(Duration::from_millis(2));
         let (_, effects) = world.arrive(Request { id: "late".into(), ..request(route) });
         let refusal = only_refusal(&effects);
         let is_leaving = matches!(refusal, Refusal::NotRun(_, NotRunReason::ShuttingDown, _));
@@ -364,7 +366,7 @@
     let mut world = world_with_draining_engine();
     let limit = rate_limit::Reported::Rate(1.0);
     world.event(Event::Statement(first(None).key, Statement { limit, ..Statement::default() }));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     assert!(!plain_serving_engines(&mut world).contains(&first(None).key));
 }
 
@@ -416,13 +418,13 @@
     };
     let mut world = only(100);
     world.event(Event::Received(shutdown_announcement(100, 500)));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
     let mut world = only(100);
     world.event(Event::Received(shutdown_announcement(100, 1500)));
     only_refusal(&world.arrive(request("safe")).1);
     let mut world = only(200);
     world.event(Event::Received(shutdown_announcement(100, 1500)));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
     let mut known = World::new();
     known.event(Event::Received(shutdown_announcement(100, 5)));
     known.event(Event::Listed(vec![first(Some(100)), engine(2, PLAIN, None)], 20.into()));
@@ -434,7 +436,7 @@
 #[test]
 fn shutdown_missing_in_snapshot() {
     let mut provider = world_with_draining_engine();
-    provider.pass(Duration::from_secs(3));
+    provider.advance(Duration::from_secs(3));
     let mut world = World::numbered(2);
     let snapshot = provider.gateway.snapshot(SnapshotRequest::default());
     world.event(Event::SnapshotReceived(settings(1).peer, Box::new(snapshot)));
@@ -451,6 +453,6 @@
     readers.iter().for_each(|it| {
         world.event(Event::Statement(it.key, shutdown_statement()));
     });
-    let (_, send) = world.sent(request("resumed"));
+    let (_, send) = world.first_call(request("resumed"));
     assert_eq!(send.task, Task::Decode(Prompt::NotPrefilled));
 }
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -20,7 +20,7 @@
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
     MEMORY, MODEL, PLAIN, World, configuration, configuration_of, engine, engines as listed,
-    heartbeat, only_refusal, only_send, ran, read, request, route,
+    heartbeat, only_refusal, only_send, prefilled, ran, request, route,
 };
 
 /// The share of the limits that has to be used while enough requests arrive.
@@ -37,9 +37,9 @@
 fn max_bound_used(service: &str, count: usize, rate: f64, seed: u64) -> f64 {
     let mut fleet = Fleet::settled(6, seed);
     let chosen = engines(&fleet, service).into_iter().take(count);
-    fleet.limit(chosen.collect::<Vec<_>>(), Some(rate));
+    fleet.set_limit(chosen.collect::<Vec<_>>(), Some(rate));
     fleet.run(Duration::from_secs(14));
-    fleet.needs.bound_used()
+    fleet.rate_limits.bound_used()
 }
 
 #[test]
@@ -71,16 +71,16 @@
 fn limited_capacity_unused() {
     for (service, rate, seed) in [(PLAIN, 3.0, 8), (PLAIN, 0.4, 9), (MODEL, 0.5, 10)] {
         let mut fleet = Fleet::settled(6, seed);
-        fleet.limit(engines(&fleet, service), Some(rate));
+        fleet.set_limit(engines(&fleet, service), Some(rate));
         fleet.run(Duration::from_secs(5));
         let from = fleet.now();
         fleet.run(Duration::from_secs(30));
-        let max_bound_used = fleet.needs.limit_used(from, fleet.now());
+        let max_bound_used = fleet.rate_limits.limit_used(from, fleet.now());
         assert!(
             max_bound_used >= MIN_USED_SHARE,
             "{max_bound_used:.2} of {rate} a second of {service}"
         );
-        assert!(fleet.needs.bound_used() <= 1.0);
+        assert!(fleet.rate_limits.bound_used() <= 1.0);
     }
 }
 
@@ -90,13 +90,16 @@
     for (rate, within, seed) in [(3.0, 2, 11), (0.1, 24, 12)] {
         let mut fleet = Fleet::settled(6, seed);
         let chosen = engines(&fleet, PLAIN);
-        fleet.limit(chosen.clone(), Some(rate));
+        fleet.set_limit(chosen.clone(), Some(rate));
         fleet.run(Duration::from_secs(8));
-        fleet.limit(chosen.clone(), None);
+        fleet.set_limit(chosen.clone(), None);
         fleet.run(Duration::from_secs(within));
         let from = fleet.now();
         fleet.run(Duration::from_secs(10));
-        let got: usize = chosen.iter().map(|it| fleet.needs.got(*it, from, fleet.now())).sum();
+        let got: usize = chosen
+            .iter()
+            .map(|it| fleet.rate_limits.arrivals_between(*it, from, fleet.now()))
+            .sum();
         assert!(got >= 300, "{got} requests of some 400");
     }
 }
@@ -105,7 +108,7 @@
 #[test]
 fn limit_lost_on_restart() {
     let mut fleet = Fleet::settled(6, 13);
-    fleet.limit(engines(&fleet, PLAIN), Some(2.0));
+    fleet.set_limit(engines(&fleet, PLAIN), Some(2.0));
     fleet.run(Duration::from_secs(5));
     for number in 0..6 {
         fleet.restart([number]);
@@ -113,7 +116,7 @@
     }
     fleet.restart(0..6);
     fleet.run(Duration::from_secs(6));
-    let max_bound_used = fleet.needs.bound_used();
+    let max_bound_used = fleet.rate_limits.bound_used();
     assert!(max_bound_used <= 1.0, "{max_bound_used:.2} of what is allowed");
 }
 
@@ -122,15 +125,15 @@
 fn partition_exceeds_limit() {
     for sides in [2, 6] {
         let mut fleet = Fleet::settled(6, 14);
-        fleet.limit(engines(&fleet, PLAIN), Some(3.0));
+        fleet.set_limit(engines(&fleet, PLAIN), Some(3.0));
         fleet.run(Duration::from_secs(5));
         for number in 0..6 {
-            fleet.part([number], number % sides);
+            fleet.partition([number], number % sides);
         }
         fleet.run(Duration::from_secs(10));
-        fleet.part(0..6, 0);
+        fleet.partition(0..6, 0);
         fleet.run(Duration::from_secs(5));
-        let max_bound_used = fleet.needs.bound_used();
+        let max_bound_used = fleet.rate_limits.bound_used();
         assert!(max_bound_used <= 1.0, "{max_bound_used:.2} of what is allowed by {sides} sides");
     }
 }
@@ -147,7 +150,7 @@
 
 /// Answers a plain request with a limit; returns its engine.
 fn answer_with_limit(world: &mut World, rate: f64) -> EngineKey {
-    let (_, call) = world.sent(request("safe"));
+    let (_, call) = world.first_call(request("safe"));
     world.call(call.call, CallEvent::Answered(limited(rate)));
     call.engine.key
 }
@@ -179,7 +182,7 @@
     for _ in 0..100 {
         let engine = serving_engine(&mut world, &ran(200)).expect("the other has free capacity");
         taken += usize::from(engine == limited_one);
-        world.pass(Duration::from_millis(10));
+        world.advance(Duration::from_millis(10));
     }
     assert!(taken <= 3, "{taken} in a second");
 }
@@ -192,7 +195,7 @@
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::RateLimited);
     assert!(retry >= Duration::from_millis(1500), "{retry:?}");
-    world.pass(retry);
+    world.advance(retry);
     assert!(serving_engine(&mut world, &limited(0.5)).is_some());
 }
 
@@ -200,20 +203,20 @@
 #[test]
 fn timely_permit_missed() {
     let mut world = world_with_limit(12.0);
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     assert!(serving_engine(&mut world, &limited(12.0)).is_some());
     assert!(serving_engine(&mut world, &limited(12.0)).is_some());
     // The third permit is due after a little more than 1/12 s; the target is 900 ms.
     let (_, effects) = world.arrive(Request { id: "third".into(), ..request("safe") });
     assert!(effects.is_empty(), "{effects:?}");
-    let effects = world.pass(Duration::from_millis(95));
+    let effects = world.advance(Duration::from_millis(95));
     only_send(&effects);
 }
 
 #[test]
 fn limit_kept_after_answer() {
     let mut world = world_with_limit(1.0);
-    world.pass(Duration::from_secs(2));
+    world.advance(Duration::from_secs(2));
     assert!(serving_engine(&mut world, &ran(200)).is_some());
     for _ in 0..20 {
         assert!(serving_engine(&mut world, &ran(200)).is_some());
@@ -236,9 +239,9 @@
 #[test]
 fn retry_without_permit() {
     let mut world = world_with_limit(0.5);
-    world.pass(Duration::from_secs(6));
-    let (request_key, call) = world.sent(request("safe"));
-    world.pass(Duration::from_millis(5));
+    world.advance(Duration::from_secs(6));
+    let (request_key, call) = world.first_call(request("safe"));
+    world.advance(Duration::from_millis(5));
     let failed = Answer { status: 500, ..limited(0.5) };
     let second = world.call(call.call, CallEvent::Answered(failed));
     let third = second.iter().find_map(|it| match it {
@@ -257,9 +260,9 @@
 
 /// Runs a stream whose decode engine names a limit; returns the decode call.
 fn limit_decode_engine(world: &mut World, new_request: Request, rate: f64) -> Send {
-    let (_, prefill_call) = world.sent(new_request);
+    let (_, prefill_call) = world.first_call(new_request);
     assert_eq!(prefill_call.task, Task::Prefill);
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     let decode_call = only_send(&effects);
     world.call(decode_call.call, CallEvent::Began(limited(rate)));
     world.call(decode_call.call, CallEvent::Forwarded(Some(1)));
@@ -284,7 +287,7 @@
     for number in 0..20 {
         let id = format!("request-{number}");
         let (request_key, mut effects) = world.arrive(Request { id: id.into(), ..request(route) });
-        effects.extend(world.pass(duration));
+        effects.extend(world.advance(duration));
         let is_done = effects.iter().any(|it| match it {
             Effect::Send(send) => send.request == request_key,
             Effect::Refuse(refused, _) => *refused == request_key,
@@ -334,7 +337,7 @@
         let loads = taken.to_vec();
         let beat = Message { loads, ..heartbeat(other, 2, StoreView::default()) };
         world.event(Event::Received(beat));
-        let effects = world.pass(Duration::from_millis(400));
+        let effects = world.advance(Duration::from_millis(400));
         only_refusal(&effects);
     }
     assert!(asked > 5, "{asked} boxes issue the permits of a prefill engine");
@@ -355,7 +358,7 @@
 #[test]
 fn running_call_stopped() {
     let mut world = World::new();
-    let (_, decode_call) = world.streaming(request("resumed"));
+    let (_, decode_call) = world.begin_stream(request("resumed"));
     let second = Request { id: "second".into(), ..request("resumed") };
     limit_decode_engine(&mut world, second, 0.1);
     let effects = world.call(decode_call.call, CallEvent::Forwarded(Some(1)));
@@ -370,7 +373,7 @@
     let mut count = 0;
     while world.now < end {
         let (_, mut effects) = world.arrive(request("safe"));
-        effects.extend(world.pass(Duration::from_millis(100)));
+        effects.extend(world.advance(Duration::from_millis(100)));
         for effect in effects {
             if let Effect::Send(send) = effect {
                 count += 1;
@@ -415,15 +418,15 @@
     world.event(Event::Configured(Arc::new(configuration_of(1, vec![urgent, low]))));
     world.event(Event::Listed(vec![engine(1, PLAIN, None)], 20.into()));
     answer_with_limit(&mut world, 8.0);
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     assert!(serving_engine(&mut world, &limited(8.0)).is_some());
     assert!(serving_engine(&mut world, &limited(8.0)).is_some());
     let (_, effects) = world.arrive(request("safe"));
     only_refusal(&effects);
-    world.pass(Duration::from_millis(20));
+    world.advance(Duration::from_millis(20));
     let mut asked = request("safe");
     asked.path = "/urgent/x".to_owned();
     let (request_key, mut effects) = world.arrive(asked);
-    effects.extend(world.pass(Duration::from_millis(190)));
+    effects.extend(world.advance(Duration::from_millis(190)));
     assert_eq!(only_send(&effects).request, request_key);
 }
--- a/tests/tests/gateway_lives.rs
+++ b/tests/tests/gateway_lives.rs
@@ -8,7 +8,7 @@
 use hollyspoke_gateway::prompt::PromptKey;
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, engine, engines, only_send, ran, read, request, turned_away,
+    MODEL, PLAIN, World, engine, engines, only_send, prefilled, ran, rejected, request,
 };
 
 /// Returns the usual engines with a common start time.
@@ -37,19 +37,19 @@
 #[test]
 fn restarted_engine_avoided() {
     let mut world = world();
-    let (_, first) = world.sent(request("safe"));
+    let (_, first) = world.first_call(request("safe"));
     let effects = world.call(first.call, CallEvent::NotConnected);
     let other = only_send(&effects);
     world.call(other.call, CallEvent::Answered(ran(200)));
     let avoided = first.engine.clone();
     for _ in 0..10 {
-        let (_, call) = world.sent(request("safe"));
+        let (_, call) = world.first_call(request("safe"));
         assert_ne!(call.engine.key, avoided.key);
         world.call(call.call, CallEvent::Answered(ran(200)));
     }
     put(&mut world, Engine { started_at: Some(200), ..(*avoided).clone() }, 21);
     let used = (0..10).any(|_| {
-        let (_, call) = world.sent(request("safe"));
+        let (_, call) = world.first_call(request("safe"));
         world.call(call.call, CallEvent::Answered(ran(200)));
         call.engine.key == avoided.key
     });
@@ -60,14 +60,14 @@
 #[test]
 fn earlier_call_affects_restart() {
     let mut world = world();
-    let (_, first) = world.sent(request("safe"));
+    let (_, first) = world.first_call(request("safe"));
     let restarted = Engine { started_at: Some(200), ..(*first.engine).clone() };
     put(&mut world, restarted.clone(), 21);
     let effects = world.call(first.call, CallEvent::NotConnected);
     let other = only_send(&effects);
     world.call(other.call, CallEvent::Answered(ran(200)));
     let used = (0..10).any(|_| {
-        let (_, call) = world.sent(request("safe"));
+        let (_, call) = world.first_call(request("safe"));
         world.call(call.call, CallEvent::Answered(ran(200)));
         call.engine.key == restarted.key
     });
@@ -82,7 +82,7 @@
     let late = Engine { is_draining: true, ..plain_engine(1, 100) };
     put(&mut world, late, 22);
     put(&mut world, Engine { is_draining: true, ..plain_engine(2, 100) }, 23);
-    let (_, call) = world.sent(request("safe"));
+    let (_, call) = world.first_call(request("safe"));
     assert_eq!(call.engine.key, EngineKey::of("engine-1"));
     assert_eq!(call.engine.started_at, Some(200));
 }
@@ -93,7 +93,7 @@
     let mut world = world();
     world.event(Event::Listed(engines_started_at(200), 21.into()));
     world.event(Event::Listed(engines_started_at(100), 22.into()));
-    let (_, call) = world.sent(request("safe"));
+    let (_, call) = world.first_call(request("safe"));
     assert_eq!(call.engine.started_at, Some(200));
 }
 
@@ -102,16 +102,16 @@
 #[test]
 fn stale_handle_freed() {
     let mut world = world();
-    let (_, prefill_call) = world.sent(request("once"));
+    let (_, prefill_call) = world.first_call(request("once"));
     assert_eq!(prefill_call.task, Task::Prefill);
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     let first = only_send(&effects);
-    let effects = world.call(first.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(first.call, CallEvent::Answered(rejected()));
     let second = only_send(&effects);
     assert!(matches!(second.task, Task::Decode(Prompt::Prefilled(_))), "{second:?}");
     let prefill_engine = Engine { started_at: Some(200), ..(*prefill_call.engine).clone() };
     put(&mut world, prefill_engine, 21);
-    let effects = world.call(second.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(second.call, CallEvent::Answered(rejected()));
     assert!(!effects.iter().any(|it| matches!(it, Effect::Free(_))), "{effects:?}");
 }
 
@@ -120,7 +120,7 @@
 fn stale_cached_prompt_used() {
     let mut world = world();
     let asked = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-    let (_, decode_call) = world.streaming(asked());
+    let (_, decode_call) = world.begin_stream(asked());
     world.call(decode_call.call, CallEvent::Forwarded(Some(1)));
     world.call(decode_call.call, CallEvent::Answered(ran(200)));
     for (number, stage) in
@@ -129,7 +129,7 @@
         let restarted = Engine { started_at: Some(200), ..engine(number, MODEL, Some(stage)) };
         put(&mut world, restarted, 20 + u64::from(number));
     }
-    let (_, call) = world.sent(asked());
+    let (_, call) = world.first_call(asked());
     assert!(!matches!(call.task, Task::Decode(Prompt::Cached | Prompt::CachedAt(_))), "{call:?}");
 }
 
@@ -138,10 +138,10 @@
 fn restarted_engine_considered_full() {
     let mut world = world();
     put(&mut world, Engine { is_draining: true, ..plain_engine(2, 100) }, 21);
-    let (_, call) = world.sent(request("safe"));
-    world.call(call.call, CallEvent::Answered(turned_away()));
+    let (_, call) = world.first_call(request("safe"));
+    world.call(call.call, CallEvent::Answered(rejected()));
     put(&mut world, plain_engine(1, 200), 22);
-    let (_, call) = world.sent(request("safe"));
+    let (_, call) = world.first_call(request("safe"));
     assert_eq!(call.engine.started_at, Some(200));
 }
 
@@ -151,7 +151,7 @@
     let mut world = world();
     let mut request_keys = Vec::new();
     for at in [200, 300, 400] {
-        let (_, call) = world.sent(request("unsafe"));
+        let (_, call) = world.first_call(request("unsafe"));
         request_keys.push(call.request);
         world.call(call.call, CallEvent::Broken);
         world.event(Event::Probed(call.engine.key, Probe::Alive(Some(at))));
@@ -159,5 +159,5 @@
     }
     let (_, effects) = world.arrive(request("unsafe"));
     assert!(effects.iter().any(|it| matches!(it, Effect::Refuse(..))), "{effects:?}");
-    world.pass(Duration::from_millis(1));
+    world.advance(Duration::from_millis(1));
 }
--- a/tests/tests/gateway_peers.rs
+++ b/tests/tests/gateway_peers.rs
@@ -88,11 +88,11 @@
         world.event(Event::Received(heartbeat(number, 1)));
     }
     assert_eq!(world.gateway.fronts(None).len(), 4);
-    world.pass(Duration::from_millis(700));
+    world.advance(Duration::from_millis(700));
     for number in [3, 4] {
         world.event(Event::Received(heartbeat(number, 2)));
     }
-    world.pass(Duration::from_millis(1000));
+    world.advance(Duration::from_millis(1000));
     assert_eq!(
         world.gateway.fronts(None),
         [caller_address(1), caller_address(3), caller_address(4)]
@@ -115,7 +115,7 @@
     for number in [2, 3, 4, 5] {
         world.event(Event::Received(heartbeat(number, 1)));
     }
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     assert_eq!(world.gateway.fronts(None).len(), 5);
 }
 
@@ -149,8 +149,8 @@
     let loads = ["engine-21", "engine-22"].map(|it| (EngineKey::of(it), full));
     let message = Message { loads: loads.to_vec(), ..heartbeat(2, 1) };
     world.event(Event::Received(message));
-    world.pass(Duration::from_secs(2));
-    let (_, send) = world.sent(request("once"));
+    world.advance(Duration::from_secs(2));
+    let (_, send) = world.first_call(request("once"));
     assert_eq!(send.task, Task::Prefill);
 }
 
@@ -227,7 +227,7 @@
 fn plain_calls_sent_separately() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1)));
-    world.pass(Duration::from_millis(360));
+    world.advance(Duration::from_millis(360));
     for number in 1..=5 {
         let request = hollyspoke_tests::gateway::request("safe");
         let key = hollyspoke_gateway::request::RequestKey(100 + number);
--- a/tests/tests/gateway_promises.rs
+++ b/tests/tests/gateway_promises.rs
@@ -8,7 +8,7 @@
 use hollyspoke_gateway::effect::{Effect, Refusal, Send, Task};
 use hollyspoke_gateway::event::{Answer, CallEvent, Event, Execution};
 use hollyspoke_gateway::request::{CallKey, RequestKey};
-use hollyspoke_tests::gateway::{World, ran, read, request, turned_away};
+use hollyspoke_tests::gateway::{World, prefilled, ran, rejected, request};
 use proptest::prelude::*;
 
 /// A random step.
@@ -108,7 +108,7 @@
             }
             Step::Call(..) | Step::Disconnect(_) => {}
             Step::Wait(millis) => {
-                let effects = self.world.pass(Duration::from_millis(millis));
+                let effects = self.world.advance(Duration::from_millis(millis));
                 self.check_effects(effects);
             }
         }
@@ -120,9 +120,9 @@
         let moved = Answer { execution: Execution::Replaced, ..ran(421) };
         let event = match (outcome, forwarded_count, &send.task) {
             (CallOutcome::NotConnected, 0, _) => CallEvent::NotConnected,
-            (CallOutcome::Rejected, 0, _) => CallEvent::Answered(turned_away()),
+            (CallOutcome::Rejected, 0, _) => CallEvent::Answered(rejected()),
             (CallOutcome::Replaced, 0, _) => CallEvent::Answered(moved),
-            (CallOutcome::Succeeded, _, Task::Prefill) => CallEvent::Answered(read("h")),
+            (CallOutcome::Succeeded, _, Task::Prefill) => CallEvent::Answered(prefilled("h")),
             (CallOutcome::Failed, 0, _) => CallEvent::Answered(ran(500)),
             (CallOutcome::Succeeded, 0, Task::Decode(_)) => CallEvent::Began(ran(200)),
             (CallOutcome::Succeeded, 1..=2, Task::Decode(_)) => {
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::prompt::{CachedPrompt, PromptKey};
 use hollyspoke_gateway::request::{Request, RequestKey};
 use hollyspoke_tests::gateway::{
-    MEMORY, World, engines, heartbeat, only_send, ran, read, request, turned_away,
+    MEMORY, World, engines, heartbeat, only_send, prefilled, ran, rejected, request,
 };
 
 /// Returns a request with a named prompt.
@@ -34,8 +34,8 @@
 
 /// Begins a stream whose client disconnects; returns its prefill and decode calls.
 fn abandoned_stream(world: &mut World) -> (Send, Send) {
-    let (request_key, prefill_call) = world.sent(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let (request_key, prefill_call) = world.first_call(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     world.call(decode_call.call, CallEvent::Began(ran(200)));
     world.event(Event::ClientDisconnected(request_key));
     (prefill_call, decode_call)
@@ -51,7 +51,7 @@
 fn cached_prompt_unused() {
     let mut world = World::new();
     let (_, first) = abandoned_stream(&mut world);
-    let (_, again) = world.sent(resuming());
+    let (_, again) = world.first_call(resuming());
     assert_eq!(again.task, Task::Decode(Prompt::Cached));
     assert_eq!(again.engine.id, first.engine.id);
     assert_eq!(again.last_event, Some(4));
@@ -62,7 +62,7 @@
     for number in [21, 22] {
         let mut world = World::new();
         world.event(cached_prompt_announcement(1, numbered(number).key));
-        let (_, again) = world.sent(resuming());
+        let (_, again) = world.first_call(resuming());
         assert_eq!(again.task, Task::Decode(Prompt::Cached));
         assert_eq!(again.engine.id, numbered(number).id);
     }
@@ -72,8 +72,8 @@
 fn cache_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, prefill_call) = world.sent(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let (_, prefill_call) = world.first_call(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     let began = Event::Call(decode_call.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
     let cached = CachedPrompt { prompt: PromptKey(7), engine: decode_call.engine.key };
@@ -85,8 +85,8 @@
 fn full_cache_not_transferred() {
     let mut world = World::new();
     world.event(cached_prompt_announcement(1, numbered(21).key));
-    let (_, again) = world.sent(resuming());
-    let effects = world.call(again.call, CallEvent::Answered(turned_away()));
+    let (_, again) = world.first_call(resuming());
+    let effects = world.call(again.call, CallEvent::Answered(rejected()));
     let other = only_send(&effects);
     assert_eq!(other.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
     assert_eq!(other.engine.id, numbered(22).id);
@@ -101,7 +101,7 @@
     }
     world.event(Event::Listed(all, 20.into()));
     world.event(cached_prompt_announcement(1, numbered(21).key));
-    let (_, again) = world.sent(resuming());
+    let (_, again) = world.first_call(resuming());
     assert_eq!(again.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
 }
 
@@ -109,8 +109,8 @@
 #[test]
 fn prefill_cache_ignored() {
     let mut world = World::new();
-    let (_, prefill_call) = world.sent(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let (_, prefill_call) = world.first_call(request_with_prompt("resumed"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     world.call(decode_call.call, CallEvent::Began(ran(200)));
     let second = only_send(&world.call(decode_call.call, CallEvent::Broken));
     assert_eq!(second.task, Task::Decode(Prompt::CachedAt(prefill_call.engine.address)));
@@ -121,7 +121,7 @@
 fn unreachable_cache_awaited() {
     let mut world = World::new();
     world.event(cached_prompt_announcement(1, numbered(21).key));
-    let (_, again) = world.sent(resuming());
+    let (_, again) = world.first_call(resuming());
     let effects = world.call(again.call, CallEvent::NotConnected);
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
@@ -130,12 +130,12 @@
 fn stale_cache_used() {
     let mut world = World::new();
     world.event(cached_prompt_announcement(1, numbered(21).key));
-    world.pass(Duration::from_secs(13));
+    world.advance(Duration::from_secs(13));
     world.event(Event::Received(Message {
         cached_prompts: vec![CachedPrompt { prompt: PromptKey(8), engine: numbered(21).key }],
         ..heartbeat(2, 2, StoreView::default())
     }));
-    let (_, again) = world.sent(resuming());
+    let (_, again) = world.first_call(resuming());
     assert_eq!(again.task, Task::Prefill);
 }
 
@@ -145,8 +145,8 @@
     let mut world = World::new();
     world.event(cached_prompt_announcement(1, numbered(21).key));
     let large = Request { prompt_tokens: Some(MEMORY * 9 / 10), ..resuming() };
-    let (_, first) = world.sent(large.clone());
-    let (_, second) = world.sent(large);
+    let (_, first) = world.first_call(large.clone());
+    let (_, second) = world.first_call(large);
     assert_eq!(first.task, Task::Decode(Prompt::Cached));
     assert_eq!(second.task, Task::Decode(Prompt::CachedAt(numbered(21).address)));
     assert_eq!(world.gateway.in_flight_count(), 2);
--- a/tests/tests/gateway_reach.rs
+++ b/tests/tests/gateway_reach.rs
@@ -18,7 +18,7 @@
 fn first_engine_count(world: &mut World) -> usize {
     let mut count = 0;
     for _ in 0..8 {
-        let (_, send) = world.sent(request("safe"));
+        let (_, send) = world.first_call(request("safe"));
         count += usize::from(*send.engine.id == *"engine-1");
         world.call(send.call, CallEvent::Answered(ran(200)));
     }
@@ -48,7 +48,7 @@
     let mut world = World::new();
     world.event(unreachable_announcement(2, 1, &[1]));
     world.event(unreachable_announcement(3, 1, &[1]));
-    world.pass(Duration::from_millis(1600));
+    world.advance(Duration::from_millis(1600));
     assert!(first_engine_count(&mut world) > 0);
 }
 
@@ -58,14 +58,14 @@
     let mut world = World::new();
     world.event(unreachable_announcement(2, 1, &[1, 2]));
     world.event(unreachable_announcement(3, 1, &[1, 2]));
-    world.sent(request("safe"));
+    world.first_call(request("safe"));
 }
 
 #[test]
 fn failure_not_announced() {
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     let effects = world.gateway.step(world.now, Event::Call(send.call, CallEvent::NotConnected));
     let key = send.engine.key;
     let is_announced =
--- a/tests/tests/gateway_repeats.rs
+++ b/tests/tests/gateway_repeats.rs
@@ -13,15 +13,15 @@
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::fleet::{BOUND, Behaviour, Fleet};
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, configuration, engines, heartbeat, only_send, ran, request, settings,
-    turned_away,
+    MODEL, PLAIN, World, configuration, engines, heartbeat, only_send, ran, rejected, request,
+    settings,
 };
-use hollyspoke_tests::repeats::{Arrival, Asked, Records};
+use hollyspoke_tests::repeats::{Arrival, ClientRequest, Records};
 
 /// Fails a safe request at its first engine and answers it at the next, if there is one; returns
 /// whether the log says that it was sent to another one.
 fn logged_repeat(world: &mut World) -> Option<bool> {
-    let (_, first) = world.sent(request("safe"));
+    let (_, first) = world.first_call(request("safe"));
     let event = Event::Call(first.call, CallEvent::Answered(ran(500)));
     let effects = world.gateway.step(world.now, event);
     for effect in &effects {
@@ -45,10 +45,10 @@
 }
 
 /// The engines fail nearly all runs.
-const FAILING: Behaviour = Behaviour { turns_away: 0.0, fails: 0.95 };
+const FAILING: Behaviour = Behaviour { reject_share: 0.0, fail_share: 0.95 };
 
 /// The engines reject nearly all calls and fail the others.
-const REJECTING: Behaviour = Behaviour { turns_away: 0.95, fails: 1.0 };
+const REJECTING: Behaviour = Behaviour { reject_share: 0.95, fail_share: 1.0 };
 
 /// How long the engines misbehave: two windows of the bound.
 const TROUBLE_DURATION: Duration = Duration::from_secs(20);
@@ -69,7 +69,7 @@
         scenario(&mut fleet);
         for service in [PLAIN, MODEL] {
             let used = fleet.records.bound_used(service, &BOUND);
-            let (with_room, refused) = fleet.records.refused_with_room(service, &BOUND);
+            let (with_room, refused) = fleet.records.refused_with_capacity(service, &BOUND);
             let sent = fleet.records.repeat_count(service);
             let result = format!(
                 "{name}, {behaviour:?}, seed {seed}, {service}: {used:.3} of the bound used, {sent} \
@@ -147,19 +147,19 @@
 fn bound_exceeded_by_partition() {
     check_bound("all cut off", |fleet| {
         for number in 0..6 {
-            fleet.part([number], number);
+            fleet.partition([number], number);
         }
         fleet.run(TROUBLE_DURATION);
     });
     check_bound("all cut off and started", |fleet| {
         for number in 0..6 {
-            fleet.part([number], number);
+            fleet.partition([number], number);
         }
         fleet.restart(0..6);
         fleet.run(TROUBLE_DURATION);
     });
     check_bound("half cut off, one after the other started", |fleet| {
-        fleet.part(0..3, 1);
+        fleet.partition(0..3, 1);
         for number in 0..3 {
             fleet.restart([number]);
             fleet.run(Duration::from_secs(1));
@@ -174,7 +174,7 @@
 #[test]
 fn bound_exceeded_by_restarted_part() {
     check_bound("half cut off and started at once", |fleet| {
-        fleet.part(0..3, 1);
+        fleet.partition(0..3, 1);
         fleet.restart(0..3);
         let behaviour = std::mem::take(&mut fleet.behaviour);
         fleet.run(Duration::from_secs(20));
@@ -190,16 +190,16 @@
     let held = Duration::from_secs(1);
     check_bound("calls held up at the start", |fleet| {
         for number in 0..6 {
-            fleet.hold_calls(number, held);
+            fleet.delay_calls(number, held);
         }
         fleet.run(TROUBLE_DURATION);
     });
     check_bound("calls held up later, while boxes are paused", |fleet| {
         fleet.run(Duration::from_secs(9));
         for number in 0..6 {
-            fleet.hold_calls(number, held);
+            fleet.delay_calls(number, held);
             fleet.run(Duration::from_millis(100));
-            fleet.hold(number, held);
+            fleet.pause(number, held);
         }
         fleet.run(TROUBLE_DURATION);
     });
@@ -217,20 +217,20 @@
     world.event(Event::Listed(engines(), 10.into()));
     let mut records = Records::default();
     for number in 0..80 {
-        world.pass(Duration::from_millis(250));
+        world.advance(Duration::from_millis(250));
         world.event(cached_prompt_announcement(number));
         let request = Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-        records.asked.push(Asked { service: MODEL, at: world.now });
+        records.requests.push(ClientRequest { service: MODEL, at: world.now });
         let (request_key, mut effects) = world.arrive(request);
         while effects.iter().any(|it| matches!(it, Effect::Send(_))) {
             records.arrivals.push(Arrival {
                 service: MODEL,
-                flight: (0, 0, request_key.0),
+                request: (0, 0, request_key.0),
                 at: world.now,
-                is_free: false,
+                is_accepted_prefill: false,
             });
             let send = only_send(&effects);
-            let answer = if send.task == Task::Prefill { turned_away() } else { ran(500) };
+            let answer = if send.task == Task::Prefill { rejected() } else { ran(500) };
             effects = world.call(send.call, CallEvent::Answered(answer));
         }
     }
--- a/tests/tests/gateway_rest.rs
+++ b/tests/tests/gateway_rest.rs
@@ -17,12 +17,14 @@
 use hollyspoke_gateway::terms::Restriction;
 use hollyspoke_tests::fleet::Fleet;
 use hollyspoke_tests::gateway::{
-    MODEL, PLAIN, World, engine, engines, only_refusal, only_send, ran, read, request, turned_away,
+    MODEL, PLAIN, World, engine, engines, only_refusal, only_send, prefilled, ran, rejected,
+    request,
 };
-use hollyspoke_tests::terms::{MOST_WHILE_RESTING, Rests};
+use hollyspoke_tests::statements::{BackOffs, MAX_DURING_BACK_OFF};
 
 /// A back-off during three seconds of each six.
-const ALTERNATING: Rests = Rests { span: Duration::from_secs(3), every: Duration::from_secs(6) };
+const ALTERNATING: BackOffs =
+    BackOffs { duration: Duration::from_secs(3), period: Duration::from_secs(6) };
 
 /// The ratio by which a box may lengthen a back-off.
 const MAX_DELAY_RATIO: f64 = 1.2;
@@ -34,12 +36,12 @@
 fn back_off_ignored() {
     let mut fleet = Fleet::settled(6, 1);
     let backing_off = fleet.engines_of(PLAIN)[0];
-    fleet.rest([backing_off], Some(ALTERNATING));
+    fleet.back_off([backing_off], Some(ALTERNATING));
     fleet.run(Duration::from_secs(18));
-    let max_while_backing_off = fleet.terms.most_while_resting();
-    assert!(fleet.terms.rest_count() > 0);
+    let max_while_backing_off = fleet.statements.max_during_back_off();
+    assert!(fleet.statements.back_off_count() > 0);
     assert!(
-        max_while_backing_off <= MOST_WHILE_RESTING,
+        max_while_backing_off <= MAX_DURING_BACK_OFF,
         "{max_while_backing_off} from one box during a back-off"
     );
 }
@@ -50,11 +52,11 @@
     for (service, seed) in [(PLAIN, 2), (MODEL, 3)] {
         let mut fleet = Fleet::settled(6, seed);
         let backing_off = fleet.engines_of(service);
-        fleet.rest(backing_off, Some(ALTERNATING));
+        fleet.back_off(backing_off, Some(ALTERNATING));
         fleet.run(Duration::from_secs(18));
-        let max_while_backing_off = fleet.terms.most_while_resting();
+        let max_while_backing_off = fleet.statements.max_during_back_off();
         assert!(
-            max_while_backing_off <= MOST_WHILE_RESTING,
+            max_while_backing_off <= MAX_DURING_BACK_OFF,
             "{max_while_backing_off} of {service} from one box while all back off"
         );
     }
@@ -65,11 +67,11 @@
 fn engine_unused_after_backoff() {
     let mut fleet = Fleet::settled(6, 4);
     let backing_off = fleet.engines_of(PLAIN)[0];
-    fleet.rest([backing_off], Some(Rests { span: SECOND * 3, every: SECOND * 600 }));
+    fleet.back_off([backing_off], Some(BackOffs { duration: SECOND * 3, period: SECOND * 600 }));
     fleet.run(Duration::from_secs(5));
     let from = fleet.now();
     fleet.run(Duration::from_secs(10));
-    let got = fleet.terms.got(backing_off, from, fleet.now());
+    let got = fleet.statements.arrivals_between(backing_off, from, fleet.now());
     // A third of 41 a second, less what chance takes.
     assert!(got >= 80, "{got} in 10 s");
 }
@@ -78,18 +80,18 @@
 #[test]
 fn back_off_lost() {
     let mut fleet = Fleet::settled(6, 5);
-    fleet.rest(fleet.engines_of(PLAIN), Some(ALTERNATING));
+    fleet.back_off(fleet.engines_of(PLAIN), Some(ALTERNATING));
     fleet.lost = 0.3;
     for number in 0..6 {
         fleet.restart([number]);
-        fleet.part([(number + 2) % 6], 1);
+        fleet.partition([(number + 2) % 6], 1);
         fleet.run(Duration::from_secs(2));
-        fleet.part(0..6, 0);
+        fleet.partition(0..6, 0);
         fleet.run(Duration::from_secs(1));
     }
-    let max_while_backing_off = fleet.terms.most_while_resting();
+    let max_while_backing_off = fleet.statements.max_during_back_off();
     assert!(
-        max_while_backing_off <= MOST_WHILE_RESTING,
+        max_while_backing_off <= MAX_DURING_BACK_OFF,
         "{max_while_backing_off} from one box during a back-off"
     );
 }
@@ -99,11 +101,11 @@
 fn rejecting_engine_flooded() {
     let mut fleet = Fleet::settled(6, 6);
     let backing_off = fleet.engines_of(PLAIN)[0];
-    fleet.rest([backing_off], Some(Rests { span: SECOND * 600, every: SECOND * 600 }));
-    fleet.terms.says_at_most(SECOND);
+    fleet.back_off([backing_off], Some(BackOffs { duration: SECOND * 600, period: SECOND * 600 }));
+    fleet.statements.set_max_back_off(SECOND);
     let from = fleet.now();
     fleet.run(Duration::from_secs(20));
-    let got = fleet.terms.got(backing_off, from, fleet.now());
+    let got = fleet.statements.arrivals_between(backing_off, from, fleet.now());
     // Each of six boxes tries once a second, a little later at random.
     assert!((60..=130).contains(&got), "{got} in 20 s");
 }
@@ -115,7 +117,7 @@
 
 /// Returns a rejection that asks for a back-off.
 fn rejected_for(duration: Duration) -> Answer {
-    Answer { statement: back_off_statement(duration), ..turned_away() }
+    Answer { statement: back_off_statement(duration), ..rejected() }
 }
 
 /// Sends plain requests, each answered at once; returns the engines that they were sent to.
@@ -167,7 +169,7 @@
     for answer in kinds {
         for route in ["safe", "resumed"] {
             let mut world = World::new();
-            let (_, send) = world.sent(request(route));
+            let (_, send) = world.first_call(request(route));
             world.call(send.call, CallEvent::Answered(answer.clone()));
             for number in 0..8 {
                 let id = format!("request-{number}");
@@ -182,7 +184,7 @@
         Answer { execution: Execution::Replaced, ..rejected_for(duration) },
     );
     world.event(Event::Listed(vec![first(None), engine(2, PLAIN, None)], 21.into()));
-    let (_, send) = world.sent(request("safe"));
+    let (_, send) = world.first_call(request("safe"));
     world.call(send.call, CallEvent::Answered(moved));
     let return_time =
         EngineChange::Put(Engine { started_at: Some(9), ..(*send.engine).clone() }, 22.into());
@@ -204,9 +206,9 @@
     }
     let mut world = world_with_first_engine(None);
     assert!(is_unused_after(&mut world, back_off_statement(Duration::MAX)));
-    world.pass(MAX_DURATION - SECOND);
+    world.advance(MAX_DURATION - SECOND);
     assert!(plain_serving_engines(&mut world).is_empty());
-    world.pass(MAX_DURATION.mul_f64(MAX_DELAY_RATIO - 1.0) + SECOND);
+    world.advance(MAX_DURATION.mul_f64(MAX_DELAY_RATIO - 1.0) + SECOND);
     assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
@@ -217,11 +219,11 @@
     let mut world = world_with_first_engine(None);
     assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
     assert!(is_unused_after(&mut world, back_off_statement(SECOND)));
-    world.pass(Duration::from_millis(2900));
+    world.advance(Duration::from_millis(2900));
     assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
-    world.pass(Duration::from_millis(2900));
+    world.advance(Duration::from_millis(2900));
     assert!(plain_serving_engines(&mut world).is_empty());
-    world.pass(SECOND);
+    world.advance(SECOND);
     assert!(!plain_serving_engines(&mut world).is_empty());
 }
 
@@ -235,7 +237,7 @@
     };
     for (start, revision) in [(100, 21), (50, 22)] {
         world.event(put(start, revision));
-        world.pass(SECOND);
+        world.advance(SECOND);
         assert!(plain_serving_engines(&mut world).is_empty(), "{start}");
     }
     world.event(put(200, 23));
@@ -250,7 +252,7 @@
 fn returning_engine_flooded() {
     let mut world = world_with_first_engine(None);
     assert!(is_unused_after(&mut world, back_off_statement(SECOND * 3)));
-    world.pass(Duration::from_millis(3600));
+    world.advance(Duration::from_millis(3600));
     let mut sent = calls_of_arrivals(&mut world, 4);
     assert_eq!(sent.len(), 1);
     for allowed in [2, 4, 8] {
@@ -262,7 +264,7 @@
         assert_eq!(next.len(), allowed);
         sent = next;
     }
-    world.call(sent[0].call, CallEvent::Answered(turned_away()));
+    world.call(sent[0].call, CallEvent::Answered(rejected()));
     for send in &sent[1..] {
         world.event(Event::ClientDisconnected(send.request));
     }
@@ -296,7 +298,7 @@
         world.event(Event::Statement(first(None).key, back_off_statement(SECOND * 3)));
         let begun = world.now;
         loop {
-            world.pass(Duration::from_millis(5));
+            world.advance(Duration::from_millis(5));
             let (request_key, effects) = world.arrive(request("safe"));
             if !calls_in(&effects).is_empty() {
                 return world.now.since(begun);
@@ -321,7 +323,7 @@
     world.event(Event::Statement(first(None).key, back_off_statement(Duration::from_millis(100))));
     let (request_key, effects) = world.arrive(request("safe"));
     assert!(effects.is_empty(), "{effects:?}");
-    let effects = world.pass(Duration::from_millis(150));
+    let effects = world.advance(Duration::from_millis(150));
     assert_eq!(only_send(&effects).request, request_key);
     let mut world = world_with_first_engine(None);
     world.event(Event::Statement(first(None).key, back_off_statement(SECOND * 5)));
@@ -349,10 +351,10 @@
 #[test]
 fn back_off_uses_retry() {
     let mut world = World::new();
-    world.pass(SECOND * 10);
+    world.advance(SECOND * 10);
     let backing_off = engine(1, PLAIN, None).key;
     world.event(Event::Statement(backing_off, back_off_statement(SECOND * 60)));
-    let (_, send) = world.sent(request("unsafe"));
+    let (_, send) = world.first_call(request("unsafe"));
     assert_ne!(send.engine.key, backing_off);
     let event = Event::Call(send.call, CallEvent::Answered(rejected_for(SECOND * 60)));
     let effects = world.gateway.step(world.now, event);
@@ -379,10 +381,10 @@
 fn prompt_sent_during_backoff() {
     let mut world = World::new();
     let new_request = || Request { prompt: Some(PromptKey(7)), ..request("resumed") };
-    let (request_key, running) = world.streaming(new_request());
-    let (_, prefill_call) = world.sent(Request { id: "second".into(), ..request("resumed") });
+    let (request_key, running) = world.begin_stream(new_request());
+    let (_, prefill_call) = world.first_call(Request { id: "second".into(), ..request("resumed") });
     world.event(Event::Statement(running.engine.key, back_off_statement(SECOND * 3)));
-    let effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     assert_ne!(only_send(&effects).engine.key, running.engine.key);
     let effects = world.call(running.call, CallEvent::Forwarded(Some(1)));
     assert!(effects.is_empty(), "{effects:?}");
@@ -397,12 +399,12 @@
 #[test]
 fn backing_off_engine_queried() {
     let mut world = World::new();
-    let (request_key, prefill_call) = world.sent(request("once"));
-    let (_, send) = world.sent(request("unsafe"));
+    let (request_key, prefill_call) = world.first_call(request("once"));
+    let (_, send) = world.first_call(request("unsafe"));
     for engine in engines() {
         world.event(Event::Statement(engine.key, back_off_statement(SECOND * 60)));
     }
-    let mut effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    let mut effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     effects.extend(world.event(Event::ClientDisconnected(request_key)));
     effects.extend(world.gateway.step(world.now, Event::Call(send.call, CallEvent::Broken)));
     for _ in 0..20 {
@@ -430,9 +432,9 @@
         first(None).key,
         Statement { limit, ..back_off_statement(SECOND * 3) },
     ));
-    world.pass(SECOND * 2);
+    world.advance(SECOND * 2);
     assert!(plain_serving_engines(&mut world).is_empty(), "during the back-off");
-    world.pass(SECOND * 4);
+    world.advance(SECOND * 4);
     let answer = Answer { statement: Statement { limit, ..Statement::default() }, ..ran(200) };
     let mut sent = 0;
     for _ in 0..12 {
@@ -445,7 +447,7 @@
     let is_leaving = true;
     world
         .event(Event::Statement(first(None).key, Statement { is_leaving, ..Statement::default() }));
-    world.pass(SECOND * 60);
+    world.advance(SECOND * 60);
     assert!(plain_serving_engines(&mut world).is_empty(), "once it is shutting down");
 }
 
@@ -458,9 +460,9 @@
     let statement = Statement { is_leaving, ..back_off_statement(Duration::from_millis(500)) };
     world.event(Event::Statement(first(None).key, statement));
     assert!(plain_serving_engines(&mut world).is_empty());
-    world.pass(Duration::from_millis(800));
+    world.advance(Duration::from_millis(800));
     assert!(!plain_serving_engines(&mut world).is_empty());
-    world.pass(Duration::from_millis(300));
+    world.advance(Duration::from_millis(300));
     assert!(plain_serving_engines(&mut world).is_empty());
 }
 
@@ -483,9 +485,9 @@
         (21..=23).chain(11..=12).map(|it| engine(it, MODEL, Some(engine_stage(it)))).collect(),
         20.into(),
     ));
-    world.pass(SECOND * 10);
-    let (_, prefill_call) = world.sent(request("resumed"));
-    let mut effects = world.call(prefill_call.call, CallEvent::Answered(read("h")));
+    world.advance(SECOND * 10);
+    let (_, prefill_call) = world.first_call(request("resumed"));
+    let mut effects = world.call(prefill_call.call, CallEvent::Answered(prefilled("h")));
     for _ in 0..2 {
         let send = only_send(&effects);
         assert!(matches!(send.task, Task::Decode(Prompt::Prefilled(_))), "{:?}", send.task);
@@ -503,8 +505,8 @@
 #[test]
 fn prefill_abandoned_after_backoff() {
     let mut world = World::new();
-    world.pass(SECOND * 10);
-    let (_, first) = world.sent(request("resumed"));
+    world.advance(SECOND * 10);
+    let (_, first) = world.first_call(request("resumed"));
     let effects = world.call(first.call, CallEvent::Answered(rejected_for(SECOND)));
     let second = only_send(&effects);
     assert_eq!(second.task, Task::Prefill);
--- a/tests/tests/gateway_rewrite.rs
+++ b/tests/tests/gateway_rewrite.rs
@@ -9,7 +9,7 @@
 
 /// A request that crashes engines.
 const HARMFUL: Harmful =
-    Harmful { route: "resumed", every: Duration::from_millis(500), when_read: false };
+    Harmful { route: "resumed", every: Duration::from_millis(500), crashes_on_prefill: false };
 
 /// Returns boxes that quarantine a harmful request, and a copy of the store from before.
 fn fleet_with_quarantine(boxes: usize) -> (Fleet, Store) {
@@ -29,14 +29,14 @@
 fn quarantine_lost_after_restore() {
     let (mut fleet, old_store) = fleet_with_quarantine(6);
     let known = fleet.store.value(CASES, "requests").map(str::to_owned);
-    let caused = fleet.crashes.caused.len();
+    let caused = fleet.crashes.harmful_crashes.len();
     fleet.store.restore(&old_store);
     assert_ne!(fleet.store.value(CASES, "requests"), known.as_deref());
     fleet.run(Duration::from_secs(3));
     assert_eq!(fleet.store.value(CASES, "requests"), known.as_deref());
     fleet.restart(0..6);
     fleet.run(Duration::from_secs(20));
-    assert_eq!(fleet.crashes.caused.len(), caused);
+    assert_eq!(fleet.crashes.harmful_crashes.len(), caused);
 }
 
 /// The number of live boxes was missing after the restore.
--- a/tests/tests/gateway_shares.rs
+++ b/tests/tests/gateway_shares.rs
@@ -124,13 +124,13 @@
 fn isolated_box_overspends() {
     let settled = |seeds: &[u8], boxes| {
         let mut world = isolated_world(seeds, boxes);
-        world.pass(Duration::from_secs(2));
+        world.advance(Duration::from_secs(2));
         world
     };
     let wait = over_limit(&mut settled(&[2, 3], None));
     assert_eq!(wait, Duration::from_secs(10));
-    settled(&[], None).sent(request_with_key());
-    settled(&[2, 3], Some(1)).sent(request_with_key());
+    settled(&[], None).first_call(request_with_key());
+    settled(&[2, 3], Some(1)).first_call(request_with_key());
 }
 
 /// A box that has just started receives heartbeats within some tenths of a second: clients that it
@@ -138,10 +138,10 @@
 #[test]
 fn early_retry_delayed() {
     let mut world = isolated_world(&[2, 3], None);
-    world.pass(Duration::from_millis(50));
+    world.advance(Duration::from_millis(50));
     let wait = over_limit(&mut world);
     assert!((250..=400).contains(&wait.as_millis()), "{wait:?}");
     world.event(Event::Received(heartbeat_with_count(2, 1, 2)));
-    world.pass(Duration::from_millis(300));
-    world.sent(request_with_key());
+    world.advance(Duration::from_millis(300));
+    world.first_call(request_with_key());
 }
--- a/tests/tests/gateway_streams.rs
+++ b/tests/tests/gateway_streams.rs
@@ -7,7 +7,7 @@
 use hollyspoke_gateway::event::{CallEvent, Event};
 use hollyspoke_gateway::request::Request;
 use hollyspoke_tests::gateway::{
-    MEMORY, MODEL, World, engine, only_refusal, only_send, ran, read, request, turned_away,
+    MEMORY, MODEL, World, engine, only_refusal, only_send, prefilled, ran, rejected, request,
 };
 
 /// Returns a request that fills an engine's memory.
@@ -18,7 +18,7 @@
 #[test]
 fn stream_not_completed() {
     let mut world = World::new();
-    let (request_key, decode_call) = world.streaming(request("once"));
+    let (request_key, decode_call) = world.begin_stream(request("once"));
     let Task::Decode(Prompt::Prefilled(source)) = &decode_call.task else {
         panic!("{decode_call:?}")
     };
@@ -33,8 +33,8 @@
 #[test]
 fn useless_prefill() {
     let mut world = World::new();
-    world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     let (_, effects) = world.arrive(request("once"));
     assert_eq!(effects, []);
 }
@@ -43,10 +43,10 @@
 #[test]
 fn overload_refusal_late() {
     let mut world = World::new();
-    world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     world.arrive(request("once"));
-    let effects = world.pass(Duration::from_millis(225));
+    let effects = world.advance(Duration::from_millis(225));
     let Refusal::NotRun(_, reason, retry) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::Overloaded);
     assert!(retry >= Duration::from_millis(400), "{retry:?}");
@@ -55,8 +55,8 @@
 #[test]
 fn freed_capacity_unused() {
     let mut world = World::new();
-    let (_, first) = world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    let (_, first) = world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     world.arrive(request("once"));
     let effects = world.call(first.call, CallEvent::Answered(ran(200)));
     assert_eq!(only_send(&effects).task, Task::Prefill);
@@ -72,11 +72,11 @@
 #[test]
 fn returning_request_waits_longer() {
     let mut world = World::new();
-    world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     world.arrive(returning_request("once"));
-    assert_eq!(world.pass(Duration::from_millis(190)), []);
-    let effects = world.pass(Duration::from_millis(10));
+    assert_eq!(world.advance(Duration::from_millis(190)), []);
+    let effects = world.advance(Duration::from_millis(10));
     let Refusal::NotRun(_, reason, _) = only_refusal(&effects) else { panic!("{effects:?}") };
     assert_eq!(reason, NotRunReason::Overloaded);
 }
@@ -85,8 +85,8 @@
 #[test]
 fn returning_request_delayed() {
     let mut world = World::new();
-    let (_, full) = world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    let (_, full) = world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     world.arrive(filling_request("once"));
     let (key, _) =
         world.arrive(Request { prompt_tokens: Some(MEMORY * 9 / 10), ..returning_request("once") });
@@ -98,13 +98,13 @@
 #[test]
 fn rejected_prompt_dropped() {
     let mut world = World::new();
-    let (_, prefill_call) = world.sent(request("once"));
-    let first = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
-    let effects = world.call(first.call, CallEvent::Answered(turned_away()));
+    let (_, prefill_call) = world.first_call(request("once"));
+    let first = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let effects = world.call(first.call, CallEvent::Answered(rejected()));
     let second = only_send(&effects);
     assert_eq!(second.task, first.task);
     assert_ne!(second.engine.id, first.engine.id);
-    let effects = world.call(second.call, CallEvent::Answered(turned_away()));
+    let effects = world.call(second.call, CallEvent::Answered(rejected()));
     assert!(effects.iter().any(|it| matches!(it, Effect::Free(_))));
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn long_prompt_refused() {
     let mut world = World::new();
-    let (_, send) = world.sent(filling_request("once"));
+    let (_, send) = world.first_call(filling_request("once"));
     assert_eq!(send.task, Task::Prefill);
 }
 
@@ -120,7 +120,7 @@
 fn prefill_failure_fatal() {
     for event in [CallEvent::Broken, CallEvent::Answered(ran(500))] {
         let mut world = World::new();
-        let (_, prefill_call) = world.sent(request("once"));
+        let (_, prefill_call) = world.first_call(request("once"));
         let effects = world.call(prefill_call.call, event);
         assert_eq!(only_send(&effects).task, Task::Decode(Prompt::NotPrefilled));
     }
@@ -129,7 +129,7 @@
 #[test]
 fn resumable_stream_lost() {
     let mut world = World::new();
-    let (request_key, first) = world.streaming(request("resumed"));
+    let (request_key, first) = world.begin_stream(request("resumed"));
     world.call(first.call, CallEvent::Forwarded(Some(4)));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     assert_eq!(second.last_event, Some(4));
@@ -144,7 +144,7 @@
 #[test]
 fn broken_stream_resumed() {
     let mut world = World::new();
-    let (request_key, first) = world.streaming(request("once"));
+    let (request_key, first) = world.begin_stream(request("once"));
     world.call(first.call, CallEvent::Forwarded(Some(4)));
     assert_eq!(world.call(first.call, CallEvent::Broken), [Effect::Abort(request_key)]);
 }
@@ -152,7 +152,7 @@
 #[test]
 fn attempt_limit_exceeded() {
     let mut world = World::new();
-    let (request_key, first) = world.streaming(request("resumed"));
+    let (request_key, first) = world.begin_stream(request("resumed"));
     let second = only_send(&world.call(first.call, CallEvent::Broken));
     world.call(second.call, CallEvent::Began(ran(200)));
     assert_eq!(world.call(second.call, CallEvent::Broken), [Effect::Abort(request_key)]);
@@ -161,9 +161,9 @@
 #[test]
 fn stalled_stream_kept() {
     let mut world = World::new();
-    let (_, first) = world.streaming(request("resumed"));
+    let (_, first) = world.begin_stream(request("resumed"));
     world.call(first.call, CallEvent::Forwarded(Some(1)));
-    let effects = world.pass(Duration::from_millis(1500));
+    let effects = world.advance(Duration::from_millis(1500));
     assert!(effects.contains(&Effect::Cancel(first.call)));
     assert_eq!(only_send(&effects).last_event, Some(1));
 }
@@ -171,16 +171,16 @@
 #[test]
 fn stalled_stream_cut() {
     let mut world = World::new();
-    let (_, first) = world.streaming(request("once"));
+    let (_, first) = world.begin_stream(request("once"));
     world.call(first.call, CallEvent::Forwarded(Some(1)));
-    assert_eq!(world.pass(Duration::from_secs(10)), []);
+    assert_eq!(world.advance(Duration::from_secs(10)), []);
 }
 
 #[test]
 fn abandoned_prompt_kept() {
     let mut world = World::new();
-    let (request_key, prefill_call) = world.sent(request("once"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(read("h"))));
+    let (request_key, prefill_call) = world.first_call(request("once"));
+    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     let effects = world.event(Event::ClientDisconnected(request_key));
     assert_eq!(effects[0], Effect::Cancel(decode_call.call));
     assert!(matches!(effects[1], Effect::Free(_)));
@@ -189,10 +189,10 @@
 #[test]
 fn abandoned_capacity_kept() {
     let mut world = World::new();
-    let (first, _) = world.streaming(filling_request("once"));
-    world.streaming(filling_request("once"));
+    let (first, _) = world.begin_stream(filling_request("once"));
+    world.begin_stream(filling_request("once"));
     world.event(Event::ClientDisconnected(first));
-    let (_, send) = world.sent(request("once"));
+    let (_, send) = world.first_call(request("once"));
     assert_eq!(send.task, Task::Prefill);
 }
 
@@ -202,7 +202,7 @@
     let mut world = World::new();
     let decoders = vec![engine(21, MODEL, Some(Stage::Decode))];
     world.event(Event::Listed(decoders, 20.into()));
-    let (_, send) = world.sent(request("once"));
+    let (_, send) = world.first_call(request("once"));
     assert_eq!(send.task, Task::Decode(Prompt::NotPrefilled));
 }
 
@@ -211,7 +211,7 @@
     let mut world = World::new();
     let mut direct_decode_count = 0;
     for _ in 0..12 {
-        let (_, send) = world.sent(request("once"));
+        let (_, send) = world.first_call(request("once"));
         direct_decode_count += u32::from(send.task == Task::Decode(Prompt::NotPrefilled));
     }
     assert!(direct_decode_count > 0, "some prompts are prefilled by decode engines");
--- a/tests/tests/gateway_survey.rs
+++ b/tests/tests/gateway_survey.rs
@@ -102,9 +102,9 @@
     world.event(Event::Listed(engines(), 10.into()));
     let (_, effects) = world.arrive(resuming());
     assert_eq!(effects, []);
-    world.pass(Duration::from_millis(200));
+    world.advance(Duration::from_millis(200));
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
-    let effects = world.pass(Duration::from_millis(420));
+    let effects = world.advance(Duration::from_millis(420));
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
@@ -129,7 +129,7 @@
     let mut world = World::new();
     let (_, effects) = world.arrive(resuming());
     assert_eq!(effects, []);
-    world.pass(Duration::from_millis(120));
+    world.advance(Duration::from_millis(120));
     let caching_engine = EngineKey::of("engine-22");
     let effects =
         world.event(Event::CachedPrompts(caching_engine, vec![PromptKey(9), PromptKey(7)]));
@@ -142,16 +142,16 @@
 fn resumed_request_waits_forever() {
     let mut world = World::new();
     world.arrive(resuming());
-    let effects = world.pass(Duration::from_millis(360));
+    let effects = world.advance(Duration::from_millis(360));
     assert_eq!(only_send(&effects).task, Task::Prefill);
 }
 
 #[test]
 fn unrelated_request_waits() {
     let mut world = World::new();
-    let (_, send) = world.sent(request("resumed"));
+    let (_, send) = world.first_call(request("resumed"));
     assert_eq!(send.task, Task::Prefill);
-    world.pass(Duration::from_secs(1));
-    let (_, send) = world.sent(resuming());
+    world.advance(Duration::from_secs(1));
+    let (_, send) = world.first_call(resuming());
     assert_eq!(send.task, Task::Prefill);
 }
