--- a/tests/tests/formats.rs
+++ b/tests/tests/formats.rs
@@ -113,7 +113,10 @@
 #[test]
 fn handovers_without_eras_are_read() {
     let asked = read_request(&recorded("question-numbered")).expect("it is read");
-    assert_eq!(asked, ReceivedSnapshotRequest { request: snapshot_request(), format: Format::Handovers });
+    assert_eq!(
+        asked,
+        ReceivedSnapshotRequest { request: snapshot_request(), format: Format::Handovers }
+    );
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let bytes = recorded("snapshot-numbered");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
@@ -134,7 +137,10 @@
 #[test]
 fn old_boxes_hand_over_and_get() {
     let asked = read_request(&recorded("question")).expect("it is read");
-    assert_eq!(asked, ReceivedSnapshotRequest { request: snapshot_request(), format: Format::First });
+    assert_eq!(
+        asked,
+        ReceivedSnapshotRequest { request: snapshot_request(), format: Format::First }
+    );
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     assert_eq!(write_snapshot(&told, asked.format).expect("it is written"), recorded("snapshot"));
     assert_eq!(read_snapshot(&recorded("changes")).expect("it is read"), changes());
@@ -149,7 +155,10 @@
 fn new_boxes_hand_over_all() {
     let bytes = write_request(&snapshot_request(), Format::Handovers).expect("it is written");
     let asked = read_request(&bytes).expect("it is read");
-    assert_eq!(asked, ReceivedSnapshotRequest { request: snapshot_request(), format: Format::Handovers });
+    assert_eq!(
+        asked,
+        ReceivedSnapshotRequest { request: snapshot_request(), format: Format::Handovers }
+    );
     let told = Snapshot { departures: extension().departures, ..snapshot() };
     let mut bytes = write_snapshot(&told, asked.format).expect("it is written");
     assert_eq!(read_snapshot(&bytes).expect("it is read"), told);
--- a/tests/tests/gateway_full.rs
+++ b/tests/tests/gateway_full.rs
@@ -45,7 +45,8 @@
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
     let (_, prefill_call) = world.first_call(sized(5000));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let decode_call =
+        only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     let refused = Event::Call(decode_call.call, CallEvent::Answered(rejected()));
     let effects = world.gateway.step(world.now, refused);
     let is_announced = effects.iter().any(|it| match it {
--- a/tests/tests/gateway_leaving.rs
+++ b/tests/tests/gateway_leaving.rs
@@ -56,8 +56,8 @@
         fleet.drain(shutdown_statement.clone());
         let from = fleet.now();
         fleet.run(DRAIN / 2);
-        let got: usize =
-            shutdown_statement.iter()
+        let got: usize = shutdown_statement
+            .iter()
             .map(|it| fleet.statements.arrivals_between(*it, from, fleet.now()))
             .sum();
         assert!(got >= 12, "{got} requests in the first second of {service}");
@@ -228,11 +228,11 @@
         ("safe", CallEvent::Answered(ran_during_shutdown(500))),
         ("safe", CallEvent::Answered(Answer { statement: shutdown_statement(), ..rejected() })),
         ("safe", CallEvent::Answered(ran_during_shutdown(503))),
-        ("resumed", CallEvent::Answered(Answer { statement: shutdown_statement(), ..prefilled("h") })),
         (
             "resumed",
-            CallEvent::Answered(Answer { statement: shutdown_statement(), ..rejected() }),
+            CallEvent::Answered(Answer { statement: shutdown_statement(), ..prefilled("h") }),
         ),
+        ("resumed", CallEvent::Answered(Answer { statement: shutdown_statement(), ..rejected() })),
     ];
     for (route, event) in kinds {
         let mut world = World::new();
--- a/tests/tests/gateway_prompts.rs
+++ b/tests/tests/gateway_prompts.rs
@@ -35,7 +35,8 @@
 /// Begins a stream whose client disconnects; returns its prefill and decode calls.
 fn abandoned_stream(world: &mut World) -> (Send, Send) {
     let (request_key, prefill_call) = world.first_call(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let decode_call =
+        only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     world.call(decode_call.call, CallEvent::Began(ran(200)));
     world.event(Event::ClientDisconnected(request_key));
     (prefill_call, decode_call)
@@ -73,7 +74,8 @@
     let mut world = World::new();
     world.event(Event::Received(heartbeat(2, 1, StoreView::default())));
     let (_, prefill_call) = world.first_call(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let decode_call =
+        only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     let began = Event::Call(decode_call.call, CallEvent::Began(ran(200)));
     let effects = world.gateway.step(world.now, began);
     let cached = CachedPrompt { prompt: PromptKey(7), engine: decode_call.engine.key };
@@ -110,7 +112,8 @@
 fn prefill_cache_ignored() {
     let mut world = World::new();
     let (_, prefill_call) = world.first_call(request_with_prompt("resumed"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let decode_call =
+        only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     world.call(decode_call.call, CallEvent::Began(ran(200)));
     let second = only_send(&world.call(decode_call.call, CallEvent::Broken));
     assert_eq!(second.task, Task::Decode(Prompt::CachedAt(prefill_call.engine.address)));
--- a/tests/tests/gateway_streams.rs
+++ b/tests/tests/gateway_streams.rs
@@ -180,7 +180,8 @@
 fn abandoned_prompt_kept() {
     let mut world = World::new();
     let (request_key, prefill_call) = world.first_call(request("once"));
-    let decode_call = only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
+    let decode_call =
+        only_send(&world.call(prefill_call.call, CallEvent::Answered(prefilled("h"))));
     let effects = world.event(Event::ClientDisconnected(request_key));
     assert_eq!(effects[0], Effect::Cancel(decode_call.call));
     assert!(matches!(effects[1], Effect::Free(_)));
