--- a/crates/hollyspoke-server/src/http1.rs
+++ b/crates/hollyspoke-server/src/http1.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a server.
+//! A client connection over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Why a request got no answer.
+/// The reason why a request got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     Unsent,
-    /// It was sent, or may have been.
+    /// The request was sent, or may have been.
     Broken,
 }
 
-/// A connection; it is closed when dropped.
+/// A connection that is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests.
+    /// Sends requests to the connection's task.
     sender: SendRequest<Full<Bytes>>,
-    /// The task that moves bytes.
+    /// The task that reads from and writes to the socket.
     task: AbortHandle,
 }
 
@@ -36,26 +36,26 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection to a server.
     ///
     /// # Errors
     ///
-    /// [`Failure::Unsent`] if it does not open in time.
+    /// [`Failure::Unsent`] if the connection does not open within the timeout.
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, Failure> {
         let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else { return Err(Failure::Unsent) };
-        // Without it small requests wait; the connection works all the same.
+        // If this fails, small requests are delayed but the connection still works.
         _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| Failure::Unsent)?;
         let task = tokio::task::spawn_local(async move {
-            // An error reaches whoever waits for the answer.
+            // `send` and the body of the answer return the error.
             _ = connection.await;
         });
         Ok(Connection { sender, task: task.abort_handle() })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads a whole body of at most some bytes; none if it is longer or breaks.
+/// Reads a whole body. Returns `None` if it exceeds `max_bytes` or the connection breaks.
 pub async fn read_whole(body: Incoming, max_bytes: usize) -> Option<Bytes> {
     let collected = Limited::new(body, max_bytes).collect().await;
     collected.ok().map(http_body_util::Collected::to_bytes)
--- a/crates/hollyspoke-server/src/objects.rs
+++ b/crates/hollyspoke-server/src/objects.rs
@@ -1,4 +1,4 @@
-//! Operations on the product's own objects in the platform's store.
+//! Operations on the router's own objects in the platform's store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use crate::http1::{Connection, read_whole};
 use crate::node::Node;
 
-/// How long an operation may take, its connection included: the store answers within milliseconds,
-/// and up to sixty times as late when it is slow.
+/// The timeout of an operation, including the connection. The store answers within milliseconds, and
+/// up to sixty times later when it is slow.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The most bytes of an answer: the held requests take some 80 kB at most.
+/// The maximum size of an answer in bytes. The held requests take at most about 80 kB.
 const MAX_ANSWER_BYTES: usize = 256 << 10;
 
-/// Carries out an operation and tells the reducer what the store answered.
+/// Executes an operation and dispatches the store's answer to the reducer.
 pub async fn execute(node: Rc<Node>, number: u64, operation: Operation) {
     let answer = tokio::time::timeout(OPERATION_TIMEOUT, exchange(&node, &operation)).await;
     let answer = answer.ok().flatten().unwrap_or(Answer::Away);
     node.dispatch(Event::Stored(number, answer));
 }
 
-/// Asks the store; none if no answer came.
+/// Sends the operation to the store. Returns `None` if no answer arrives.
 async fn exchange(node: &Rc<Node>, operation: &Operation) -> Option<Answer> {
     let mut connection = Connection::open(node.store, OPERATION_TIMEOUT).await.ok()?;
     let (head, body) = (node.dialect.operation)(operation);
--- a/crates/hollyspoke-server/src/splitter.rs
+++ b/crates/hollyspoke-server/src/splitter.rs
@@ -1,28 +1,28 @@
-//! Splits a stream of bytes into whole events, each ended by an empty line.
+//! Splits a byte stream into complete events, each terminated by an empty line.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of one event; longer ones are passed on in parts.
+/// The maximum size of one event in bytes. Longer events are forwarded in parts.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events, in the order in which they came.
+/// Complete events in the order of arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes, unchanged.
+    /// The bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// The id of the last one that has an id.
+    /// The id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// The bytes of an event that is not whole yet.
+/// Buffers the bytes of an incomplete event.
 #[derive(Debug, Clone, Default)]
 pub struct Splitter {
-    /// The bytes.
+    /// The bytes after the last complete event.
     pending: BytesMut,
 }
 
 impl Splitter {
-    /// Takes bytes and gives the events that are whole now, if there are any.
+    /// Appends bytes and returns the events that are now complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
         self.pending.extend_from_slice(bytes);
         let end = match complete_length(&self.pending) {
@@ -35,13 +35,13 @@
         Some(Events { bytes, last_id })
     }
 
-    /// Gives the bytes after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn take_remaining(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
 
-/// Gives the length of the whole events at the start of some bytes.
+/// Returns the total length in bytes of the complete events at the start of the input.
 fn complete_length(bytes: &[u8]) -> usize {
     let mut end = 0;
     let mut line_start = 0;
@@ -58,7 +58,7 @@
     end
 }
 
-/// Finds the id of the last event that has one.
+/// Returns the id of the last event that has one.
 fn last_id(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.split(|it| *it == b'\n').rev();
     let ids = lines.filter_map(|it| it.strip_prefix(b"id:"));
