--- a/crates/hollyspoke-server/src/peers.rs
+++ b/crates/hollyspoke-server/src/peers.rs
@@ -11,18 +11,18 @@
 
 use crate::datagram;
 
-/// The most bytes of a datagram: what UDP carries over IPv4. All accounts of 520 customers, the most
-/// that is designed for, take 10 KB.
+/// The maximum size of a datagram in bytes, as UDP allows over IPv4. The accounts of 520 customers,
+/// the design limit, take 10 KB.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 
-/// The socket between boxes.
+/// The UDP socket for messages between boxes.
 #[derive(Debug, Clone)]
 pub struct Peers {
     /// The socket.
     socket: Rc<UdpSocket>,
     /// The log.
     log: Logger,
-    /// How many datagrams could not be sent or read.
+    /// The number of datagrams that could not be sent or read.
     failures: Rc<Cell<u64>>,
 }
 
@@ -34,22 +34,22 @@
     /// If the address can't be bound.
     pub async fn bind(address: SocketAddr, log: Logger) -> std::io::Result<Peers> {
         let socket = Rc::new(UdpSocket::bind(address).await?);
-        // Until the runtime knows that it is writable, nothing is sent.
+        // `try_send_to` sends nothing until the runtime knows that the socket is writable.
         socket.writable().await?;
         Ok(Peers { socket, log, failures: Rc::default() })
     }
 
-    /// Gives where the socket is bound.
+    /// Returns the address of the socket.
     ///
     /// # Errors
     ///
-    /// If the system does not tell.
+    /// If the system does not report the address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sends a datagram to boxes that can read a format. One that can't be sent at once is lost, as on
-    /// the way.
+    /// Sends a datagram to boxes that can read a format. A datagram that can't be sent immediately is
+    /// dropped, like one lost in the network.
     pub fn send(&self, nodes: &[SocketAddr], message: &Message, format: Format) {
         if nodes.is_empty() {
             return;
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Logs that a datagram is lost here: the first, the second, the fourth and so on, since a box
-    /// that is cut off fails with each.
+    /// Logs the loss of a datagram: the first, the second, the fourth and so on, since every
+    /// datagram fails on a box that is cut off from the network.
     fn log_failure(&self, description: &str, error: &dyn Display) {
         let count = self.failures.get() + 1;
         self.failures.set(count);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes datagrams to a function, until the process ends.
+    /// Calls a function with each received message until the process ends.
     pub async fn listen(self, on_message: impl Fn(Message)) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
