--- a/crates/hollyspoke-server/src/answer.rs
+++ b/crates/hollyspoke-server/src/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a client: whole, or a stream that may break.
+//! The body of an answer to a client: complete, or a stream that may break off.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer was broken off; the client sees that it is not whole.
+/// The error of an answer that was broken off. The client sees that the answer is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamAborted;
 
@@ -21,12 +21,12 @@
 
 impl std::error::Error for StreamAborted {}
 
-/// The events of a stream, as they come.
+/// The events of a stream, as they arrive.
 #[derive(Debug)]
 pub struct Stream {
-    /// Whole events.
+    /// Chunks that consist of whole events.
     pub chunks: mpsc::Receiver<Bytes>,
-    /// Set if the stream ends unfinished.
+    /// Set if the stream ends before it is complete.
     pub is_broken: Rc<Cell<bool>>,
 }
 
@@ -34,7 +34,7 @@
 pub struct DropHook(Option<Box<dyn FnOnce()>>);
 
 impl DropHook {
-    /// Makes a hook.
+    /// Creates a hook that calls a function.
     pub fn new(function: impl FnOnce() + 'static) -> DropHook {
         DropHook(Some(Box::new(function)))
     }
@@ -54,12 +54,12 @@
     }
 }
 
-/// A body.
+/// The body of an answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// A whole body, until it is taken.
+    /// A complete body; none once it has been sent.
     Whole(Option<Bytes>),
-    /// A stream; the hook is dropped at its end, or when the client leaves.
+    /// A stream. The hook is dropped at its end, or when the client disconnects.
     Stream(Stream, Option<DropHook>),
 }
 
--- a/crates/hollyspoke-server/src/dialect.rs
+++ b/crates/hollyspoke-server/src/dialect.rs
@@ -1,5 +1,5 @@
-//! The port to a platform: functions that turn its messages into the product's own types and back.
-//! They translate; they neither decide nor keep anything.
+//! The interface to a platform: functions that translate between its messages and hollyspoke's own
+//! types. They make no decisions and hold no state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,112 +18,116 @@
 
 pub use hollyspoke_gateway::event::Kind;
 
-/// One object of the store.
+/// An object of the store.
 #[derive(Debug, Clone)]
 pub enum Item {
     /// A version of the configuration.
     Configuration(Arc<Configuration>),
     /// An engine.
     Engine(Engine),
-    /// A data centre that is evacuated.
+    /// A data centre that is being evacuated.
     Evacuated(Arc<str>),
 }
 
 /// A page of a list.
 #[derive(Debug, Clone)]
 pub struct Page {
-    /// The objects that could be read.
+    /// The objects that could be parsed.
     pub items: Vec<Item>,
-    /// Findings about objects that could not be read.
+    /// Descriptions of the objects that could not be parsed.
     pub findings: Vec<String>,
-    /// The name after which the list goes on, if it does.
+    /// The name after which the next page begins; none on the last page.
     pub next: Option<String>,
-    /// The number of the store's revision.
+    /// The number of the store's revision at which the page was read.
     pub number: u64,
 }
 
-/// One change.
+/// A change of an object.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// An object was made or replaced.
+    /// An object was created or replaced.
     Put(Item),
-    /// The object of a name is gone.
+    /// The object of this name was deleted.
     Gone(Arc<str>),
 }
 
-/// What has changed since a revision.
+/// The changes since a revision.
 #[derive(Debug, Clone)]
 pub struct Changes {
-    /// The changes and the numbers of their revisions.
+    /// The changes, each with the number of its revision.
     pub changes: Vec<(Change, u64)>,
-    /// Findings about objects that could not be read.
+    /// Descriptions of the objects that could not be parsed.
     pub findings: Vec<String>,
-    /// The number of the store's revision.
+    /// The number of the store's revision that the changes lead to.
     pub number: u64,
 }
 
-/// Bytes that are not what the platform's pages say.
+/// The error for bytes that don't follow the platform's protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
-/// What an engine reports of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// The orders that it has taken since its start.
+    /// The number of orders that the engine has accepted since its start.
     pub order_count: u64,
-    /// When this life of it began, in milliseconds of Unix time, if it tells.
+    /// The start time of the engine's incarnation, in milliseconds of Unix time; none if not
+    /// reported.
     pub born: Option<u64>,
-    /// Whether it is about to leave.
+    /// Whether the engine is shutting down.
     pub is_leaving: bool,
 }
 
-/// The functions of one platform.
+/// The functions for one platform.
 #[derive(Debug, Clone, Copy)]
 pub struct Dialect {
-    /// Reads the head of a client's request, with the size of its body.
+    /// Parses the head of a client's request, given the size of its body.
     pub read_request: fn(&request::Parts, usize) -> Request,
-    /// Makes the head of a call to an engine from the client's head.
+    /// Builds the head of a call to an engine from the head of the client's request.
     pub call_head: fn(&request::Parts, &Send) -> request::Parts,
-    /// Reads the head of an engine's answer; an error if it answers another request.
+    /// Parses the head of an engine's answer; fails if it answers another request.
     pub read_answer: fn(&response::Parts, &request::Parts) -> Result<Answer, Malformed>,
-    /// Reads what the head of an engine's answer says of the engine.
+    /// Parses the engine's statement about itself from the head of its answer.
     pub read_statement: fn(&response::Parts) -> Statement,
-    /// Reads the handle from the answer to the reading of a prompt.
+    /// Parses the handle of a cached prompt from the answer to a prefill call.
     pub read_handle: fn(&[u8]) -> Option<String>,
-    /// Makes the request that frees a prompt.
+    /// Builds the request that frees a cached prompt.
     pub free_prompt: fn(&Source) -> request::Builder,
-    /// Makes the request that asks an engine which parts of prompts it keeps.
+    /// Builds the request that asks an engine which prompt prefixes it caches.
     pub query_cached_prompts: fn(&Engine) -> request::Builder,
-    /// Reads the parts from the answer, the largest first.
+    /// Parses the cached prefixes from the answer, the largest first.
     pub read_cached_prompts: fn(&[u8]) -> Option<Vec<PromptKey>>,
-    /// Makes the request that asks an engine for its report.
+    /// Builds the request for an engine's report.
     pub report: fn(&Engine) -> request::Builder,
-    /// Reads a report.
+    /// Parses an engine's report.
     pub read_report: fn(&[u8]) -> Option<Report>,
-    /// Makes the head and the body of an order to an engine.
+    /// Builds the head and the body of an order to an engine.
     pub order: fn(&Order) -> (request::Builder, Bytes),
-    /// Reads an engine's answer to an order.
+    /// Translates the status of an engine's answer to an order.
     pub read_order_answer: fn(StatusCode) -> OrderAnswer,
-    /// Makes the head and the body of an operation on an object of the product's own.
+    /// Builds the head and the body of an operation on one of hollyspoke's own objects in the
+    /// store.
     pub operation: fn(&Operation) -> (request::Builder, Bytes),
-    /// Reads the store's answer to such an operation.
+    /// Parses the store's answer to such an operation.
     pub read_operation_answer: fn(&Operation, StatusCode, &[u8]) -> Stored,
-    /// Reads the store's era from the headers of any of its answers, if it tells.
+    /// Parses the store's era from the headers of any of its answers; none if it is missing.
     pub read_era: fn(&HeaderMap) -> Option<u64>,
-    /// Makes the path that lists a kind, after a name; whether the answer may be stale.
+    /// Builds the path of a list of a kind, after a name if one is given. The flag allows a stale
+    /// answer.
     pub list: fn(Kind, Option<&str>, bool) -> String,
-    /// Makes the path that waits for changes of a kind since the number of a revision.
+    /// Builds the path that waits for changes of a kind since the number of a revision, for at most
+    /// the given time.
     pub watch: fn(Kind, u64, Duration) -> String,
-    /// Reads a page of a list.
+    /// Parses a page of a list.
     pub read_page: fn(Kind, &[u8]) -> Result<Page, Malformed>,
-    /// Reads changes.
+    /// Parses a list of changes.
     pub read_changes: fn(Kind, &[u8]) -> Result<Changes, Malformed>,
-    /// Reads the region of a client that asks for addresses from the query, if it tells.
+    /// Parses the region of a client that asks for addresses from the query; none if it is missing.
     pub read_region: fn(&str) -> Option<String>,
     /// The path at which clients ask for addresses.
     pub resolve_path: &'static str,
-    /// The path at which the platform asks whether this box is ready.
+    /// The path at which the platform checks whether this box is ready.
     pub ready_path: &'static str,
-    /// Makes the answer to a client that asks for addresses, and how long it may keep them.
+    /// Builds the answer to a client that asks for addresses, given how long it may cache them.
     pub write_addresses: fn(&[SocketAddr], Duration) -> Bytes,
 }
--- a/crates/hollyspoke-server/src/directory.rs
+++ b/crates/hollyspoke-server/src/directory.rs
@@ -1,5 +1,5 @@
-//! The small services beside the front: which addresses clients use, whether this box is ready,
-//! its metrics, and for operators alone the requests that are held back.
+//! The HTTP services besides the front: the addresses for clients, the readiness check, the
+//! metrics, and for operators only the held requests and the evacuated data centres.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -24,54 +24,54 @@
 use crate::front::status;
 use crate::node::Node;
 
-/// The most addresses of one answer.
+/// The maximum number of addresses in one answer.
 const MAX_ADDRESS_COUNT: usize = 64;
 
-/// How long clients may keep an answer.
+/// How long clients may cache an answer.
 const ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
 
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// How long a head may take.
+/// The timeout for the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The path of the requests that are held back; one of them is below it, by its signature as the
-/// log shows it.
+/// The path of the held requests. Each request has a path below it, with its signature as the log
+/// shows it.
 const HELD_PATH: &str = "/held";
 
-/// The path of the data centres that are evacuated.
+/// The path of the data centres that are being evacuated.
 const EVACUATION_PATH: &str = "/evacuation";
 
-/// Who connects to a listener.
+/// The group of clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
     /// Clients and the platform.
     Clients,
-    /// Operators, on a network of theirs.
+    /// Operators, on a separate network.
     Operators,
 }
 
-/// A request that is held back, for operators.
+/// A held request, as operators see it.
 #[derive(Debug, Serialize)]
 struct HeldEntry {
-    /// The signature as the log shows it.
+    /// The request's signature as the log shows it.
     signature: String,
-    /// The customer that sent it, if it is known.
+    /// The customer that sent the request; none if unknown.
     customer: Option<Arc<str>>,
-    /// Its path, if this box knows it.
+    /// The request's path; none if unknown to this box.
     path: Option<Arc<str>>,
-    /// The engines that crashed under it.
+    /// The engines that crashed while they handled the request.
     engines: Vec<String>,
-    /// Whether all of them are proven to have crashed.
+    /// Whether all of these crashes are proven.
     proven: bool,
-    /// When the last one did, in seconds of Unix time.
+    /// The time of the last crash, in seconds of Unix time.
     since: u64,
-    /// Until when it is held back, in seconds of Unix time.
+    /// The time until which the request is held, in seconds of Unix time.
     until: u64,
 }
 
-/// Takes connections until the process ends.
+/// Accepts connections until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener, audience: Audience) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -87,7 +87,7 @@
         let response = answer(&node, &request, audience);
         async move { Ok::<_, Infallible>(response) }
     });
-    // A connection that breaks concerns nobody else.
+    // An error concerns this connection only.
     _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
@@ -95,7 +95,7 @@
         .await;
 }
 
-/// Answers one question.
+/// Answers one request.
 fn answer(
     node: &Rc<Node>,
     request: &Request<Incoming>,
@@ -125,7 +125,7 @@
     status(StatusCode::NOT_FOUND)
 }
 
-/// Tells which requests are held back, or lets one go.
+/// Lists the held requests, or releases one.
 fn answer_held(node: &Rc<Node>, method: &Method, subpath: &str) -> Response<AnswerBody> {
     let held_requests = node.with(|it| it.held());
     match (method, subpath.strip_prefix('/')) {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Gives a held request as operators see it.
+/// Returns a held request in the form that operators see.
 fn held_entry(held: HeldRequest) -> HeldEntry {
     HeldEntry {
         signature: held.short,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Makes an answer in JSON.
+/// Returns an answer with a JSON body.
 fn json(body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Whole(Some(body)));
     let json = HeaderValue::from_static("application/json");
@@ -162,7 +162,7 @@
     response
 }
 
-/// Tells which addresses clients may use.
+/// Answers which addresses clients may use.
 fn resolve(node: &Rc<Node>, query: &str) -> Response<AnswerBody> {
     let region = (node.dialect.read_region)(query);
     let mut fronts = node.with(|it| it.fronts(region.as_deref()));
--- a/crates/hollyspoke-server/src/front.rs
+++ b/crates/hollyspoke-server/src/front.rs
@@ -1,4 +1,4 @@
-//! Clients' connections.
+//! Clients' HTTP connections.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use crate::head_clock::{HeadClock, RequestGuard, TimedStream};
 use crate::node::{ClientAnswer, Node, ReceivedRequest};
 
-/// What clients may send before a configuration is known.
+/// The limits of clients' requests before a configuration is known.
 const DEFAULT_LIMITS: Limits = Limits {
     head_bytes: 16 << 10,
     body_bytes: 4 << 20,
@@ -32,13 +32,13 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// The least size of a connection's buffer that the server takes.
+/// The minimum buffer size that the HTTP library accepts for a connection.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// What is added to the time a connection may rest, since clients count from their own side.
+/// Added to the idle timeout of a connection, since clients measure it from their own side.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern a single connection only.
 const HOP_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     TRANSFER_ENCODING,
@@ -48,20 +48,20 @@
     http::header::PROXY_AUTHORIZATION,
 ];
 
-/// The header that tells how long a connection may rest.
+/// The hop-by-hop header that announces a connection's idle timeout.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Why a request was not taken up.
+/// The reason why a request's body could not be read.
 enum BodyError {
-    /// Its body is larger than the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// Its body did not come in time.
+    /// The body did not arrive in time.
     TooSlow,
-    /// Its body is malformed, or its client has left.
+    /// The body is malformed, or the client has disconnected.
     Malformed,
 }
 
-/// Takes clients' connections until the box closes.
+/// Accepts clients' connections until the box closes.
 pub async fn listen(node: Rc<Node>, listener: TcpListener, closing: watch::Receiver<bool>) {
     let mut closed = closing.clone();
     loop {
@@ -76,9 +76,9 @@
     }
 }
 
-/// Serves one connection. When the box closes, the request under way is still answered.
+/// Serves one connection. A request in flight is still answered when the box closes.
 async fn serve(node: Rc<Node>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
-    // Without it small answers wait; the connection works all the same.
+    // Without this option small answers are delayed, but the connection works all the same.
     _ = stream.set_nodelay(true);
     let limits = node.with(|it| it.limits()).unwrap_or(DEFAULT_LIMITS);
     let clock = HeadClock::new();
@@ -147,7 +147,7 @@
     response
 }
 
-/// Has credentials left out wherever a head is printed.
+/// Marks credentials as sensitive, so that a printed head omits them.
 fn mark_credentials_sensitive(headers: &mut HeaderMap) {
     for (name, value) in headers.iter_mut() {
         if name == AUTHORIZATION {
@@ -178,14 +178,14 @@
     }
 }
 
-/// Gives the head of an engine's answer as the client gets it.
+/// Returns the head of an engine's answer as it is sent to the client.
 fn client_head(mut head: response::Parts) -> response::Parts {
     remove_hop_headers(&mut head.headers);
     head.version = http::Version::HTTP_11;
     head
 }
 
-/// Removes the headers that concern one connection only, and those that it names.
+/// Removes hop-by-hop headers, and those that the `connection` header names.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
     let named_headers: Vec<String> = headers
         .get_all(CONNECTION)
@@ -203,7 +203,7 @@
     headers.remove(KEEP_ALIVE);
 }
 
-/// Makes an answer of the gateway's own.
+/// Returns the answer to a request that the gateway itself rejects.
 fn refusal_response(refusal: Refusal) -> Response<AnswerBody> {
     match refusal {
         Refusal::NotRun(_, _, retry) => retry_status(StatusCode::SERVICE_UNAVAILABLE, retry),
@@ -213,7 +213,7 @@
             response.headers_mut().insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
             response
         }
-        // Says nothing of coming again, and callers take it for final.
+        // Has no retry time, so that callers treat it as final.
         Refusal::Quarantined(_) => status(StatusCode::BAD_REQUEST),
         Refusal::NoRoute => status(StatusCode::NOT_FOUND),
         Refusal::Failed => status(StatusCode::BAD_GATEWAY),
@@ -221,7 +221,7 @@
     }
 }
 
-/// Makes an answer of a status and the time after which the client may come back.
+/// Returns an answer with a status and the time after which the client may retry.
 fn retry_status(code: StatusCode, retry: Duration) -> Response<AnswerBody> {
     let mut response = status(code);
     let seconds = format!("{:.3}", retry.as_secs_f64());
@@ -231,14 +231,14 @@
     response
 }
 
-/// Makes an answer of a status alone.
+/// Returns an answer with a status and no body.
 pub fn status(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Whole(None));
     *response.status_mut() = status;
     response
 }
 
-/// Makes an answer of a status alone, after which the connection ends.
+/// Returns an answer with a status and no body, after which the connection is closed.
 fn closing_status(code: StatusCode) -> Response<AnswerBody> {
     let mut response = status(code);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/hollyspoke-server/src/handover.rs
+++ b/crates/hollyspoke-server/src/handover.rs
@@ -1,5 +1,5 @@
-//! Hands the configuration and the list of engines over to other boxes, and fetches them: one
-//! connection each, which carries one snapshot and ends.
+//! Snapshots of the configuration and of the list of engines: serves them to other boxes and
+//! fetches them. Each connection carries one snapshot and is closed after it.
 
 pub mod format;
 
@@ -17,25 +17,26 @@
 
 use crate::node::Node;
 
-/// How long a handover may take. A snapshot of 3,000 engines is some 300 kB, a third of a second on
-/// the slowest links of the users' sites.
+/// The timeout for a handover. A snapshot of 3,000 engines is about 300 kB, which takes a third of
+/// a second on the slowest expected links.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the question may take, which comes with the connection.
+/// The timeout for the request, which is sent as soon as the connection is open.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The most bytes of a snapshot; the store's own objects have at most 1 MB each.
+/// The size limit of a snapshot. Each of the store's own objects is limited to 1 MB.
 const MAX_SNAPSHOT_BYTES: u64 = 16 << 20;
 
-/// The most handovers at once, so that many boxes that start together leave the link to requests.
+/// The maximum number of concurrent handovers. The limit leaves bandwidth for requests when many
+/// boxes start at once.
 const MAX_HANDOVER_COUNT: usize = 4;
 
-/// Hands snapshots over to boxes that ask, until the process ends.
+/// Serves snapshots to boxes that request them, until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(MAX_HANDOVER_COUNT));
     loop {
         let Ok((stream, peer)) = listener.accept().await else { continue };
-        // One that finds no place asks another box with its next heartbeat.
+        // A box that finds no free slot asks another box at its next heartbeat.
         let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
         if !node.with(|it| it.knows_box(peer.ip())) {
             warn!(node.log, "snapshot refused to a stranger"; "asker" => %peer);
@@ -49,7 +50,7 @@
     }
 }
 
-/// Hands over what a box lacks that asks.
+/// Sends what the requesting box lacks.
 async fn send_snapshot(node: &Node, mut stream: TcpStream) {
     let received = match tokio::time::timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
         Ok(Ok(received)) => received,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Reads what the asking box knows.
+/// Reads a request, which says what the requesting box knows.
 async fn read_request(stream: &mut TcpStream) -> eyre::Result<format::ReceivedSnapshotRequest> {
     let length = usize::from(stream.read_u16().await?);
     let mut bytes = vec![0; length];
@@ -78,7 +79,7 @@
     format::read_request(&bytes)
 }
 
-/// Tells another box what this one knows.
+/// Sends a request, which says what this box knows.
 async fn send_request(
     node: &Node,
     provider: SocketAddr,
@@ -91,8 +92,8 @@
     Ok(())
 }
 
-/// Fetches a snapshot from another box and takes it to the reducer. If that fails, the reducer asks
-/// another box with its next heartbeat.
+/// Fetches a snapshot from another box and dispatches it to the reducer. If that fails, the reducer
+/// asks another box at its next heartbeat.
 pub async fn fetch(node: Rc<Node>, provider: SocketAddr) {
     match tokio::time::timeout(HANDOVER_TIMEOUT, receive_snapshot(&node, provider)).await {
         Ok(Ok(snapshot)) => {
@@ -107,7 +108,7 @@
     }
 }
 
-/// Gives the number of engines, or of their changes, that a snapshot holds.
+/// Returns the number of engines, or of engine changes, in a snapshot.
 fn engine_count(snapshot: &Snapshot) -> usize {
     match &snapshot.listing {
         Some(Listing::Whole { engines, .. }) => engines.len(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// Reads a snapshot from another box, from the address by which that box knows this one.
+/// Requests a snapshot from another box, from the address by which that box knows this one.
 async fn receive_snapshot(node: &Node, provider: SocketAddr) -> eyre::Result<Snapshot> {
     let socket = if provider.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.bind(SocketAddr::new(node.peer_address()?.ip(), 0))?;
--- a/crates/hollyspoke-server/src/handover/format.rs
+++ b/crates/hollyspoke-server/src/handover/format.rs
@@ -1,9 +1,10 @@
-//! How handovers between boxes are written and read.
+//! Encoding and decoding of snapshot requests and snapshots between boxes.
 //!
-//! As with datagrams, the first format stays as it is, without a version; what came later is written
-//! behind a mark that the first one can't begin with: the version, and numbered, optional fields, of
-//! which the first holds the same in the first format. A box asks in the later format only another one
-//! that has told that it reads it, and is answered in the format in which it asked.
+//! As with datagrams, the first format has no version and must not change. Later fields are encoded
+//! in an extended format. It begins with a mark with which the first format can't begin, followed
+//! by the version and by numbered, optional fields; the first of them holds the same content in the
+//! first format. A box uses the extended format only in requests to boxes that have announced that
+//! they can read it, and is answered in the format of its request.
 
 use bincode::Options;
 use eyre::{WrapErr, bail, ensure};
@@ -15,53 +16,53 @@
 
 use crate::datagram::{DepartureField, EXTENDED_FORMAT_MARK, non_empty_list};
 
-/// The version that this box writes.
+/// The version of the extended format that this box writes.
 const EXTENDED_FORMAT_VERSION: u8 = 1;
 
-/// A question in the later format.
+/// A snapshot request in the extended format.
 #[derive(Debug, Encode, Decode)]
 #[cbor(map)]
 struct ExtendedRequest {
-    /// The question in the first format.
+    /// The request in the first format.
     #[cbor(n(0), with = "minicbor::bytes")]
     first: Vec<u8>,
-    /// The era of the engines that the asking box knows; 0 if it is missing.
+    /// The era of the engines that the requesting box knows; 0 if missing.
     #[n(1)]
     engines_era: Option<u64>,
 }
 
-/// A snapshot in the later format.
+/// A snapshot in the extended format.
 #[derive(Debug, Encode, Decode)]
 #[cbor(map)]
 struct ExtendedSnapshot {
     /// The snapshot in the first format.
     #[cbor(n(0), with = "minicbor::bytes")]
     first: Vec<u8>,
-    /// Engines that are about to leave.
+    /// Engines that are shutting down.
     #[n(1)]
     departures: Option<Vec<DepartureField>>,
-    /// The era of the engines; 0 if it is missing.
+    /// The era of the engines; 0 if missing.
     #[n(2)]
     engines_era: Option<u64>,
-    /// The era of the evacuations; 0 if it is missing.
+    /// The era of the evacuations; 0 if missing.
     #[n(3)]
     evacuation_era: Option<u64>,
 }
 
-/// A question, and the format in which it is to be answered.
+/// A decoded request, and the format in which to answer it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceivedSnapshotRequest {
-    /// The question.
+    /// The request.
     pub request: SnapshotRequest,
-    /// The format.
+    /// The format of the request and of its answer.
     pub format: Format,
 }
 
-/// Writes a question for a box that can read a format.
+/// Encodes a request in a format that its receiver can read.
 ///
 /// # Errors
 ///
-/// If it can't be written.
+/// If it can't be encoded.
 pub fn write_request(request: &SnapshotRequest, format: Format) -> eyre::Result<Vec<u8>> {
     let first = write_first(request)?;
     if format < Format::Handovers {
@@ -71,11 +72,11 @@
     write_extended(&ExtendedRequest { first, engines_era })
 }
 
-/// Reads a question.
+/// Decodes a request.
 ///
 /// # Errors
 ///
-/// If it is in no format that is known.
+/// If its format is unknown or its content is malformed.
 pub fn read_request(bytes: &[u8]) -> eyre::Result<ReceivedSnapshotRequest> {
     let Some(fields) = extended_fields(bytes)? else {
         return Ok(ReceivedSnapshotRequest { request: read_first(bytes)?, format: Format::First });
@@ -87,11 +88,11 @@
     Ok(ReceivedSnapshotRequest { request, format: Format::Handovers })
 }
 
-/// Writes a snapshot in a format.
+/// Encodes a snapshot in a format.
 ///
 /// # Errors
 ///
-/// If it can't be written.
+/// If it can't be encoded.
 pub fn write_snapshot(snapshot: &Snapshot, format: Format) -> eyre::Result<Vec<u8>> {
     let first = write_first(snapshot)?;
     if format < Format::Handovers {
@@ -104,11 +105,11 @@
     write_extended(&ExtendedSnapshot { first, departures, engines_era, evacuation_era })
 }
 
-/// Reads a snapshot.
+/// Decodes a snapshot.
 ///
 /// # Errors
 ///
-/// If it is in no format that is known.
+/// If its format is unknown or its content is malformed.
 pub fn read_snapshot(bytes: &[u8]) -> eyre::Result<Snapshot> {
     let Some(fields) = extended_fields(bytes)? else { return read_first(bytes) };
     let extended: ExtendedSnapshot = minicbor::decode(fields).wrap_err("a field can't be read")?;
@@ -121,7 +122,7 @@
     Ok(snapshot)
 }
 
-/// Gives the numbered fields, if the bytes are in the later format.
+/// Returns the bytes of the numbered fields; none if the bytes are in the first format.
 fn extended_fields(bytes: &[u8]) -> eyre::Result<Option<&[u8]>> {
     let Some((&EXTENDED_FORMAT_MARK, rest)) = bytes.split_first() else { return Ok(None) };
     let Some((&version, fields)) = rest.split_first() else { bail!("no version") };
@@ -129,19 +130,19 @@
     Ok(Some(fields))
 }
 
-/// Writes numbered fields behind the mark and the version.
+/// Encodes the mark, the version and the numbered fields.
 fn write_extended(fields: &impl Encode<()>) -> eyre::Result<Vec<u8>> {
     let mut bytes = vec![EXTENDED_FORMAT_MARK, EXTENDED_FORMAT_VERSION];
     minicbor::encode(fields, &mut bytes).wrap_err("a field can't be written")?;
     Ok(bytes)
 }
 
-/// Writes the first format.
+/// Encodes a value in the first format.
 fn write_first(value: &impl Serialize) -> eyre::Result<Vec<u8>> {
     Ok(bincode::DefaultOptions::new().serialize(value)?)
 }
 
-/// Reads the first format.
+/// Decodes a value in the first format.
 fn read_first<T: DeserializeOwned>(bytes: &[u8]) -> eyre::Result<T> {
     Ok(bincode::DefaultOptions::new().deserialize(bytes)?)
 }
--- a/crates/hollyspoke-server/src/head_clock.rs
+++ b/crates/hollyspoke-server/src/head_clock.rs
@@ -1,7 +1,8 @@
-//! How long a client takes for the head of a request, from its first byte on.
+//! Measures how long a client takes to send the head of a request, from its first byte on.
 //!
-//! The HTTP library bounds the time from the end of one request to the next head, in which a
-//! connection may rest. A head that has begun has a shorter time: this module sees the bytes come.
+//! The HTTP library limits the time from the end of one request to the end of the next head, in
+//! which a connection may be idle. Once a head has begun, a shorter timeout applies. This module
+//! detects the beginning by watching the bytes that arrive.
 
 use std::cell::Cell;
 use std::io;
@@ -16,36 +17,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a connection is at.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// No byte has come since the last request.
+    /// No byte has arrived since the last request.
     Idle,
-    /// A head is coming, since a time.
+    /// A head has been arriving since this time.
     ReadingHead(Instant),
-    /// A request is served.
+    /// A request is being served.
     Serving {
-        /// Whether bytes have come that are no part of it.
+        /// Whether bytes have arrived that don't belong to the request.
         has_next_request: bool,
     },
 }
 
-/// What one connection is at, for whoever reads it, serves it and closes it.
+/// The state of one connection, shared by the tasks that read, serve and close it.
 #[derive(Debug)]
 pub struct HeadClock {
     /// The state.
     state: Cell<State>,
-    /// Wakes whoever waits for the next head.
+    /// Wakes the task that waits for the next head.
     head_started: Notify,
 }
 
 impl HeadClock {
-    /// Makes the clock of a new connection.
+    /// Creates the clock of a new connection.
     pub fn new() -> Rc<HeadClock> {
         Rc::new(HeadClock { state: Cell::new(State::Idle), head_started: Notify::new() })
     }
 
-    /// Notes that bytes have come.
+    /// Records that bytes have arrived.
     fn record_read(&self) {
         match self.state.get() {
             State::Idle => self.start_head(),
@@ -54,19 +55,20 @@
         }
     }
 
-    /// Notes that a head begins.
+    /// Records that a head begins now.
     fn start_head(&self) {
         self.state.set(State::ReadingHead(Instant::now()));
         self.head_started.notify_one();
     }
 
-    /// Notes that a head is whole; the request is served until what is given is dropped.
+    /// Records that a head is complete. The request counts as being served until the returned guard
+    /// is dropped.
     pub fn start_request(self: &Rc<HeadClock>) -> RequestGuard {
         self.state.set(State::Serving { has_next_request: false });
         RequestGuard(self.clone())
     }
 
-    /// Waits until a head has been coming for longer than a time.
+    /// Waits until a head has been arriving for at least the timeout.
     pub async fn wait_overdue(&self, timeout: Duration) {
         loop {
             match self.state.get() {
@@ -78,17 +80,18 @@
     }
 }
 
-/// A request is served while this exists.
+/// Marks a request as being served while it exists.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<HeadClock>);
 
 impl RequestGuard {
-    /// Notes that the request's body is whole: what has come so far was part of it.
+    /// Records that the request's body is complete: all bytes that have arrived so far belong to
+    /// it.
     pub fn finish_body(&self) {
         self.0.state.set(State::Serving { has_next_request: false });
     }
 
-    /// Binds it to the body of the answer.
+    /// Attaches the guard to the body of the answer.
     pub fn attach<B>(self, body: B) -> GuardedBody<B> {
         GuardedBody { body, _guard: self }
     }
@@ -103,12 +106,12 @@
     }
 }
 
-/// The body of an answer; the request is served until it is dropped.
+/// The body of an answer. Its request counts as being served until this is dropped.
 #[derive(Debug)]
 pub struct GuardedBody<B> {
-    /// The body.
+    /// The wrapped body.
     body: B,
-    /// The request.
+    /// The guard of the request.
     _guard: RequestGuard,
 }
 
@@ -132,17 +135,17 @@
     }
 }
 
-/// A client's connection whose clock sees what comes.
+/// A client's connection that records arriving bytes in a clock.
 #[derive(Debug)]
 pub struct TimedStream {
     /// The connection.
     stream: TcpStream,
-    /// The clock.
+    /// The connection's clock.
     clock: Rc<HeadClock>,
 }
 
 impl TimedStream {
-    /// Has a clock see what comes on a connection.
+    /// Wraps a connection.
     pub fn new(stream: TcpStream, clock: Rc<HeadClock>) -> TimedStream {
         TimedStream { stream, clock }
     }
--- a/crates/hollyspoke-server/src/lib.rs
+++ b/crates/hollyspoke-server/src/lib.rs
@@ -1,7 +1,8 @@
-//! The sockets, timers and tasks around the gateway's reducer. Nothing here decides.
+//! The sockets, timers and tasks around the gateway's reducer. The decisions are made in the
+//! reducer.
 //!
-//! What clients, engines and the store speak is given by a [`dialect::Dialect`]; another platform
-//! is another dialect.
+//! A [`dialect::Dialect`] defines the protocols of clients, engines and the store; another platform
+//! needs another dialect.
 
 pub mod answer;
 pub mod datagram;
--- a/crates/hollyspoke-server/src/metrics.rs
+++ b/crates/hollyspoke-server/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics by `opentelemetry`, read by Prometheus: requests by how they ended, with their times,
-//! calls by task, failures by kind, and what this box knows.
+//! Metrics with `opentelemetry`, exported to Prometheus: requests by outcome with their durations,
+//! calls by task, failures by kind, and the state that this box knows.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,61 +12,61 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
-/// The bounds of histograms of seconds.
+/// The bucket bounds of histograms, in seconds.
 const HISTOGRAM_BOUNDS_S: [f64; 12] =
     [0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 6.0, 10.0, 15.0];
 
 /// A box's metrics.
 #[derive(Debug)]
 pub struct Metrics {
-    /// What Prometheus reads.
+    /// The exporter that Prometheus reads.
     exporter: Exporter,
-    /// From a request's arrival to its end, by how it ended.
+    /// The time from a request's arrival to its end, by outcome.
     request_duration: Histogram<f64>,
-    /// Customers' requests, by customer and how they ended.
+    /// Customers' requests, by customer and outcome.
     customer_requests: Counter<u64>,
-    /// Units of customers' limits that were taken, by customer.
+    /// The units used of customers' limits, by customer.
     customer_units: Counter<u64>,
-    /// Calls to engines, by what they were asked to do.
+    /// Calls to engines, by task.
     calls: Counter<u64>,
-    /// Calls that failed, by how.
+    /// Failed calls, by kind of failure.
     call_failures: Counter<u64>,
-    /// Requests that were to be sent to one more engine, by service and whether they were.
+    /// Wanted retries on another engine, by service and whether they were sent.
     retries: Counter<u64>,
-    /// Requests held back.
+    /// Requests that were held because engines crashed.
     held: Counter<u64>,
-    /// Tokens of prompts that were sent to be read.
+    /// Prompt tokens that were sent for prefill.
     prompt_tokens: Counter<u64>,
     /// The version of the configuration in force.
     configuration_version: Gauge<u64>,
     /// Changes of engines.
     engines: Counter<u64>,
-    /// Boxes that were first heard or fell silent.
+    /// Boxes that were first seen or timed out.
     peer_changes: Counter<u64>,
-    /// The engines by stage when one was last to change.
+    /// The number of engines by stage at the last stage change.
     engines_by_stage: Gauge<u64>,
-    /// The demand that the last change was decided on.
+    /// The demand on which the last stage change was decided.
     demand: Gauge<u64>,
     /// Changes of engines' stages that this box decided.
     stage_changes: Counter<u64>,
-    /// Orders to engines, by what became of them.
+    /// Orders to engines, by outcome.
     orders: Counter<u64>,
     /// Whether this box holds the lease for orders.
     order_lease: Gauge<u64>,
-    /// Whether a data centre is evacuated.
+    /// Whether a data centre is being evacuated.
     evacuated: Gauge<u64>,
-    /// What engines in need take, in thousandths of a request a second.
+    /// The limits of rate-limited engines, in thousandths of a request per second.
     engine_limits: Gauge<u64>,
-    /// How often the store has come back from an older copy.
+    /// The number of times that the store was restored from an older copy.
     store_era: Gauge<u64>,
-    /// Whether an engine is about to leave.
+    /// Whether an engine is shutting down.
     engines_leaving: Gauge<u64>,
-    /// Whether an engine wants nothing from this box for a time.
+    /// Whether an engine backs off from this box.
     engines_backing_off: Gauge<u64>,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates the metrics.
     ///
     /// # Errors
     ///
@@ -205,17 +205,17 @@
         }
     }
 
-    /// Takes the newest era of the store.
+    /// Records the newest era of the store.
     pub fn record_era(&self, store_era: u64) {
         self.store_era.record(store_era, &[]);
     }
 
-    /// Writes all metrics in Prometheus' text form.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> String {
         self.exporter.text()
     }
 
-    /// Takes what an engine takes now.
+    /// Records a change of an engine's limit.
     fn record_limit(&self, id: &Arc<str>, change: &Change) {
         match change {
             Change::Named(_, rate) => {
@@ -226,25 +226,26 @@
         }
     }
 
-    /// Counts a customer's request.
+    /// Counts a customer's request and its units.
     fn record_customer(&self, customer: &Arc<str>, units: u64, outcome: &'static str) {
         let customer = KeyValue::new("customer", customer.clone());
         self.customer_units.add(units, std::slice::from_ref(&customer));
         self.customer_requests.add(1, &[customer, KeyValue::new("how", outcome_label(outcome))]);
     }
 
-    /// Counts a request's end.
+    /// Records the outcome and the duration of a request that ended.
     fn record_end(&self, outcome: &'static str, after: Duration) {
         self.request_duration.record(after.as_secs_f64(), &[KeyValue::new("how", outcome)]);
     }
 }
 
-/// Names an engine.
+/// Returns the label that names an engine.
 fn engine_label(id: &Arc<str>) -> KeyValue {
     KeyValue::new("engine", id.clone())
 }
 
-/// Gives how a request ended in few words, since there is a series for each customer and word.
+/// Returns a request's outcome as one of a few labels, since each pair of customer and label is a
+/// time series.
 fn outcome_label(outcome: &'static str) -> &'static str {
     match outcome {
         "answered" | "whole" => "served",
--- a/crates/hollyspoke-server/src/node.rs
+++ b/crates/hollyspoke-server/src/node.rs
@@ -30,7 +30,7 @@
 use crate::notes;
 use crate::peers::Peers;
 
-/// The number of stream chunks that are buffered for a client that reads slowly.
+/// The maximum number of stream chunks that are buffered for a client that reads slowly.
 const MAX_QUEUED_CHUNK_COUNT: usize = 16;
 
 /// The answer to a client.
--- a/crates/hollyspoke-server/src/notes.rs
+++ b/crates/hollyspoke-server/src/notes.rs
@@ -9,7 +9,7 @@
 use hollyspoke_gateway::{back_off, departure};
 use slog::{Logger, info, o, warn};
 
-/// Writes a line.
+/// Writes the log line of one decision.
 pub fn write(log: &Logger, note: &LogEvent) {
     match note {
         LogEvent::Configured { version, routes } => {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Writes a line on what an engine takes.
+/// Writes the log line of a change of an engine's limit.
 fn write_limit(log: &Logger, id: &str, change: &Change) {
     match change {
         Change::Named(reported, rate) => warn!(log, "engine limited";
@@ -128,7 +128,7 @@
     }
 }
 
-/// Writes a line on an engine's rest.
+/// Writes the log line of a change of an engine's back-off.
 fn write_back_off(log: &Logger, id: &str, change: &back_off::Change) {
     match change {
         back_off::Change::Begun(duration) => warn!(log, "engine rests";
@@ -139,7 +139,7 @@
     }
 }
 
-/// Gives how a departure ended.
+/// Returns the log's name for how an engine's shutdown ended.
 fn end_name(end: departure::End) -> &'static str {
     match end {
         departure::End::Gone => "gone",
@@ -147,23 +147,23 @@
     }
 }
 
-/// Gives the engines that a request was kept from for a reason, if there are any.
+/// Returns the engines that were excluded for a request by a restriction; none if there are none.
 fn excluded_engines(exclusions: &[Exclusion], by: Restriction) -> Option<String> {
     let engines: Vec<_> =
         exclusions.iter().filter(|it| it.reason == by).map(|it| &*it.engine).collect();
     (!engines.is_empty()).then(|| engines.join(" "))
 }
 
-/// The most boxes that one line names.
+/// The maximum number of boxes that one log line names.
 const MAX_NAMED_BOX_COUNT: usize = 4;
 
-/// Gives the first of some addresses.
+/// Returns the first of the given addresses as text.
 fn first_addresses(nodes: &[SocketAddr]) -> String {
     let first: Vec<_> = nodes.iter().take(MAX_NAMED_BOX_COUNT).map(SocketAddr::to_string).collect();
     first.join(" ")
 }
 
-/// Gives a stage's name.
+/// Returns the log's name of a stage.
 fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Prefill => "reads",
@@ -171,7 +171,7 @@
     }
 }
 
-/// Gives a span in whole milliseconds.
+/// Returns a duration in whole milliseconds.
 fn millis(duration: &std::time::Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/hollyspoke-server/src/run.rs
+++ b/crates/hollyspoke-server/src/run.rs
@@ -24,43 +24,43 @@
 use crate::upstream::UPSTREAM_CLIENT;
 use crate::{directory, front, handover, sync};
 
-/// How often the settings file is looked at, since it may change without a signal.
+/// How often the settings file is checked for changes, since it may change without a signal.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The part of the grace that is left unused.
+/// The part of the grace period that is left unused.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
-/// How many ports of the system's choice are tried.
+/// The maximum number of attempts to bind both sockets to a port that the operating system assigns.
 const MAX_BIND_ATTEMPTS: u32 = 8;
 
-/// How often a stopping box looks whether it is done.
+/// How often a stopping box checks whether it is done.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A box that runs.
+/// A running box.
 #[derive(Debug)]
 pub struct Running {
     /// The box.
     pub node: Rc<Node>,
-    /// Where it listens for clients.
+    /// The address for clients' requests.
     pub front: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// The address for readiness checks.
     pub ready: SocketAddr,
-    /// Where it tells clients which addresses to use.
+    /// The address for clients that ask for addresses.
     pub directory: SocketAddr,
-    /// Where it gives its metrics, if anywhere.
+    /// The address of the metrics; none if they are not served.
     pub metrics: Option<SocketAddr>,
     /// How long a stop may take.
     grace: Duration,
-    /// Closes the front's connections.
+    /// Closes clients' connections.
     close: watch::Sender<bool>,
 }
 
-/// Runs a box until it was told to stop and has answered what it had taken up. Needs a
+/// Runs a box until it was told to stop and its requests in flight are answered. Needs a
 /// [`tokio::task::LocalSet`].
 ///
 /// # Errors
 ///
-/// If an address can't be bound, or signals can't be taken.
+/// If an address can't be bound, or signal handlers can't be installed.
 pub async fn run(
     settings: Settings,
     path: PathBuf,
@@ -75,7 +75,8 @@
     Ok(())
 }
 
-/// Starts a box. Needs a [`tokio::task::LocalSet`]. Ports may be 0.
+/// Starts a box. Needs a [`tokio::task::LocalSet`]. Ports may be 0 for a port that the operating
+/// system assigns.
 ///
 /// # Errors
 ///
@@ -137,8 +138,8 @@
     Ok(running)
 }
 
-/// Binds the two sockets for other boxes at one port: for datagrams and for handovers. A port that
-/// the system chooses may be taken for one of them; then another is tried.
+/// Binds the two sockets for other boxes, for datagrams and for handovers, to the same port. If the
+/// operating system assigns the port, it may be in use for one of them; then another port is tried.
 async fn bind_peers(address: SocketAddr, log: &Logger) -> eyre::Result<(Peers, TcpListener)> {
     let bind_error = || format!("cannot bind {address} for other boxes");
     let mut attempts_left = if address.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
@@ -154,8 +155,8 @@
 }
 
 impl Running {
-    /// Sees the planned stop through: requests under way are answered, and clients are sent
-    /// elsewhere.
+    /// Completes a planned stop: requests in flight are answered, and clients are directed to other
+    /// boxes.
     pub async fn stop(self) {
         self.node.dispatch(Event::Stop);
         let max_duration = self.grace.saturating_sub(GRACE_MARGIN);
@@ -168,13 +169,13 @@
             tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         self.close.send_replace(true);
-        // Answers that have just ended still have to be written.
+        // Answers that have just ended still have to be written to their connections.
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         info!(self.node.log, "stopped");
     }
 }
 
-/// Tells the reducer of time whenever it needs to know.
+/// Dispatches a tick to the reducer whenever one is due.
 async fn tick(node: Rc<Node>) {
     loop {
         tokio::select! {
@@ -184,8 +185,8 @@
     }
 }
 
-/// Reads the settings again when they may have changed. Only the seeds can change in a life of
-/// the process; a file that is wrong is reported and changes nothing.
+/// Reloads the settings when they may have changed. Only the seeds can change while the process
+/// runs. An invalid file is reported and changes nothing.
 async fn watch_settings(node: Rc<Node>, path: PathBuf, first: Settings) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     let mut current = first;
@@ -217,13 +218,13 @@
     }
 }
 
-/// Gives the Unix time in seconds; 0 if the time of day is before its beginning.
+/// Returns the Unix time in seconds; 0 if the clock is set before 1970.
 fn unix_seconds() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |it| it.as_secs())
 }
 
-/// Gives when a file was changed, if it is there.
+/// Returns when a file was last modified; none if it can't be read.
 fn modified(path: &std::path::Path) -> Option<std::time::SystemTime> {
     std::fs::metadata(path).and_then(|it| it.modified()).ok()
 }
--- a/crates/hollyspoke-server/src/settings.rs
+++ b/crates/hollyspoke-server/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one box: a TOML file whose findings are gathered and reported together.
+//! The settings of one box: a TOML file. All errors in it are collected and reported together.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,89 +13,91 @@
 use hollyspoke_gateway::region::Regions;
 use serde::Deserialize;
 
-/// The file as it is written.
+/// The settings file as it is parsed.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct File {
     /// This box.
     #[serde(rename = "box")]
     pub node: NodeSection,
-    /// The region of each data centre; without one all are taken to lie together.
+    /// The region of each data centre. Without any entry, all data centres are treated as one
+    /// region.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Where this box listens.
+    /// The addresses at which this box listens.
     pub listen: ListenSection,
     /// The platform's store.
     pub store: StoreSection,
-    /// The bounds that are kept.
+    /// The limits of the box's behaviour.
     #[serde(default)]
     pub bounds: BoundsSection,
 }
 
-/// This box.
+/// The settings of this box itself.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct NodeSection {
     /// The box's name, for logs.
     pub name: String,
     /// The box's data centre.
     pub data_centre: String,
-    /// Addresses of some other boxes; of each only the IP counts.
+    /// The addresses of some other boxes; only their IP addresses are used.
     #[serde(default)]
     pub seeds: Vec<String>,
 }
 
-/// Where the box listens.
+/// The addresses at which the box listens.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct ListenSection {
-    /// For clients.
+    /// The address for clients' requests.
     pub front: String,
-    /// For the platform's question whether the box is ready.
+    /// The address for the platform's readiness check.
     pub ready: String,
-    /// For clients that ask for addresses.
+    /// The address for clients that ask for addresses.
     pub directory: String,
-    /// For whoever reads the metrics, if anybody.
+    /// The address for reading the metrics; none if they are not served.
     #[serde(default)]
     pub metrics: Option<String>,
     /// The port for other boxes, the same on all boxes.
     pub peer_port: u16,
-    /// The port at which other boxes reach this one, if it is another: something that stands before
-    /// it passes on what comes there. The same on all boxes.
+    /// The port at which other boxes reach this one, if it differs: a proxy in front of the box
+    /// forwards what is sent there. The same on all boxes.
     #[serde(default)]
     pub peer_announced_port: Option<u16>,
 }
 
-/// The store.
+/// The settings of the store.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct StoreSection {
-    /// Where it listens.
+    /// The store's address.
     pub address: String,
 }
 
-/// The bounds.
+/// The limits of a box's behaviour.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct BoundsSection {
-    /// Repeats allowed for each request.
+    /// The number of retries allowed per request.
     pub retry_ratio: f64,
-    /// Repeats allowed beside the ratio, over all boxes.
+    /// The number of retries allowed in addition to the ratio, over all boxes.
     pub retry_allowance: f64,
-    /// The span over which both are counted, in seconds.
+    /// The window over which both are counted, in seconds.
     pub retry_window_s: f64,
-    /// How long a stopped process may take to end, in seconds.
+    /// How long a process may take to end after it is told to stop, in seconds.
     pub grace_s: f64,
-    /// The least time between orders of two boxes to one engine, in milliseconds.
+    /// The minimum interval between orders of two boxes to one engine, in milliseconds.
     pub order_pause_ms: f64,
-    /// How long an engine that says that it leaves goes on serving, in milliseconds; 0 if that is not
-    /// to be counted on.
+    /// How long an engine continues to serve after it reports that it is shutting down, in
+    /// milliseconds; 0 if this can't be relied on.
     pub drain_ms: f64,
-    /// The span over which customers' sums are bounded, in seconds.
+    /// The window over which customers' totals are bounded, in seconds.
     pub quota_window_s: f64,
-    /// The share of a customer's limit by which its sum may exceed it.
+    /// The share of a customer's limit by which the customer's total may exceed it.
     pub quota_overrun: f64,
-    /// The units by which a customer's sum may exceed its limit beside that share.
+    /// The number of units by which a customer's total may exceed its limit in addition to that
+    /// share.
     pub quota_slack: f64,
     /// How boxes share customers' limits.
     pub quota_sharing: SharingSetting,
-    /// How many boxes share customers' limits, if that is known.
+    /// The number of boxes that share customers' limits; none if unknown.
     pub quota_boxes: Option<NonZeroUsize>,
 }
 
@@ -103,9 +105,9 @@
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum SharingSetting {
-    /// Each has an equal part.
+    /// Each box has an equal part of the limit.
     Parts,
-    /// Each tells the others what it lets through.
+    /// Each box announces to the others how much it has admitted.
     Totals,
 }
 
@@ -127,12 +129,12 @@
     }
 }
 
-/// One setting that is wrong.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// The setting's name.
     pub setting: String,
-    /// What is wrong with it.
+    /// A description of the error.
     pub message: String,
 }
 
@@ -142,60 +144,60 @@
     }
 }
 
-/// The settings, checked.
+/// The settings after they have been checked.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The box's name, for logs.
     pub name: String,
     /// The box's data centre.
     pub data_centre: String,
-    /// The regions of all data centres.
+    /// The regions of the data centres.
     pub regions: Regions,
-    /// Where the box listens for clients.
+    /// The address for clients' requests.
     pub front: SocketAddr,
-    /// Where the box tells whether it is ready.
+    /// The address for readiness checks.
     pub ready: SocketAddr,
-    /// Where the box tells clients which addresses to use.
+    /// The address for clients that ask for addresses.
     pub directory: SocketAddr,
-    /// Where the box gives its metrics, if anywhere.
+    /// The address for reading the metrics; none if they are not served.
     pub metrics: Option<SocketAddr>,
-    /// Where the box listens for other boxes.
+    /// The address at which the box listens for other boxes.
     pub peer: SocketAddr,
-    /// Where other boxes reach this one, if not there.
+    /// The address at which other boxes reach this one, if it differs.
     pub announced_peer: Option<SocketAddr>,
-    /// Where some other boxes listen for other boxes.
+    /// The addresses at which some other boxes listen for boxes.
     pub seeds: Vec<SocketAddr>,
-    /// Where the store listens.
+    /// The store's address.
     pub store: SocketAddr,
-    /// How often requests may be sent to a second engine.
+    /// The limit of how often requests may be sent to a second engine.
     pub bound: Bound,
-    /// How long a stopped process may take to end.
+    /// How long a process may take to end after it is told to stop.
     pub grace: Duration,
-    /// The least time between orders of two boxes to one engine.
+    /// The minimum interval between orders of two boxes to one engine.
     pub order_pause: Duration,
-    /// How long an engine that says that it leaves goes on serving.
+    /// How long an engine continues to serve after it reports that it is shutting down.
     pub drain: Duration,
-    /// How exactly customers' limits are kept.
+    /// The tolerance within which customers' limits are enforced.
     pub tolerance: Tolerance,
     /// How boxes share customers' limits.
     pub sharing: Sharing,
-    /// How many boxes share them, if that is known.
+    /// The number of boxes that share the limits; none if unknown.
     pub boxes: Option<usize>,
 }
 
-/// The checks so far.
+/// Collects the errors that the checks find.
 #[derive(Default)]
 struct Checker {
-    /// What is wrong.
+    /// The errors found so far.
     findings: Vec<Finding>,
 }
 
 impl Settings {
-    /// Reads and checks the file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// All errors in the file.
     pub fn read(path: &Path) -> Result<Settings, Vec<Finding>> {
         let text = std::fs::read_to_string(path).map_err(|error| {
             vec![Finding { setting: path.display().to_string(), message: error.to_string() }]
@@ -203,11 +205,11 @@
         Settings::parse(&text)
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// All errors in the text.
     pub fn parse(text: &str) -> Result<Settings, Vec<Finding>> {
         let file: File = toml::from_str(text).map_err(|error| {
             vec![Finding { setting: "file".to_owned(), message: error.to_string() }]
@@ -271,7 +273,7 @@
 }
 
 impl Checker {
-    /// Reads an address; a placeholder stands in for one that is wrong.
+    /// Parses an address. Records an error and returns a placeholder if it is malformed.
     fn address(&mut self, setting: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
             let message = format!("`{text}` is not IP:PORT");
@@ -280,7 +282,8 @@
         })
     }
 
-    /// Checks a number that may not be negative.
+    /// Checks that a number is finite, not negative and below 10^9. Records an error and returns 0
+    /// otherwise.
     fn not_negative(&mut self, setting: &str, value: f64) -> f64 {
         if value.is_finite() && (0.0..1e9).contains(&value) {
             return value;
--- a/crates/hollyspoke-server/src/sync.rs
+++ b/crates/hollyspoke-server/src/sync.rs
@@ -36,7 +36,7 @@
 /// How long the store waits for changes when a list is brought up to date: the shortest wait.
 const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
 
-/// The number of page reads that may be retried in one list before the list is restarted.
+/// The maximum number of page reads that may be retried in one list before the list is restarted.
 const MAX_PAGE_RETRIES: u32 = 40;
 
 /// The pause after changes of engines, so that further changes are batched into the next call.
@@ -48,7 +48,7 @@
 /// The minimum and maximum pause after a failed call, before doubling.
 const RETRY_PAUSE_RANGE_MS: (u64, u64) = (120, 350);
 
-/// The number of times that the pause doubles while calls keep failing.
+/// The maximum number of times that the pause doubles while calls keep failing.
 const MAX_PAUSE_DOUBLINGS: u32 = 1;
 
 /// The size limit of one answer.
