--- a/crates/hollyspoke-wire/src/caller.rs
+++ b/crates/hollyspoke-wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! The names that callers and boxes use towards each other over HTTP.
+//! The header names and the error format of the HTTP interface between callers and boxes.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,36 +11,36 @@
 /// The header that names the tenant.
 pub const TENANT: &str = "hollyspoke-tenant";
 
-/// The header that gives the class, 0 for a person waiting.
+/// The header with the class of the request; 0 if a person waits for the response.
 pub const CLASS: &str = "hollyspoke-class";
 
-/// The header by which a box marks a request that it passes on.
+/// The header by which a box marks a request that it relays.
 pub const RELAYED: &str = "hollyspoke-relayed";
 
 /// The header with a caller's own idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What the stable types of problems begin with.
+/// The prefix of the stable problem types.
 pub const PROBLEM_BASE: &str = "urn:hollyspoke:problem:";
 
-/// The content type of problems.
+/// The content type of problem responses.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// A problem as callers get it.
+/// A problem as it is sent to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The stable type.
+    /// The stable type of the problem, which begins with [`PROBLEM_BASE`].
     #[serde(rename = "type")]
     pub kind: String,
     /// The HTTP status.
     pub status: u16,
-    /// The type in words.
+    /// A readable title of the type.
     pub title: String,
     /// What happened to this request.
     pub detail: String,
     /// Whether the request ran: `no`, `failed`, or `unknown`.
     pub ran: String,
-    /// When to come back, in milliseconds, where that makes sense.
+    /// When to retry, in milliseconds; absent if a retry is of no use.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/hollyspoke-wire/src/engine.rs
+++ b/crates/hollyspoke-wire/src/engine.rs
@@ -1,4 +1,4 @@
-//! The model engines' interface, as the router assumes it: JSON over HTTP.
+//! The HTTP interface of model engines that the router assumes, with JSON bodies.
 
 use bytes::Bytes;
 use futures::{Stream, StreamExt, stream};
@@ -12,56 +12,57 @@
 
 use crate::http::{CallError, Client};
 
-/// The status with which a decode engine says that it has no room.
+/// The status of a decode engine that has no free capacity.
 pub const STATUS_FULL: u16 = 409;
 
-/// The status with which an engine refuses an order of an older token.
+/// The status of an engine that rejects an order with an outdated fencing token.
 pub const STATUS_FENCED: u16 = 412;
 
-/// The longest line of a stream, in bytes.
+/// The maximum length of a line of a stream, in bytes.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// `POST /v1/prefill`: compute a prompt and keep the result for a few seconds.
+/// `POST /v1/prefill`: prefills a prompt and caches the result for a few seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Prefill {
-    /// The stream's name.
+    /// The identifier of the stream.
     pub stream: String,
-    /// The model or adapter.
+    /// The name of the model or adapter.
     pub model: String,
-    /// The prompt.
+    /// The text of the prompt.
     pub prompt: String,
-    /// The prompt's length by the router's count, in tokens.
+    /// The length of the prompt by the router's count, in tokens.
     pub prompt_tokens: u32,
-    /// The priority, the lowest number first.
+    /// The priority; lower numbers are served first.
     pub priority: u8,
 }
 
-/// The answer to [`Prefill`].
+/// The response to [`Prefill`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Prefilled {
-    /// The prompt tokens that the engine's cache already held.
+    /// The prompt tokens that were in the engine's cache already.
     pub cached_tokens: u32,
 }
 
-/// `POST /v1/import`: fetch a prefill result from another engine, reserving memory for the stream.
+/// `POST /v1/import`: fetches a prefill result from another engine and reserves memory for the
+/// stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Import {
-    /// The stream's name.
+    /// The identifier of the stream.
     pub stream: String,
-    /// The address of the engine that has the result.
+    /// The address of the engine that holds the result.
     pub from: String,
     /// The memory to reserve, in tokens.
     pub tokens: u32,
 }
 
-/// `POST /v1/decode`: generate; the answer is a line of JSON for each [`Line`].
+/// `POST /v1/decode`: decodes a stream. The response has a line of JSON for each [`Line`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Decode {
-    /// The stream's name.
+    /// The identifier of the stream.
     pub stream: String,
-    /// The most tokens of the whole answer.
+    /// The maximum number of tokens of the whole response.
     pub max_tokens: u32,
-    /// The place of the first token wanted; those before it were delivered already.
+    /// The position of the first token to send; those before it were delivered already.
     pub from_seq: u32,
 }
 
@@ -69,63 +70,64 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Line {
-    /// A token.
+    /// A token of the response.
     Token {
-        /// Its place in the answer, from zero.
+        /// Its position in the response, from zero.
         seq: u32,
         /// Its text.
         text: String,
     },
-    /// The end of the answer.
+    /// The end of the response.
     Finished {
-        /// Why: `stop` or `length`.
+        /// The reason: `stop` or `length`.
         finished: String,
     },
 }
 
-/// `POST /v1/cancel`: stop a stream and free all that is held for it. Unknown streams are no error.
+/// `POST /v1/cancel`: stops a stream and frees all resources of it. An unknown stream is no error.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Cancel {
-    /// The stream's name.
+    /// The identifier of the stream.
     pub stream: String,
 }
 
-/// `POST /v1/orders`: be of a role and load models and adapters. An engine that compares tokens
-/// answers one below the highest it has seen with the status [`STATUS_FENCED`].
+/// `POST /v1/orders`: sets the role of an engine and the models and adapters that it loads. An
+/// engine that compares fencing tokens responds with [`STATUS_FENCED`] to a token below the highest
+/// that it has received.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FencedOrder {
     /// The fencing token.
     pub token: u64,
-    /// The role.
+    /// The role to take.
     pub role: Role,
-    /// The model and adapters to have loaded.
+    /// The model and the adapters to load.
     pub load: Vec<String>,
 }
 
-/// An answer that says nothing.
+/// An empty response.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Empty {}
 
-/// `GET /v1/report`: what the engine says of itself.
+/// `GET /v1/report`: the load and state that an engine reports.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Load {
     /// The KV cache in use, in tokens.
     pub used_tokens: u64,
-    /// The names of the streams that it holds.
+    /// The identifiers of the streams that the engine holds.
     pub streams: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// Its role, where it takes orders.
+    /// Its role, if it accepts orders.
     #[serde(default)]
     pub role: Option<Role>,
-    /// What it has loaded, where it takes orders.
+    /// The models and adapters that it has loaded, if it accepts orders.
     #[serde(default)]
     pub loaded: Vec<String>,
 }
 
 impl Load {
-    /// Gives the report for the reducer; streams that are not the router's are left out.
+    /// Converts the report for the reducer. Streams that are not the router's are left out.
     pub fn report(&self) -> Report {
         let streams = self.streams.iter().filter_map(|it| it.parse::<Ticket>().ok()).collect();
         let state = self.role.map(|role| EngineState { role, loaded: self.loaded.clone() });
@@ -133,11 +135,11 @@
     }
 }
 
-/// Gives the lines of a stream as they come.
+/// Returns the lines of a stream as they arrive.
 ///
 /// # Errors
 ///
-/// When the stream can't be begun; an error among the lines when it breaks off.
+/// If the stream can't be started. An error among the lines means that the stream broke off.
 pub async fn decode(
     client: &Client,
     address: &str,
@@ -160,15 +162,15 @@
     Ok(lines(response.into_body()))
 }
 
-/// What is left of a body that is cut into lines.
+/// The unread rest of a body that is split into lines.
 struct LineReader {
-    /// The body.
+    /// The body that is read.
     body: Incoming,
-    /// Bytes of a line that has not ended.
+    /// The bytes of an incomplete line.
     bytes: Vec<u8>,
 }
 
-/// Cuts a body into lines of JSON.
+/// Splits a body into lines of JSON.
 fn lines(body: Incoming) -> impl Stream<Item = Result<Line, CallError>> + Send {
     let reader = LineReader { body, bytes: Vec::new() };
     stream::unfold(Some(reader), |reader| async move {
@@ -183,7 +185,7 @@
 }
 
 impl LineReader {
-    /// Reads the next line; nothing at the body's end.
+    /// Reads the next line; `None` at the end of the body.
     async fn next_line(&mut self) -> Result<Option<Line>, CallError> {
         loop {
             if let Some(end) = self.bytes.iter().position(|it| *it == b'\n') {
--- a/crates/hollyspoke-wire/src/http.rs
+++ b/crates/hollyspoke-wire/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client over `hyper-util`, which tells whether a failed call was ever sent.
+//! A small HTTP client over `hyper-util`, which reports whether a failed call was sent at all.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,44 +13,44 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// How long opening a connection may take.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest body that is read whole, in bytes.
+/// The maximum size of a body that is read as a whole, in bytes.
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// A client for all calls of one process.
+/// The HTTP client for all calls of a process.
 #[derive(Debug, Clone)]
 pub struct Client {
-    /// The connections kept open.
+    /// The client that pools connections.
     pooled: Pooled<HttpConnector, Full<Bytes>>,
-    /// A client that opens a connection for each call.
+    /// The client that opens a connection for each call.
     unpooled: Pooled<HttpConnector, Full<Bytes>>,
 }
 
-/// Why a call gave no answer that could be used.
+/// The reason why a call got no usable response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection could be opened: nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Connect(String),
-    /// It failed after something may have been sent.
+    /// The call failed after some of it may have been sent.
     Sent(String),
-    /// The answer had a status that says no.
+    /// The response had an error status.
     Status {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The body, as text.
+        /// The response body, as text.
         body: String,
     },
 }
 
 impl CallError {
-    /// Tells whether anything of the call may have reached the other side.
+    /// Returns whether any part of the call may have reached the other side.
     pub fn may_have_arrived(&self) -> bool {
         !matches!(self, CallError::Connect(_))
     }
 
-    /// Gives the status of the answer, if there was one.
+    /// Returns the status of the response, if there was one.
     pub fn status(&self) -> Option<u16> {
         match self {
             CallError::Status { status, .. } => Some(*status),
@@ -78,7 +78,7 @@
 }
 
 impl Client {
-    /// Makes a client.
+    /// Creates a client without open connections.
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -91,11 +91,11 @@
         Client { pooled, unpooled }
     }
 
-    /// Sends a request over a kept connection.
+    /// Sends a request over a pooled connection.
     ///
     /// # Errors
     ///
-    /// When no answer comes; any status is an answer.
+    /// If no response arrives. A response with any status is a success here.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -103,12 +103,12 @@
         self.pooled.request(request).await.map_err(call_error)
     }
 
-    /// Sends a request over a connection of its own, so that a connection which the other side is
-    /// just closing can't leave it unclear whether the request arrived.
+    /// Sends a request over a connection of its own. A pooled connection that the other side is
+    /// closing could leave it unclear whether the request arrived.
     ///
     /// # Errors
     ///
-    /// When no answer comes; any status is an answer.
+    /// If no response arrives. A response with any status is a success here.
     pub async fn send_unpooled(
         &self,
         request: Request<Full<Bytes>>,
@@ -116,20 +116,20 @@
         self.unpooled.request(request).await.map_err(call_error)
     }
 
-    /// Reads a JSON value.
+    /// Sends a GET request and reads a JSON value.
     ///
     /// # Errors
     ///
-    /// When no answer comes, its status is not a success, or it is not the JSON expected.
+    /// If no response arrives, its status is no success, or its body is not the expected JSON.
     pub async fn get<T: DeserializeOwned>(&self, url: &str) -> Result<T, CallError> {
         self.json(Method::GET, url, Bytes::new()).await
     }
 
-    /// Sends a JSON value and reads one.
+    /// Sends a JSON value in a POST request and reads one.
     ///
     /// # Errors
     ///
-    /// When no answer comes, its status is not a success, or it is not the JSON expected.
+    /// If no response arrives, its status is no success, or its body is not the expected JSON.
     pub async fn post<T: DeserializeOwned>(
         &self,
         url: &str,
@@ -138,11 +138,11 @@
         self.json(Method::POST, url, encode(body)?).await
     }
 
-    /// Writes a JSON value and reads one.
+    /// Sends a JSON value in a PUT request and reads one.
     ///
     /// # Errors
     ///
-    /// When no answer comes, its status is not a success, or it is not the JSON expected.
+    /// If no response arrives, its status is no success, or its body is not the expected JSON.
     pub async fn put<T: DeserializeOwned>(
         &self,
         url: &str,
@@ -151,7 +151,7 @@
         self.json(Method::PUT, url, encode(body)?).await
     }
 
-    /// Makes one call with JSON on both ways.
+    /// Sends a request with a JSON body and reads a JSON response.
     async fn json<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -175,24 +175,24 @@
     }
 }
 
-/// Reads a response's whole body.
+/// Reads the whole body of a response.
 ///
 /// # Errors
 ///
-/// When the body breaks off or is larger than [`BODY_LIMIT`].
+/// If the body breaks off or is larger than [`MAX_BODY_BYTES`].
 pub async fn read_whole(response: Response<Incoming>) -> Result<Bytes, CallError> {
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
     let whole = body.collect().await.map_err(|error| CallError::Sent(error.to_string()))?;
     Ok(whole.to_bytes())
 }
 
-/// Writes a value as JSON.
+/// Encodes a value as JSON.
 fn encode(value: &impl Serialize) -> Result<Bytes, CallError> {
     let bytes = serde_json::to_vec(value).map_err(|error| CallError::Connect(error.to_string()))?;
     Ok(Bytes::from(bytes))
 }
 
-/// Tells apart what was never sent.
+/// Distinguishes calls that were never sent from those that may have arrived.
 fn call_error(error: hyper_util::client::legacy::Error) -> CallError {
     let reason = match std::error::Error::source(&error) {
         Some(source) => format!("{error}: {source}"),
--- a/crates/hollyspoke-wire/src/lib.rs
+++ b/crates/hollyspoke-wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What crosses a socket: messages between boxes, the engines' interface, the platform's object
-//! interface, and the HTTP client that carries the last two.
+//! The network formats and clients: messages between boxes, the interface of engines, the
+//! platform's object interface, and the HTTP client for the last two.
 
 pub mod caller;
 pub mod engine;
--- a/crates/hollyspoke-wire/src/peer.rs
+++ b/crates/hollyspoke-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes, by `tarpc` over TCP.
+//! Messages between boxes, sent by `tarpc` over TCP.
 
 use std::time::{Duration, Instant};
 
@@ -14,26 +14,26 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// How long a call to another box may take.
+/// The timeout of a call to another box.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest frame, in bytes.
+/// The maximum size of a frame, in bytes.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// What boxes call on each other.
+/// The calls that boxes make to each other.
 #[tarpc::service]
 pub trait Peer {
-    /// Says who calls and gives the entry of the box called.
+    /// Sends the caller's entry and returns the entry of the called box.
     async fn greet(from: Entry) -> Entry;
 
-    /// Delivers messages in their order; false when `to` is not the box called.
+    /// Delivers messages in order; returns false if the called box is not the incarnation `to`.
     async fn deliver(from: Incarnation, to: Incarnation, messages: Vec<Message>) -> bool;
 }
 
 /// A connection to another box.
 #[derive(Debug, Clone)]
 pub struct Connection {
-    /// The client of the connection.
+    /// The `tarpc` client of the connection.
     client: PeerClient,
 }
 
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be opened in time.
+    /// If it can't be opened in time.
     pub async fn open(address: &str) -> std::io::Result<Connection> {
         let mut connect = tcp::connect(address.to_owned(), Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
@@ -51,20 +51,20 @@
         Ok(Connection { client })
     }
 
-    /// Greets the box.
+    /// Exchanges entries with the other box.
     ///
     /// # Errors
     ///
-    /// When no answer comes in time.
+    /// If no response arrives in time.
     pub async fn greet(&self, from: Entry) -> Result<Entry, client::RpcError> {
         self.client.greet(call_context(), from).await
     }
 
-    /// Delivers messages; false when the box is another incarnation.
+    /// Delivers messages; returns false if the other box is not the incarnation `to`.
     ///
     /// # Errors
     ///
-    /// When no answer comes in time; the messages may have arrived.
+    /// If no response arrives in time; the messages may have been delivered.
     pub async fn deliver(
         &self,
         from: Incarnation,
@@ -75,45 +75,45 @@
     }
 }
 
-/// What other boxes have sent.
+/// A message or greeting from another box.
 #[derive(Debug)]
 pub enum Received {
-    /// A box has greeted this one.
+    /// Another box has greeted this one.
     Greeting(Entry),
-    /// A box has sent messages.
+    /// Another box has sent messages.
     Messages {
-        /// The sender.
+        /// The incarnation that sent them.
         from: Incarnation,
         /// The messages, in order.
         messages: Vec<Message>,
     },
 }
 
-/// The receiving end of a box.
+/// The server for calls from other boxes.
 #[derive(Debug, Clone)]
 pub struct Inbox {
-    /// This box's entry as it stands.
+    /// The current entry of this box.
     entry: watch::Receiver<Entry>,
-    /// Where to put what comes.
+    /// The channel to which received messages are sent.
     received: mpsc::UnboundedSender<Received>,
 }
 
 impl Inbox {
-    /// Makes the receiving end of a box whose entry can be watched.
+    /// Creates the server of a box whose entry can be watched.
     pub fn new(entry: watch::Receiver<Entry>, received: mpsc::UnboundedSender<Received>) -> Inbox {
         Inbox { entry, received }
     }
 
-    /// Serves the connections that come in on a socket, until the task is dropped.
+    /// Serves incoming connections on a socket until the task is dropped.
     ///
     /// # Errors
     ///
-    /// When the socket can't be listened on.
+    /// If the socket can't accept connections.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         loop {
             let (socket, _) = listener.accept().await?;
             if socket.set_nodelay(true).is_err() {
-                // The connection is gone already.
+                // The connection was closed already.
                 continue;
             }
             let mut codec = LengthDelimitedCodec::builder();
@@ -121,13 +121,13 @@
             let transport = tarpc::serde_transport::new(framed, Bincode::default());
             let channel = BaseChannel::with_defaults(transport);
             let requests = channel.execute(self.clone().serve_calls());
-            // The calls of one connection are worked out in turn, which keeps the order of
+            // The calls of a connection are handled one after another, which keeps the order of
             // messages.
             tokio::spawn(requests.for_each(|answer| answer));
         }
     }
 
-    /// Gives the calls' server; `serve` would also name the method above.
+    /// Returns the `tarpc` server. The name `serve` would conflict with the method above.
     fn serve_calls(self) -> ServePeer<Inbox> {
         Peer::serve(self)
     }
@@ -135,7 +135,7 @@
 
 impl Peer for Inbox {
     async fn greet(self, _: context::Context, from: Entry) -> Entry {
-        // A closed channel means that this box is stopping, when nobody needs the greeting.
+        // A closed channel means that this box is stopping; the greeting is of no use then.
         let _ = self.received.send(Received::Greeting(from));
         self.entry.borrow().clone()
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Makes a call's context with its time limit.
+/// Creates the context of a call with its deadline.
 fn call_context() -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + CALL_TIMEOUT;
--- a/crates/hollyspoke-wire/src/platform.rs
+++ b/crates/hollyspoke-wire/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's object interface, as the router assumes it: JSON over HTTP, with versions,
-//! conditional writes and waiting watches.
+//! The platform's object interface that the router assumes: JSON over HTTP, with versions,
+//! conditional writes and long-polling watches.
 
 use std::time::Duration;
 
@@ -11,129 +11,128 @@
 
 use crate::http::{CallError, Client};
 
-/// The status that says that the version was another one.
+/// The status of a write whose expected version is not the current one.
 pub const STATUS_CONFLICT: u16 = 409;
 
-/// The status that says that there is no such object, or that a watch saw no change.
+/// The status of a read without an object, or of a watch that ended without a change.
 pub const STATUS_NOT_FOUND: u16 = 404;
 
-/// The kind under which sites are kept.
+/// The kind under which sites are stored.
 pub const SITE_KIND: &str = "sites";
 
-/// How long a watch waits on the platform's side. Two boxes of each data centre hold one, so that
-/// a short wait costs few reads, and it bounds how long a store that has fallen silent goes
-/// unnoticed.
+/// How long the platform holds a watch open. Two boxes of each data centre hold a watch, so a short
+/// wait costs few reads; it also limits how long an unresponsive store goes unnoticed.
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// How long a read or a write may take.
+/// The timeout of a read or a write.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An object as the platform gives it.
+/// An object as the platform returns it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// The object's version; each write gives a higher one.
+    /// The version of the object; each write increases it.
     pub version: u64,
-    /// Its value.
+    /// The stored value.
     pub value: String,
 }
 
-/// `PUT /v1/objects/<kind>/<name>`: write if the version is the one expected.
+/// `PUT /v1/objects/<kind>/<name>`: writes an object if its version is the expected one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The version expected; zero when the object must not be there.
+    /// The expected version; zero if the object must not exist.
     pub expected: u64,
     /// The new value.
     pub value: String,
 }
 
-/// The answer to a [`Put`] that took effect.
+/// The response to a [`Put`] that was applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
     /// The new version.
     pub version: u64,
 }
 
-/// A site's file as it is kept in the store.
+/// A site file as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSite {
-    /// The number drawn for this apply, by which a lost answer is settled.
+    /// The random identifier of the apply. If a response is lost, it shows whose write was applied.
     pub apply_id: String,
-    /// The file's text.
+    /// The text of the file.
     pub text: String,
 }
 
-/// Why an object is not a site.
+/// The reason why an object is not a valid site.
 #[derive(Debug)]
 pub enum SiteError {
     /// The value is not a [`StoredSite`].
     Value(String),
-    /// The file has mistakes.
+    /// The file has errors.
     File(Vec<Finding>),
 }
 
 impl Object {
-    /// Reads the object as a site.
+    /// Parses the object as a site.
     ///
     /// # Errors
     ///
-    /// When it is none.
+    /// If it is not a valid site.
     pub fn site(&self) -> Result<Versioned, SiteError> {
         let stored = self.stored_site()?;
         let site = hollyspoke_file::read(&stored.text).map_err(SiteError::File)?;
         Ok(Versioned { version: self.version, site })
     }
 
-    /// Reads the object as a stored file, without checking the file.
+    /// Parses the object as a stored file, without checking the file.
     ///
     /// # Errors
     ///
-    /// When the value is not one.
+    /// If the value is not a [`StoredSite`].
     pub fn stored_site(&self) -> Result<StoredSite, SiteError> {
         serde_json::from_str(&self.value).map_err(|it| SiteError::Value(it.to_string()))
     }
 }
 
-/// The platform at one address.
+/// A client for the platform at one address.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    /// The client.
+    /// The HTTP client.
     client: Client,
     /// The platform's address.
     address: String,
 }
 
 impl Platform {
-    /// Makes a handle; nothing is called yet.
+    /// Creates a client; no call is made yet.
     pub fn new(client: Client, address: impl Into<String>) -> Platform {
         Platform { client, address: address.into() }
     }
 
-    /// Reads an object; nothing when there is none.
+    /// Reads an object; returns `None` if there is none.
     ///
     /// # Errors
     ///
-    /// When no answer comes in time.
+    /// If no response arrives in time.
     pub async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, CallError> {
         let url = self.url(kind, name);
         absent_as_none(with_timeout(CALL_TIMEOUT, self.client.get(&url)).await)
     }
 
-    /// Writes an object if its version is the one expected.
+    /// Writes an object if its version is the expected one.
     ///
     /// # Errors
     ///
-    /// When no answer comes in time, in which case the write may have taken effect or may yet do
-    /// so, or when the version is another one ([`STATUS_CONFLICT`]).
+    /// If no response arrives in time, in which case the write may have been applied or may still
+    /// be, or if the version is a different one ([`STATUS_CONFLICT`]).
     pub async fn put(&self, kind: &str, name: &str, put: &Put) -> Result<Written, CallError> {
         let url = self.url(kind, name);
         with_timeout(CALL_TIMEOUT, self.client.put(&url, put)).await
     }
 
-    /// Waits until an object has a version above the one given; nothing when the wait is over.
+    /// Waits until an object has a version above `after`; returns `None` if the wait ends before.
     ///
     /// # Errors
     ///
-    /// When no answer comes.
+    /// If no response arrives.
     pub async fn watch(
         &self,
         kind: &str,
@@ -150,13 +149,13 @@
     ///
     /// # Errors
     ///
-    /// When no answer comes in time.
+    /// If no response arrives in time.
     pub async fn boxes(&self) -> Result<Vec<Listed>, CallError> {
         let url = format!("http://{}/v1/boxes", self.address);
         with_timeout(CALL_TIMEOUT, self.client.get(&url)).await
     }
 
-    /// Carries out one of the reducer's operations.
+    /// Executes an operation of the reducer.
     pub async fn execute(&self, operation: Operation) -> Answer {
         match operation {
             Operation::Get { kind, name } => match self.get(&kind, &name).await {
@@ -174,13 +173,13 @@
         }
     }
 
-    /// Gives an object's address.
+    /// Returns the URL of an object.
     fn url(&self, kind: &str, name: &str) -> String {
         format!("http://{}/v1/objects/{kind}/{name}", self.address)
     }
 }
 
-/// Takes the absence of an object as an answer.
+/// Converts the status of an absent object to `None`.
 fn absent_as_none<T>(answer: Result<T, CallError>) -> Result<Option<T>, CallError> {
     match answer {
         Ok(value) => Ok(Some(value)),
@@ -189,7 +188,7 @@
     }
 }
 
-/// Waits for a call for so long.
+/// Runs a call with a timeout.
 async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, CallError>>,
