--- a/crates/hollyspoke-log/src/lib.rs
+++ b/crates/hollyspoke-log/src/lib.rs
@@ -1,22 +1,23 @@
-//! The log: a line of JSON a record, or lines for a person.
+//! Logging, as JSON records or as readable lines.
 
 use std::sync::Mutex;
 
 use slog::{Drain, Logger, o};
 
-/// How records are written.
+/// The output format of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// A line of JSON a record.
+    /// One line of JSON per record.
     Json,
-    /// Lines for a person.
+    /// Readable lines for a terminal.
     Terminal,
 }
 
-/// The records that may wait to be written before some are dropped; the drop is then logged.
+/// The maximum number of records waiting to be written. Further ones are dropped, and the drop is
+/// logged.
 const MAX_QUEUED_RECORDS: usize = 4096;
 
-/// Makes the log on standard error. The guard writes what waits when it is dropped.
+/// Creates a logger that writes to standard error. Dropping the guard writes all waiting records.
 pub fn new_logger(format: Format, name: &str) -> (Logger, slog_async::AsyncGuard) {
     let (drain, guard) = match format {
         Format::Json => {
@@ -32,7 +33,7 @@
     (Logger::root(drain.fuse(), o!("box" => name.to_owned())), guard)
 }
 
-/// Makes a log that keeps nothing, for boxes inside another process.
+/// Creates a logger that discards all records, for boxes inside another process.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/hollyspoke-metrics/src/lib.rs
+++ b/crates/hollyspoke-metrics/src/lib.rs
@@ -1,26 +1,26 @@
-//! The metrics of a daemon: instruments of OpenTelemetry, written as Prometheus reads them.
+//! The metrics of a daemon: OpenTelemetry instruments, exported in the Prometheus text format.
 
 use eyre::WrapErr;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// The name under which all instruments are made.
+/// The name of the OpenTelemetry meter that creates all instruments.
 const METER_NAME: &str = "hollyspoke";
 
 /// All instruments of a process.
 #[derive(Debug)]
 pub struct Exporter {
-    /// What Prometheus reads.
+    /// The registry that is exported to Prometheus.
     registry: Registry,
-    /// The provider; it must live as long as its instruments.
+    /// The provider, which must outlive its instruments.
     _provider: SdkMeterProvider,
-    /// What makes instruments.
+    /// The meter that creates instruments.
     meter: Meter,
 }
 
 impl Exporter {
-    /// Makes an exporter without instruments.
+    /// Creates an exporter without instruments.
     ///
     /// # Errors
     ///
@@ -38,17 +38,17 @@
         Ok(Exporter { registry, _provider: provider, meter })
     }
 
-    /// Makes a counter.
+    /// Creates a counter.
     pub fn counter(&self, name: &'static str, help: &'static str) -> Counter<u64> {
         self.meter.u64_counter(name).with_description(help).build()
     }
 
-    /// Makes a gauge.
+    /// Creates a gauge.
     pub fn gauge(&self, name: &'static str, help: &'static str) -> Gauge<u64> {
         self.meter.u64_gauge(name).with_description(help).build()
     }
 
-    /// Makes a histogram of seconds with the bounds of its buckets.
+    /// Creates a histogram of durations in seconds, with the given bucket bounds.
     pub fn seconds_histogram(
         &self,
         name: &'static str,
@@ -59,7 +59,7 @@
         histogram.with_unit("s").with_boundaries(bounds.to_vec()).build()
     }
 
-    /// Writes all metrics in Prometheus' text form.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn prometheus_text(&self) -> String {
         let mut bytes = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut bytes) {
