--- a/crates/hollyspoke-file/src/check.rs
+++ b/crates/hollyspoke-file/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether a draft agrees with itself.
+//! Consistency checks of a draft.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use crate::finding::{Finding, nearest};
 use crate::parse::{Draft, NameKind};
 
-/// The path prefix that is kept for the box's own interface.
+/// The path prefixes that are reserved for the box's own interface.
 const RESERVED_PREFIXES: [&str; 4] = ["/v1", "/metrics", "/healthz", "/readyz"];
 
-/// Checks a draft; adds all findings.
+/// Checks a draft and appends all findings.
 pub fn check(draft: &Draft, findings: &mut Vec<Finding>) {
     check_names(draft, findings);
     check_references(draft, findings);
@@ -20,7 +20,7 @@
     check_services(draft, findings);
 }
 
-/// Checks that no name of one sort is given twice.
+/// Checks that names are unique within each kind.
 fn check_names(draft: &Draft, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
     for (kind, name) in &draft.definitions {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Checks that every name referred to is defined.
+/// Checks that every referenced name is defined.
 fn check_references(draft: &Draft, findings: &mut Vec<Finding>) {
     let mut defined: BTreeMap<NameKind, BTreeSet<&str>> = BTreeMap::new();
     for (kind, name) in &draft.definitions {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks that addresses are IP numbers with a port, each used once.
+/// Checks that addresses are IP addresses with a port, each used once.
 fn check_addresses(draft: &Draft, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
     for address in &draft.addresses {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Checks that prefixes begin with a slash, are used once, and leave the box its own paths.
+/// Checks that path prefixes begin with a slash, are used once, and are not reserved.
 fn check_prefixes(draft: &Draft, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
     for prefix in &draft.prefixes {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Checks that every service has what it needs.
+/// Checks that every service has the engines or upstreams that its kind needs.
 fn check_services(draft: &Draft, findings: &mut Vec<Finding>) {
     let site = &draft.site;
     for service in &site.services {
--- a/crates/hollyspoke-file/src/finding.rs
+++ b/crates/hollyspoke-file/src/finding.rs
@@ -1,23 +1,23 @@
-//! One mistake in a file, with its place and a hint.
+//! An error in a site file, with its position and a hint.
 
 use std::ops::Range;
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
 use serde::{Deserialize, Serialize};
 
-/// One mistake in a file.
+/// An error in a site file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The place, in bytes from the file's start.
+    /// The position, in bytes from the start of the file.
     pub span: Range<usize>,
-    /// What is wrong.
+    /// The error message.
     pub message: String,
-    /// What would be right, where that can be said.
+    /// A suggested correction, if there is one.
     pub hint: Option<String>,
 }
 
 impl Finding {
-    /// Makes a finding without a hint.
+    /// Creates a finding without a hint.
     pub fn new(span: Range<usize>, message: impl Into<String>) -> Finding {
         Finding { span, message: message.into(), hint: None }
     }
@@ -28,7 +28,8 @@
         self
     }
 
-    /// Gives the finding's line and column in a text, both from one; columns count characters.
+    /// Returns the line and column of the finding in a text, both from one. Columns count
+    /// characters.
     pub fn line_and_column(&self, text: &str) -> (usize, usize) {
         let before = text.get(..self.span.start).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
@@ -36,7 +37,7 @@
         (line, last.chars().count() + 1)
     }
 
-    /// Draws the finding with the lines it speaks of.
+    /// Renders the finding with the lines of the file that it refers to.
     pub fn render(&self, path: &str, text: &str) -> String {
         let end = self.span.end.min(text.len());
         let span = self.span.start.min(end)..end;
@@ -48,7 +49,7 @@
     }
 }
 
-/// Finds the known name nearest to a wrong one, if it is near enough to be meant.
+/// Returns the known name closest to an unknown one, if it is similar enough to be a likely typo.
 pub fn nearest<'a>(unknown: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let max_distance = (unknown.chars().count() / 3).max(1);
     known
@@ -59,7 +60,7 @@
         .map(|(_, it)| it)
 }
 
-/// Counts the single-character edits between two words.
+/// Returns the number of single-character edits between two words.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/hollyspoke-file/src/lib.rs
+++ b/crates/hollyspoke-file/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' site files: parse, check, findings with their places.
+//! The parser and checker of site files, with the positions of all errors.
 //!
-//! [`read`] goes through a whole file and gathers every finding before it fails, so that an
-//! operator sees all mistakes at once.
+//! [`read`] processes the whole file and collects every finding before it fails, so that an
+//! operator sees all errors at once.
 
 pub mod check;
 pub mod finding;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// All findings, in the order of their places, when the file can't be accepted.
+/// All findings, ordered by position, if the file is not valid.
 pub fn read(text: &str) -> Result<Site, Vec<Finding>> {
     let mut findings = Vec::new();
     let draft = parse::parse(text, &mut findings);
--- a/crates/hollyspoke-file/src/parse.rs
+++ b/crates/hollyspoke-file/src/parse.rs
@@ -1,4 +1,4 @@
-//! From a file's text to a draft of a site, which keeps the places of all names.
+//! The parser from the text of a site file to a draft, which records the positions of all names.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 /// The default target for the time between tokens, in milliseconds.
 const DEFAULT_BETWEEN_TOKENS_MS: u64 = 35;
 
-/// The default time that a call of a plain service may take, in milliseconds.
+/// The default timeout of a call to a plain service, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
 
-/// The bytes of one megabyte, as links' rates count them.
+/// The bytes of one megabyte, the decimal unit of link rates.
 const BYTES_PER_MEGABYTE: u64 = 1_000_000;
 
-/// What a name of the file stands for.
+/// The kind of object that a name in the file refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NameKind {
     /// A data centre.
@@ -32,14 +32,14 @@
     Adapter,
     /// A service.
     Service,
-    /// An engine or a plain upstream: they share one space of names.
+    /// An engine or a plain upstream, which share a namespace.
     Upstream,
     /// A tenant.
     Tenant,
 }
 
 impl NameKind {
-    /// Gives the word for messages.
+    /// Returns the term used in messages.
     pub fn label(self) -> &'static str {
         match self {
             NameKind::DataCentre => "data centre",
@@ -52,25 +52,25 @@
     }
 }
 
-/// A site that may still contradict itself.
+/// A parsed site that may still be inconsistent.
 #[derive(Debug, Clone, Default)]
 pub struct Draft {
-    /// The site.
+    /// The parsed site.
     pub site: Site,
-    /// The names that are given, with their places.
+    /// The defined names, with their positions.
     pub definitions: Vec<(NameKind, Located<String>)>,
-    /// The names that are referred to, with their places.
+    /// The referenced names, with their positions.
     pub references: Vec<(NameKind, Located<String>)>,
-    /// The addresses, with their places.
+    /// The addresses, with their positions.
     pub addresses: Vec<Located<String>>,
-    /// The path prefixes, with their places.
+    /// The path prefixes, with their positions.
     pub prefixes: Vec<Located<String>>,
-    /// The tables of services, with their places.
+    /// The names of services, with the positions of their tables.
     pub services: Vec<(String, Range<usize>)>,
 }
 
 impl Draft {
-    /// Notes a name that is given; gives the name.
+    /// Records a defined name and returns it.
     fn define(&mut self, kind: NameKind, name: Option<Located<String>>) -> String {
         let Some(name) = name else { return String::new() };
         let value = name.value.clone();
@@ -78,7 +78,7 @@
         value
     }
 
-    /// Notes a name that is referred to; gives the name.
+    /// Records a referenced name and returns it.
     fn reference(&mut self, kind: NameKind, name: Option<Located<String>>) -> String {
         let Some(name) = name else { return String::new() };
         let value = name.value.clone();
@@ -86,7 +86,7 @@
         value
     }
 
-    /// Notes an address; gives it.
+    /// Records an address and returns it.
     fn address(&mut self, address: Option<Located<String>>) -> String {
         let Some(address) = address else { return String::new() };
         let value = address.value.clone();
@@ -95,7 +95,7 @@
     }
 }
 
-/// Parses a file. Gives nothing when the text is no TOML; the findings then say why.
+/// Parses a file. Returns `None` if the text is not valid TOML; the findings then have the reason.
 pub fn parse(text: &str, findings: &mut Vec<Finding>) -> Option<Draft> {
     let (root, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
@@ -141,7 +141,7 @@
     Some(draft)
 }
 
-/// Reads a model.
+/// Parses the table of a model.
 fn model(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let name = draft.define(NameKind::Model, reader.text("name"));
     let kv_bytes_per_token = reader.count("kv_bytes_per_token").unwrap_or(0);
@@ -149,7 +149,7 @@
     reader.report_unknown_keys();
 }
 
-/// Reads a service.
+/// Parses the table of a service.
 fn service(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let name = draft.define(NameKind::Service, reader.text("name"));
     draft.services.push((name.clone(), reader.span()));
@@ -185,7 +185,7 @@
     reader.report_unknown_keys();
 }
 
-/// Reads an engine.
+/// Parses the table of an engine.
 fn engine(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let name = draft.define(NameKind::Upstream, reader.text("name"));
     let service = draft.reference(NameKind::Service, reader.text("service"));
@@ -208,7 +208,7 @@
     reader.report_unknown_keys();
 }
 
-/// Reads an engine's role.
+/// Parses the role of an engine.
 fn role(reader: &mut Reader<'_, '_>) -> Role {
     let Some(role) = reader.text("role") else { return Role::Both };
     match role.value.as_str() {
@@ -224,7 +224,7 @@
     }
 }
 
-/// Reads a plain service's upstream.
+/// Parses the table of a plain service's upstream.
 fn upstream(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let upstream = Upstream {
         name: draft.define(NameKind::Upstream, reader.text("name")),
@@ -237,7 +237,7 @@
     reader.report_unknown_keys();
 }
 
-/// Reads a link.
+/// Parses the table of a link.
 fn link(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let link = Link {
         from: draft.reference(NameKind::DataCentre, reader.text("from")),
@@ -251,7 +251,7 @@
     reader.report_unknown_keys();
 }
 
-/// Reads a tenant.
+/// Parses the table of a tenant.
 fn tenant(draft: &mut Draft, mut reader: Reader<'_, '_>) {
     let tenant = Tenant {
         name: draft.define(NameKind::Tenant, reader.text("name")),
@@ -262,7 +262,7 @@
     reader.report_unknown_keys();
 }
 
-/// Makes a span from milliseconds.
+/// Converts milliseconds to a duration.
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
 }
--- a/crates/hollyspoke-file/src/reader.rs
+++ b/crates/hollyspoke-file/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of a table's entries, with a finding for each that is not as expected.
+//! A reader of TOML tables, which reports a finding for each unexpected entry.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,31 +9,31 @@
 
 use crate::finding::{Finding, nearest};
 
-/// A value with its place.
+/// A value with its position.
 #[derive(Debug, Clone)]
 pub struct Located<T> {
-    /// The value.
+    /// The parsed value.
     pub value: T,
-    /// Its place, in bytes.
+    /// The position, in bytes from the start of the file.
     pub span: Range<usize>,
 }
 
-/// A table that is being read.
+/// A reader of the entries of one table.
 pub struct Reader<'a, 'f> {
-    /// The table.
+    /// The table that is read.
     table: &'a DeTable<'a>,
-    /// The table's place.
+    /// The position of the table.
     span: Range<usize>,
-    /// What the table is, for messages.
+    /// The name of the table in messages.
     label: &'static str,
-    /// The keys that were asked for.
+    /// The keys that were read, which are the valid ones.
     known_keys: BTreeSet<&'static str>,
-    /// The findings of the file.
+    /// All findings of the file.
     findings: &'f mut Vec<Finding>,
 }
 
 impl<'a, 'f> Reader<'a, 'f> {
-    /// Begins to read a table.
+    /// Creates a reader of a table.
     pub fn new(
         table: &'a DeTable<'a>,
         span: Range<usize>,
@@ -43,7 +43,7 @@
         Reader { table, span, label, known_keys: BTreeSet::new(), findings }
     }
 
-    /// Gives the table's place.
+    /// Returns the position of the table.
     pub fn span(&self) -> Range<usize> {
         self.span.clone()
     }
@@ -53,13 +53,13 @@
         self.findings.push(finding);
     }
 
-    /// Reads a text that must be there.
+    /// Reads a required text.
     pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         let value = self.required(key)?;
         self.read_text(key, value)
     }
 
-    /// Reads a list of texts that may be left out.
+    /// Reads an optional list of texts.
     pub fn texts(&mut self, key: &'static str) -> Vec<Located<String>> {
         let Some(value) = self.optional(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
@@ -69,19 +69,19 @@
         items.iter().filter_map(|it| self.read_text(key, it)).collect()
     }
 
-    /// Reads a positive whole number that must be there.
+    /// Reads a required positive integer.
     pub fn count(&mut self, key: &'static str) -> Option<u64> {
         let value = self.required(key)?;
         self.read_count(key, value)
     }
 
-    /// Reads a positive whole number that may be left out.
+    /// Reads an optional positive integer.
     pub fn count_or(&mut self, key: &'static str, default: u64) -> u64 {
         let Some(value) = self.optional(key) else { return default };
         self.read_count(key, value).unwrap_or(default)
     }
 
-    /// Reads a positive number that may be left out.
+    /// Reads an optional positive number.
     pub fn optional_number(&mut self, key: &'static str) -> Option<f64> {
         let value = self.optional(key)?;
         let number = match value.get_ref() {
@@ -100,7 +100,7 @@
         positive
     }
 
-    /// Reads a truth value that may be left out.
+    /// Reads an optional boolean.
     pub fn flag_or(&mut self, key: &'static str, default: bool) -> bool {
         let Some(value) = self.optional(key) else { return default };
         let DeValue::Boolean(flag) = value.get_ref() else {
@@ -110,7 +110,7 @@
         *flag
     }
 
-    /// Gives the tables of a list such as `[[engine]]`, with their places.
+    /// Returns the tables of an array such as `[[engine]]`, with their positions.
     pub fn tables(&mut self, key: &'static str) -> Vec<(&'a DeTable<'a>, Range<usize>)> {
         let Some(value) = self.optional(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
@@ -129,7 +129,7 @@
         tables
     }
 
-    /// Ends the reading: what was never asked for is not known.
+    /// Reports the keys that were never read as unknown.
     pub fn report_unknown_keys(mut self) {
         for (key, _) in self.table.iter() {
             let name: &str = key.get_ref();
@@ -145,13 +145,13 @@
         }
     }
 
-    /// Gives an entry that may be left out.
+    /// Returns an optional entry.
     fn optional(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         self.known_keys.insert(key);
         self.table.get(key)
     }
 
-    /// Gives an entry that must be there.
+    /// Returns a required entry; reports a finding if it is absent.
     fn required(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         let value = self.optional(key);
         if value.is_none() {
@@ -162,7 +162,7 @@
         value
     }
 
-    /// Takes a value as a text that is not empty.
+    /// Converts a value to a text; reports a finding if it is empty or of another type.
     fn read_text(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<Located<String>> {
         let DeValue::String(text) = value.get_ref() else {
             self.report_wrong_type(key, "a text", value);
@@ -175,7 +175,7 @@
         Some(Located { value: text.to_string(), span: value.span() })
     }
 
-    /// Takes a value as a positive whole number.
+    /// Converts a value to a positive integer; reports a finding if it is not one.
     fn read_count(&mut self, key: &str, value: &Spanned<DeValue<'_>>) -> Option<u64> {
         let DeValue::Integer(integer) = value.get_ref() else {
             self.report_wrong_type(key, "a whole number", value);
@@ -190,7 +190,7 @@
         positive
     }
 
-    /// Notes that an entry is of the wrong type.
+    /// Reports an entry of the wrong type.
     fn report_wrong_type(&mut self, key: &str, expected: &str, value: &Spanned<DeValue<'_>>) {
         let found = match value.get_ref() {
             DeValue::String(_) => "a text",
@@ -206,7 +206,7 @@
     }
 }
 
-/// Reads the digits of a whole number.
+/// Parses the digits of an integer.
 fn parse_integer(digits: &str, radix: u32) -> Option<i64> {
     i64::from_str_radix(&digits.replace('_', ""), radix).ok()
 }
