--- a/crates/hollyspoke-cli/src/apply.rs
+++ b/crates/hollyspoke-cli/src/apply.rs
@@ -1,4 +1,5 @@
-//! Applying a file: one conditional write, and a lost answer settled by reading back.
+//! Applies a site file by one conditional write. After a lost response, it reads the object to find
+//! the outcome.
 
 use std::time::Duration;
 
@@ -6,51 +7,51 @@
 use hollyspoke_wire::platform::{Object, Platform, Put, SITE_KIND, STATUS_CONFLICT, StoredSite};
 use similar::TextDiff;
 
-/// How often a write or a read back is tried when no answer comes.
+/// The maximum number of attempts to write or read while no response arrives.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// How long to wait between two tries.
+/// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How an apply ended.
+/// The outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
     /// The file was accepted.
     Accepted {
-        /// The version under which it is in force.
+        /// The version at which it is in force.
         version: u64,
     },
-    /// Another operator was first; nothing was written.
+    /// Another operator's write was applied first; nothing was written.
     Conflict {
         /// The version in force.
         version: u64,
-        /// What differs, as a unified diff from the file in force to this one.
+        /// A unified diff from the file in force to this one.
         diff: String,
     },
-    /// No answer came, and reading back did not settle it either.
+    /// No response arrived, and reading the object did not show the outcome either.
     Unknown {
         /// The last error.
         error: String,
     },
 }
 
-/// One apply under way.
+/// An apply in progress.
 #[derive(Debug)]
 struct Apply<'a> {
-    /// The platform.
+    /// The platform that stores the file.
     platform: &'a Platform,
-    /// The site's name.
+    /// The name of the site.
     site: &'a str,
-    /// The file's text.
+    /// The text of the file.
     text: &'a str,
-    /// The number drawn for this apply.
+    /// The random identifier of this apply.
     apply_id: String,
 }
 
-/// Writes a file if the version in force is the one seen; without one, the version of this moment
-/// counts as seen.
+/// Writes a file if the version in force is `seen`; without `seen`, the version that is in force
+/// now is expected.
 ///
-/// The file must have been checked before.
+/// The file must have been checked already.
 pub async fn apply(platform: &Platform, site: &str, text: &str, seen: Option<u64>) -> Applied {
     let apply_id = format!("{:032x}", rand::random::<u128>());
     let apply = Apply { platform, site, text, apply_id };
@@ -58,7 +59,7 @@
 }
 
 impl Apply<'_> {
-    /// Reads, writes, and reads back until the outcome is known.
+    /// Reads and writes until the outcome is known.
     async fn run(&self, seen: Option<u64>) -> Applied {
         let mut error = String::new();
         let mut expected_version = None;
@@ -81,7 +82,7 @@
             }
             match self.write(expected).await {
                 Ok(version) => return Applied::Accepted { version },
-                // The next read tells whose write it was.
+                // The next read shows whose write was applied.
                 Err(call_error) if call_error.status() == Some(STATUS_CONFLICT) => {}
                 Err(call_error) => {
                     error = call_error.to_string();
@@ -92,8 +93,8 @@
         Applied::Unknown { error }
     }
 
-    /// Writes the file. The same write may be made again: it takes effect at most once, since the
-    /// version expected is gone then.
+    /// Writes the file. Repeating the write is safe: it is applied at most once, since the first
+    /// one changes the object's version.
     async fn write(&self, expected: u64) -> Result<u64, CallError> {
         let stored = StoredSite { apply_id: self.apply_id.clone(), text: self.text.to_owned() };
         let value = serde_json::to_string(&stored);
@@ -102,14 +103,14 @@
         self.platform.put(SITE_KIND, self.site, &put).await.map(|it| it.version)
     }
 
-    /// Gives the object's version if it is what this apply wrote.
+    /// Returns the version of the object if this apply wrote it.
     fn own_version(&self, current: Option<&Object>) -> Option<u64> {
         let object = current?;
         let stored = object.stored_site().ok()?;
         (stored.apply_id == self.apply_id).then_some(object.version)
     }
 
-    /// Shows what another operator has put in force.
+    /// Builds the conflict with the file that another operator put in force.
     fn conflict(&self, current: Option<Object>) -> Applied {
         let version = current.as_ref().map_or(0, |it| it.version);
         let stored = current.and_then(|it| it.stored_site().ok());
--- a/crates/hollyspoke-cli/src/call.rs
+++ b/crates/hollyspoke-cli/src/call.rs
@@ -1,4 +1,4 @@
-//! Sending one request for the operator and printing its answer as it comes.
+//! Sends one request for the operator and prints the response as it arrives.
 
 use std::io::Write;
 
@@ -11,31 +11,31 @@
 use crate::caller::{Call, Caller, Outcome};
 use crate::exit::Exit;
 
-/// What to send.
+/// The content of the request.
 #[derive(Debug, Clone)]
 pub enum Content {
-    /// Tokens of a model.
+    /// A request to generate tokens with a model.
     Generate {
-        /// The model.
+        /// The name of the model.
         model: String,
-        /// The prompt.
+        /// The text of the prompt.
         prompt: String,
-        /// The most tokens.
+        /// The maximum number of tokens.
         max_tokens: u32,
     },
-    /// A call of a plain service.
+    /// A request to a plain service.
     Plain {
-        /// The method.
+        /// The HTTP method.
         method: Method,
-        /// The path.
+        /// The path with its query.
         path: String,
-        /// The body.
+        /// The request body.
         body: String,
     },
 }
 
 impl Content {
-    /// Makes the request.
+    /// Builds the request.
     fn call(&self, once: bool, headers: Vec<(String, String)>) -> Call {
         match self {
             Content::Generate { model, prompt, max_tokens } => {
@@ -53,11 +53,11 @@
     }
 }
 
-/// Sends one request and prints the answer.
+/// Sends one request and prints the response.
 ///
 /// # Errors
 ///
-/// When the answer breaks off or can't be printed.
+/// If the response breaks off or can't be printed.
 pub async fn call(
     caller: &mut Caller,
     content: &Content,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Prints a body.
+/// Prints a response body.
 async fn print(mut body: hyper::body::Incoming, out: &mut impl Write) -> eyre::Result<Exit> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.wrap_err("the answer broke off")?.into_data() {
@@ -95,7 +95,7 @@
     Ok(Exit::Done)
 }
 
-/// Prints the texts of server-sent events as they come.
+/// Prints the texts of server-sent events as they arrive.
 async fn print_events(mut body: hyper::body::Incoming, out: &mut impl Write) -> eyre::Result<Exit> {
     let mut buffer = String::new();
     let mut exit = Exit::Failed;
@@ -111,7 +111,7 @@
     Ok(exit)
 }
 
-/// Prints the text of one event; gives the exit code where the event ends the answer.
+/// Prints the text of one event. Returns the exit code if the event ends the response.
 fn print_event(event: &str, out: &mut impl Write) -> eyre::Result<Option<Exit>> {
     let data = event.lines().find_map(|it| it.strip_prefix("data: ")).unwrap_or_default();
     if data == "[DONE]" {
--- a/crates/hollyspoke-cli/src/caller.rs
+++ b/crates/hollyspoke-cli/src/caller.rs
@@ -1,8 +1,8 @@
-//! A caller: asks which boxes to use, mints keys, and follows the rules for sending again.
+//! A caller, which requests the addresses of boxes, generates request keys and retries requests.
 //!
-//! A key names the box to which the request is first sent. If that connection never opened,
-//! nothing was sent, and the next box gets a new key. Once something may have been sent, the same
-//! key goes to the other boxes, which ask its home or say that the outcome is unknown.
+//! A key names the box that the request is first sent to. If that connection never opened, nothing
+//! was sent, and the next box gets a new key. Once any part may have been sent, the other boxes get
+//! the same key; they ask its home or report that the outcome is unknown.
 
 use std::time::Duration;
 
@@ -15,65 +15,65 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-/// The most sendings of one request.
+/// The maximum number of attempts to send one request.
 const MAX_ATTEMPTS: usize = 8;
 
-/// The longest wait before a box is asked again.
+/// The maximum delay before a request is sent again.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
-/// A caller with the addresses it has been given.
+/// A caller with its list of boxes.
 #[derive(Debug)]
 pub struct Caller {
-    /// The client.
+    /// The HTTP client.
     client: Client,
-    /// The caller's name, by which boxes rank themselves for it.
+    /// The name of the caller, by which boxes are ranked for it.
     name: String,
-    /// Boxes to ask for addresses when none of the answer is left.
+    /// The boxes to request addresses from if no listed box responds.
     seeds: Vec<String>,
-    /// The boxes to use.
+    /// The boxes to send requests to.
     boxes: Vec<Choice>,
-    /// Until when the answer may be kept.
+    /// The time until which the list of boxes may be cached.
     valid_until: Option<Instant>,
 }
 
-/// One request.
+/// One request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// The headers.
+    /// The names and values of the headers.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// Whether it must run at most once.
     pub once: bool,
 }
 
-/// What a caller has in the end.
+/// The final outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An answer; its body may still be on its way.
+    /// A response, whose body may still be arriving.
     Answer(Response<Incoming>),
-    /// The system gave no answer and said what may be claimed.
+    /// An error response, which states whether the request ran.
     Problem(Problem),
     /// No box could be reached.
     Unreachable(String),
 }
 
 impl Caller {
-    /// Makes a caller that knows some boxes to ask.
+    /// Creates a caller that knows only the boxes to request addresses from.
     pub fn new(name: impl Into<String>, seeds: Vec<String>) -> Caller {
         let (client, name) = (Client::new(), name.into());
         Caller { client, name, seeds, boxes: Vec::new(), valid_until: None }
     }
 
-    /// Gives the boxes to use, asking for them when the last answer may not be kept any longer.
+    /// Returns the boxes to use. It requests them again if the cached list has expired.
     ///
     /// # Errors
     ///
-    /// When no box answers.
+    /// If no box responds.
     pub async fn boxes(&mut self) -> Result<Vec<Choice>, CallError> {
         if self.valid_until.is_some_and(|until| Instant::now() < until) {
             return Ok(self.boxes.clone());
@@ -96,10 +96,10 @@
         Err(last)
     }
 
-    /// Sends a request, and sends it again as far as the rules allow.
+    /// Sends a request, and sends it again as far as the rules of this module allow.
     pub async fn send(&mut self, call: &Call) -> Outcome {
         let mut last = Outcome::Unreachable("no box was tried".to_owned());
-        // The key that may have reached its home.
+        // The key of a request that may have reached its home.
         let mut sent_key: Option<String> = None;
         let mut index = 0;
         for _ in 0..MAX_ATTEMPTS {
@@ -113,7 +113,7 @@
                 Ok(response) => match split_problem(response).await {
                     Ok(answer) => return Outcome::Answer(answer),
                     Err(problem) if may_retry_at_other_box(&problem) => {
-                        // It was not run: the next box gets it as a new request.
+                        // The request was not run, so the next box gets it with a new key.
                         sent_key = None;
                         wait_to_retry(&problem).await;
                         last = Outcome::Problem(problem);
@@ -165,14 +165,14 @@
     }
 }
 
-/// Mints a key whose home is a box.
+/// Generates a key whose home is the given box.
 fn new_key(choice: &Choice) -> String {
-    // The home's own keys have the top bit set.
+    // Keys that the home generates itself have the top bit set.
     let nonce = rand::random::<u64>() >> 1;
     format!("{}.{}.{nonce:x}", choice.incarnation, choice.epoch)
 }
 
-/// Tells a problem from an answer.
+/// Separates problems from other responses.
 async fn split_problem(response: Response<Incoming>) -> Result<Response<Incoming>, Problem> {
     let is_problem = response.headers().get("content-type").is_some_and(|it| it == PROBLEM_TYPE);
     if !is_problem {
@@ -190,14 +190,14 @@
     }))
 }
 
-/// Tells whether another box may take a request that this one refused as not run.
+/// Returns whether another box may run a request that this one rejected without running it.
 fn may_retry_at_other_box(problem: &Problem) -> bool {
     let retryable = ["leaving", "unavailable"];
     let slug = problem.kind.rsplit(':').next().unwrap_or_default();
     problem.ran == "no" && retryable.contains(&slug)
 }
 
-/// Waits for as long as a refusal says, within reason.
+/// Waits for the delay that a rejection states, up to [`MAX_RETRY_WAIT`].
 async fn wait_to_retry(problem: &Problem) {
     let retry_after = Duration::from_millis(problem.retry_after_ms.unwrap_or(0));
     tokio::time::sleep(retry_after.min(MAX_RETRY_WAIT)).await;
--- a/crates/hollyspoke-cli/src/command.rs
+++ b/crates/hollyspoke-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what is asked for, and what is printed.
+//! The command line: parses the arguments, runs the command and prints the result.
 
 use std::io::Write;
 use std::time::Duration;
@@ -62,16 +62,16 @@
     ),
 ];
 
-/// How long `--wait` waits.
+/// The timeout of `--wait`.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often `--wait` asks.
+/// The interval between the status requests of `--wait`.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The most tokens that `call` asks for by itself.
+/// The maximum number of tokens that `call` requests without `--max-tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 64;
 
-/// A command line that can't be understood.
+/// An invalid command line.
 #[derive(Debug)]
 struct Usage(String);
 
@@ -83,11 +83,11 @@
 
 impl std::error::Error for Usage {}
 
-/// Runs the tool: prints what was asked for, and gives the exit code.
+/// Runs the tool, prints the result and returns the exit code.
 ///
 /// # Errors
 ///
-/// When a file can't be read, or the output can't be written.
+/// If a file can't be read, or the output can't be written.
 pub async fn run(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
     let command = arguments.subcommand().map_err(usage_error)?;
     let Some(command) = command else {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Checks a file.
+/// Checks a site file.
 fn check(arguments: Arguments, json: bool, out: &mut impl Write) -> eyre::Result<Exit> {
     let path = file_argument(arguments)?;
     let text = read_file(&path)?;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Applies a file.
+/// Puts a site file in force.
 async fn apply(mut arguments: Arguments, json: bool, out: &mut impl Write) -> eyre::Result<Exit> {
     let platform = required_flag(&mut arguments, "--platform")?;
     let seen = optional_flag(&mut arguments, "--seen")?;
@@ -193,7 +193,7 @@
     }
 }
 
-/// Waits until a version is in force everywhere.
+/// Waits until a version is in force at all known boxes.
 async fn wait_in_force(address: &str, version: u64, out: &mut impl Write) -> eyre::Result<Exit> {
     let client = Client::new();
     let started = Instant::now();
@@ -215,7 +215,7 @@
     }
 }
 
-/// Shows versions, or boxes, pools and upstreams.
+/// Shows the versions in force, or boxes, pools and upstreams.
 async fn overview(
     command: &str,
     mut arguments: Arguments,
@@ -234,7 +234,7 @@
     Ok(if all { Exit::Done } else { Exit::Failed })
 }
 
-/// Asks for addresses.
+/// Requests the addresses of boxes.
 async fn addresses(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
     let address = required_flag(&mut arguments, "--box")?;
     let caller =
@@ -251,7 +251,7 @@
     Ok(Exit::Done)
 }
 
-/// Sends one request.
+/// Sends one request and prints the response.
 async fn call(mut arguments: Arguments, out: &mut impl Write) -> eyre::Result<Exit> {
     let address = required_flag(&mut arguments, "--box")?;
     let once = arguments.contains("--once");
@@ -269,7 +269,7 @@
     call::call(&mut caller, &content, once, headers, out).await
 }
 
-/// Reads what to send.
+/// Parses the content of the request to send.
 fn read_content(arguments: &mut Arguments) -> eyre::Result<Content> {
     if let Some(path) = optional_flag(arguments, "--path")? {
         let method = optional_flag(arguments, "--method")?.unwrap_or_else(|| "GET".to_owned());
@@ -287,7 +287,7 @@
     Ok(Content::Generate { model, prompt, max_tokens })
 }
 
-/// Prints findings.
+/// Prints findings, as text or as JSON.
 fn print_findings(
     findings: &[Finding],
     path: &str,
@@ -311,20 +311,20 @@
     Ok(())
 }
 
-/// Reads a flag that may be left out.
+/// Parses an optional flag; without it, the environment variable of the same name applies.
 fn optional_flag(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<Option<String>> {
     let given: Option<String> = arguments.opt_value_from_str(flag).map_err(usage_error)?;
     let variable = flag.trim_start_matches('-').replace('-', "_").to_uppercase();
     Ok(given.or_else(|| std::env::var(format!("HOLLYSPOKE_{variable}")).ok()))
 }
 
-/// Reads a flag that must be there.
+/// Parses a required flag, which may also be given as an environment variable.
 fn required_flag(arguments: &mut Arguments, flag: &'static str) -> eyre::Result<String> {
     let value = optional_flag(arguments, flag)?;
     value.ok_or_else(|| eyre!(Usage(format!("{flag} is missing"))))
 }
 
-/// Reads the one file that the command line names.
+/// Parses the only positional argument, the path of a file.
 fn file_argument(mut arguments: Arguments) -> eyre::Result<String> {
     let path: String =
         arguments.free_from_str().map_err(|_| Usage("FILE is missing".to_owned()))?;
@@ -332,7 +332,7 @@
     Ok(path)
 }
 
-/// Ends the reading of the command line.
+/// Rejects arguments that were not parsed.
 fn reject_unknown_arguments(arguments: Arguments) -> eyre::Result<()> {
     let rest = arguments.finish();
     match rest.first() {
@@ -341,12 +341,12 @@
     }
 }
 
-/// Reads a file.
+/// Reads a file as text.
 fn read_file(path: &str) -> eyre::Result<String> {
     std::fs::read_to_string(path).wrap_err_with(|| format!("can't read {path}"))
 }
 
-/// Makes a usage error of the argument parser's.
+/// Converts an error of the argument parser to a usage error.
 fn usage_error(error: pico_args::Error) -> eyre::Report {
     eyre!(Usage(error.to_string()))
 }
--- a/crates/hollyspoke-cli/src/exit.rs
+++ b/crates/hollyspoke-cli/src/exit.rs
@@ -1,26 +1,26 @@
-//! The tool's exit codes.
+//! The exit codes of the tool.
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// The outcome of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done,
-    /// It failed: something could not be reached, or a request was refused.
+    /// The command failed: a box was unreachable, or a request was rejected.
     Failed,
-    /// The command line was wrong.
+    /// The command line was invalid.
     Usage,
-    /// The file has mistakes.
+    /// The file has errors.
     Findings,
-    /// Another operator was first.
+    /// Another operator's write was applied first.
     Conflict,
-    /// Nobody can tell whether it took effect.
+    /// It is unknown whether the write or request took effect.
     Unknown,
 }
 
 impl Exit {
-    /// Gives the process's exit code.
+    /// Returns the exit code of the process.
     pub fn number(self) -> u8 {
         match self {
             Exit::Done => 0,
--- a/crates/hollyspoke-cli/src/lib.rs
+++ b/crates/hollyspoke-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: check, apply, show, status, addresses, call.
+//! The operators' command-line tool: check, apply, show, status, addresses, call.
 
 pub mod apply;
 pub mod call;
--- a/crates/hollyspoke-cli/src/main.rs
+++ b/crates/hollyspoke-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! The operators' command-line tool.
 
 #![expect(clippy::print_stderr, reason = "errors go to standard error")]
 
@@ -8,7 +8,7 @@
 use hollyspoke_cli::exit::Exit;
 use pico_args::Arguments;
 
-/// Runs the command line.
+/// Runs the command line and exits with its code.
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     match command::run(Arguments::from_env(), &mut std::io::stdout()).await {
--- a/crates/hollyspoke-cli/src/show.rs
+++ b/crates/hollyspoke-cli/src/show.rs
@@ -1,4 +1,4 @@
-//! What is in force and where, and how boxes, pools and upstreams do.
+//! The versions in force, and the state of boxes, pools and upstreams.
 
 use std::fmt::Write as _;
 
@@ -6,22 +6,22 @@
 use hollyspoke_wire::http::{CallError, Client};
 use serde::Serialize;
 
-/// One box's answer.
+/// The status response of one box.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BoxAnswer {
-    /// The box's name.
+    /// The name of the box.
     pub name: String,
     /// Its address for callers.
     pub address: String,
-    /// Its state, absent when it could not be reached.
+    /// Its status; absent if it was unreachable.
     pub status: Option<Status>,
 }
 
-/// Asks one box for its state, and all boxes that it knows for theirs.
+/// Requests the status of one box and of all boxes that it knows.
 ///
 /// # Errors
 ///
-/// When the first box does not answer.
+/// If the first box does not respond.
 pub async fn fetch_all(client: &Client, address: &str) -> Result<Vec<BoxAnswer>, CallError> {
     let first: Status = client.get(&format!("http://{address}/v1/status")).await?;
     let mut answers = Vec::new();
@@ -35,7 +35,7 @@
     Ok(answers)
 }
 
-/// Writes which version is in force at each box.
+/// Formats the version in force at each box.
 pub fn versions(answers: &[BoxAnswer]) -> String {
     let mut text = String::new();
     for answer in answers {
@@ -43,13 +43,13 @@
             Some(status) => format!("version {} of {}", status.site_version, status.site),
             None => "does not answer".to_owned(),
         };
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "{:<16} {:<22} {state}", answer.name, answer.address);
     }
     text
 }
 
-/// Writes boxes, pools and upstreams.
+/// Formats the state of boxes, pools and upstreams.
 pub fn overview(answers: &[BoxAnswer]) -> String {
     let mut text = String::from("boxes\n");
     for answer in answers {
@@ -80,14 +80,14 @@
     text
 }
 
-/// Gives the pools that a box owns, with the box's name.
+/// Returns the pools that a box owns, each with the name of the box.
 fn pools(answer: &BoxAnswer) -> Vec<(&str, &PoolStatus)> {
     let status = answer.status.as_ref();
     let pools = status.map(|it| it.pools.as_slice()).unwrap_or_default();
     pools.iter().map(|it| (answer.name.as_str(), it)).collect()
 }
 
-/// Writes a box's state in a few words.
+/// Formats the state of a box in a few words.
 fn box_state(status: &Status) -> String {
     let mut state = if status.leaving { "leaving" } else { "live" }.to_owned();
     if let Some(closed) = &status.closed {
