--- a/examples/quickstart/src/main.rs
+++ b/examples/quickstart/src/main.rs
@@ -1,6 +1,6 @@
 //! The quickstart: an embedded platform, two prefill and two decode engines and two boxes in one
-//! process. It applies a site file, sends one request, prints the answer as it streams, and shows
-//! which engines worked on it.
+//! process. It applies a site file, sends one request, prints the response as it streams, and shows
+//! which engines served it.
 
 #![expect(clippy::print_stdout, reason = "the quickstart shows what it does")]
 
@@ -21,7 +21,7 @@
 use hollyspoke_wire::http::Client;
 use hollyspoke_wire::platform::Platform;
 
-/// The engines: name and role.
+/// The names and roles of the engines.
 const ENGINES: [(&str, &str); 4] = [
     ("prefill-1", "prefill"),
     ("prefill-2", "prefill"),
@@ -29,18 +29,18 @@
     ("decode-2", "decode"),
 ];
 
-/// How long the boxes get to put the file in force.
+/// The timeout for the boxes to put the file in force.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An engine of the quickstart.
+/// A running engine of the quickstart.
 struct Started {
-    /// Its name.
+    /// The name of the engine.
     name: &'static str,
     /// Its role.
     role: &'static str,
-    /// The engine.
+    /// The engine, which counts its work.
     engine: Engine,
-    /// Its server.
+    /// The server that it listens with.
     server: Running,
 }
 
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Starts the engines.
+/// Starts all engines.
 async fn start_engines() -> eyre::Result<Vec<Started>> {
     let mut engines = Vec::new();
     for (name, role) in ENGINES {
@@ -99,7 +99,7 @@
     Ok(engines)
 }
 
-/// Starts a box.
+/// Starts a box with its own settings.
 async fn start_box(
     name: &str,
     platform: SocketAddr,
@@ -122,7 +122,7 @@
     run::start(settings, hollyspoke_daemon::log::discard()).await
 }
 
-/// Writes the site file.
+/// Builds the text of the site file.
 fn site_file(engines: &[Started]) -> String {
     let mut text = String::from(
         "site = \"quickstart\"\n\
@@ -141,7 +141,7 @@
     text
 }
 
-/// Waits until a version is in force at both boxes; gives their number.
+/// Waits until a version is in force at both boxes and returns the number of boxes.
 async fn wait_in_force(client: &Client, first: SocketAddr, version: u64) -> eyre::Result<usize> {
     let started = tokio::time::Instant::now();
     while started.elapsed() < IN_FORCE_TIMEOUT {
