--- a/tests/src/faults.rs
+++ b/tests/src/faults.rs
@@ -1,40 +1,40 @@
-//! Faults of whole boxes, datagrams and engines that tests draw for a fleet.
+//! Faults of boxes, datagrams and engines that tests inject into a fleet at random.
 
 use std::time::Duration;
 
 use crate::fleet::{Behaviour, Fleet, USUAL};
 
-/// The boxes of a fleet.
+/// The number of boxes of a fleet.
 pub const BOX_COUNT: usize = 6;
 
 /// A fault of a fleet.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// Boxes are killed and start at once.
+    /// Boxes are killed and restarted at once.
     Restart(Vec<usize>),
-    /// A box is told to stop, and starts some time later.
+    /// A box is stopped, and starts some time later.
     Stop(usize),
-    /// Boxes are cut off from the others, and hear each other.
+    /// Boxes are partitioned off from the others, and receive each other's announcements.
     Partition(Vec<usize>),
-    /// All boxes hear each other.
+    /// All partitions end.
     Heal,
-    /// A box stands still, for so many milliseconds.
+    /// A box is paused, for a duration in milliseconds.
     Pause(usize, u64),
-    /// A box's calls are held up.
+    /// A box's calls are delayed, for a duration in milliseconds.
     DelayCalls(usize, u64),
-    /// Datagrams are lost, a share of a hundred, or late by milliseconds.
+    /// Datagrams are lost, by a share in percent, and delayed, by up to this many milliseconds.
     Datagrams(u8, u64),
-    /// Engines turn calls away and fail runs, shares of a hundred.
+    /// Engines reject calls and fail runs, by shares in percent.
     Engines(u8, u8),
-    /// So many times the usual traffic arrives.
+    /// The traffic is this multiple of the usual one.
     Traffic(u8),
-    /// Engines crash by themselves: one of so many.
+    /// Engines crash independently of requests: one of this many.
     Crash(usize),
     /// Connections to all engines break.
     Reset,
 }
 
-/// Brings a fault about.
+/// Injects a fault.
 pub fn inject(fleet: &mut Fleet, fault: &Fault) {
     match fault {
         Fault::Restart(members) => fleet.restart(members.iter().copied()),
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Several boxes' reducers in virtual time: datagrams that may be late or lost, boxes that are cut
-//! off, held up, stopped or killed, and engines that count what arrives.
+//! The gateways of several boxes in virtual time, with datagrams that may be delayed or lost, boxes
+//! that are partitioned, paused, stopped or killed, and engines that count what arrives.
 
 mod engines;
 mod store;
@@ -33,83 +33,83 @@
 
 pub use store::Store;
 
-/// How long a call takes to reach an engine.
+/// The time from a box to an engine.
 const TRANSIT: Duration = Duration::from_millis(1);
 
-/// How long an engine takes to answer, in milliseconds.
+/// The time that an engine takes to answer, in milliseconds.
 const ANSWER_DELAY_MS: RangeInclusive<u64> = 2..=40;
 
-/// How long a stream lasts.
+/// The duration of a stream.
 const STREAM_DURATION: Duration = Duration::from_millis(300);
 
-/// How often the store answers the watches of a box.
+/// The interval at which the store answers the watches of a box.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the store takes to answer.
+/// The time that the store takes to answer.
 const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// How long a handover takes.
+/// The time that a snapshot takes from one box to another.
 const HANDOVER_DURATION: Duration = Duration::from_millis(10);
 
-/// How many boxes a box is told of by its settings.
+/// The number of seeds in a box's settings.
 const SEED_COUNT: usize = 3;
 
-/// The last part of a harmful request's path.
+/// The last part of the path of a harmful request.
 const HARMFUL: &str = "harmful";
 
-/// The users' bound on their site of six boxes.
+/// The bound on retries at the users' site of six boxes.
 pub const BOUND: Bound = Bound { ratio: 0.2, allowance: 52.0, window: Duration::from_secs(10) };
 
 /// How the engines behave.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Behaviour {
-    /// The share of calls that they turn away.
+    /// The share of calls that they reject.
     pub reject_share: f64,
-    /// The share of runs that they fail.
+    /// The share of runs that fail.
     pub fail_share: f64,
 }
 
-/// What arrives in a second, at all boxes.
+/// The request rates at all boxes together.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
-    /// Plain requests that may be repeated.
+    /// Plain requests that are safe to retry, per second.
     pub plain: f64,
-    /// Streams.
+    /// Streams, per second.
     pub streams: f64,
 }
 
-/// The users' traffic on their site of six boxes.
+/// The traffic at the users' site of six boxes.
 pub const USUAL: Traffic = Traffic { plain: 40.9, streams: 18.2 };
 
 /// One box.
 #[derive(Debug)]
 struct Member {
-    /// The reducer; none while the process is down.
+    /// The gateway; `None` while the process is down.
     gateway: Option<Gateway>,
-    /// When its life began: each life has a clock of its own.
+    /// The start time of this incarnation; each incarnation has its own clock.
     started_at: Time,
-    /// Counts its lives.
+    /// Counts the incarnations.
     start_count: u64,
-    /// With whom it can exchange datagrams: those of the same side.
+    /// The side of a partition: boxes exchange datagrams only with those of the same side.
     side: usize,
-    /// Until when it stands still.
+    /// The end of a pause, in which the box handles nothing.
     paused_until: Time,
-    /// Until when its calls are held up on the way.
+    /// The time until which its calls are delayed on their way to engines.
     calls_delayed_until: Time,
 }
 
-/// A call and its box.
+/// A call and the box that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Caller {
-    /// The box.
+    /// The number of the box.
     number: usize,
-    /// The box's life.
+    /// The box's incarnation.
     start_count: u64,
     /// The call.
     call: CallKey,
 }
 
-/// What is yet to happen.
+/// What is scheduled to happen.
 #[derive(Debug)]
 enum Scheduled {
     /// A request arrives at a box.
@@ -118,65 +118,65 @@
     Datagram(usize, Box<Message>),
     /// A call arrives at its engine.
     Call(usize, u64, Box<Send>),
-    /// A box hears of one of its calls, from an engine.
+    /// A box receives an event of one of its calls, from an engine.
     Answer(Caller, EngineKey, CallEvent),
-    /// A harmful call crashes its engine, which has crashed so often before.
+    /// A harmful call crashes its engine, unless the engine's number of crashes has changed since.
     Crash(Caller, EngineKey, u64),
-    /// A crashed engine is back.
+    /// A crashed engine is restarted.
     Back(EngineKey),
-    /// A box hears of engines from the store.
+    /// A box receives changes of engines from the store.
     Changed(usize, Vec<EngineChange>),
-    /// A box hears whether an engine lives.
+    /// A box receives the result of a probe of an engine.
     Probed(usize, u64, EngineKey, Probe),
     /// The store answers a box's watches.
     Watched(usize, u64),
-    /// The store gives a box the list of engines.
+    /// The store returns the list of engines to a box.
     Listed(usize, u64),
-    /// Another box hands a box over what it knows.
+    /// A box receives another box's snapshot.
     Fetched(usize, u64, SocketAddr, Box<Snapshot>),
     /// The store answers an operation of a box.
     Stored(usize, u64, u64, Answer),
 }
 
-/// Boxes, engines, and what was seen.
+/// Boxes, engines, and records of what arrived.
 #[derive(Debug)]
 pub struct Fleet {
     /// The boxes.
     members: Vec<Member>,
-    /// The time.
+    /// The current time.
     now: Time,
-    /// What is yet to happen, in order.
+    /// What is scheduled, by time and number.
     scheduled: BTreeMap<(Time, u64), Scheduled>,
-    /// The number of the next entry of `due`.
+    /// The number of the next entry of `scheduled`; requests are numbered with it too.
     next: u64,
     /// How the engines behave.
     pub behaviour: Behaviour,
-    /// What arrives.
+    /// The traffic that clients send.
     pub traffic: Traffic,
-    /// How long datagrams take, in milliseconds.
+    /// The delay of datagrams, in milliseconds.
     pub delay_ms: RangeInclusive<u64>,
     /// The share of datagrams that are lost.
     pub lost: f64,
     /// The store.
     pub store: Store,
-    /// What was seen.
+    /// The requests, the calls at engines, and the refused retries.
     pub records: Records,
-    /// The harmful request that comes, if one does.
+    /// The harmful request that clients repeat, if there is one.
     pub harmful: Option<Harmful>,
-    /// The request that many send, if there is one: its route, and how often it comes.
+    /// A request that clients send often, if there is one: its route and its interval.
     pub popular: Option<(&'static str, Duration)>,
-    /// The engines that crash, and what was seen of that.
+    /// The engines that crash, and what was recorded about crashes.
     pub crashes: Crashes,
-    /// The engines that name limits, and what came to them.
+    /// The engines that state rate limits, and what arrived at them.
     pub rate_limits: RateLimits,
-    /// The engines that leave or rest, and what came to them.
+    /// The engines that drain or back off, and what arrived at them.
     pub statements: Statements,
-    /// The source of chance.
+    /// The random number generator.
     random: Pcg64Mcg,
 }
 
 impl Fleet {
-    /// Makes boxes that have just started, with the users' traffic on their site of six.
+    /// Creates boxes that have just started, with the traffic at the users' site of six boxes.
     pub fn new(boxes: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             members: Vec::new(),
@@ -210,7 +210,8 @@
         fleet
     }
 
-    /// Makes boxes that have heard each other and have served for longer than the window.
+    /// Creates boxes that have received each other's announcements and have run for longer than the
+    /// window of the retry bound.
     pub fn settled(boxes: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(boxes, seed);
         fleet.run(Duration::from_secs(12));
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Starts boxes anew.
+    /// Starts boxes, each with a new incarnation.
     pub fn start(&mut self, members: impl IntoIterator<Item = usize>) {
         for number in members {
             let incarnation = self.random.random();
@@ -242,36 +243,36 @@
         }
     }
 
-    /// Kills boxes and starts them anew at once.
+    /// Kills boxes and starts them again at once.
     pub fn restart(&mut self, members: impl IntoIterator<Item = usize> + Clone) {
         self.kill(members.clone());
         self.start(members);
     }
 
-    /// Has boxes exchange datagrams with those of the same side alone.
+    /// Moves boxes to a side; datagrams pass only between boxes of the same side.
     pub fn partition(&mut self, members: impl IntoIterator<Item = usize>, side: usize) {
         for number in members {
             self.members[number].side = side;
         }
     }
 
-    /// Has a box stand still.
+    /// Pauses a box: it handles events only after the pause.
     pub fn pause(&mut self, number: usize, duration: Duration) {
         self.members[number].paused_until = self.now + duration;
     }
 
-    /// Holds up the calls that a box sends, so that they arrive together.
+    /// Delays the calls that a box sends, so that they arrive together.
     pub fn delay_calls(&mut self, number: usize, duration: Duration) {
         self.members[number].calls_delayed_until = self.now + duration;
     }
 
-    /// Tells a box to stop; it ends at once.
+    /// Stops a box, which ends at once.
     pub fn stop(&mut self, number: usize) {
         self.step(number, Event::Stop);
         self.kill([number]);
     }
 
-    /// Lets time pass.
+    /// Runs the fleet for a time, with its traffic.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         self.draw_requests(PLAIN, self.traffic.plain, end);
@@ -296,7 +297,7 @@
         self.now = end;
     }
 
-    /// Draws the requests for a service until a time.
+    /// Schedules the requests for a service until a time.
     fn draw_requests(&mut self, service: &str, rate_per_s: f64, end: Time) {
         let mut at = self.now;
         loop {
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Draws when and where the harmful request comes until a time.
+    /// Schedules the harmful request until a time, at random boxes.
     fn draw_harmful(&mut self, end: Time) {
         let Some(harmful) = self.harmful else { return };
         let mut at = self.now + harmful.every;
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Draws when and where the popular request comes until a time.
+    /// Schedules the popular request until a time, at random boxes.
     fn draw_popular(&mut self, end: Time) {
         let Some((route, every)) = self.popular else { return };
         let mut at = self.now + every;
@@ -339,13 +340,13 @@
         }
     }
 
-    /// Adds what is yet to happen.
+    /// Schedules an entry.
     fn schedule(&mut self, at: Time, due: Scheduled) {
         self.next += 1;
         self.scheduled.insert((at, self.next), due);
     }
 
-    /// Returns the box that needs a tick first, and when.
+    /// Returns the earliest tick that a box needs, and the box.
     fn next_tick(&self) -> Option<(Time, usize)> {
         let ticks = self.members.iter().enumerate().filter_map(|(number, member)| {
             let gateway = member.gateway.as_ref()?;
@@ -356,7 +357,7 @@
         ticks.min()
     }
 
-    /// Has something happen. A box that stands still takes it in when it goes on.
+    /// Handles a scheduled entry. A paused box handles it after its pause.
     fn handle(&mut self, due: Scheduled) {
         let number = match &due {
             Scheduled::Request(number, _) | Scheduled::Datagram(number, _) => *number,
@@ -437,7 +438,7 @@
         }
     }
 
-    /// Has a client send a request to a box, or to another one if that is down.
+    /// Sends a client's request to a box, or to another one if that box is down.
     fn send_request(&mut self, number: usize, request: Request) {
         let up = |it: &usize| self.members[*it].gateway.is_some();
         let alive: Vec<_> = (0..self.members.len()).filter(up).collect();
@@ -454,7 +455,7 @@
         self.step(number, Event::Arrived(RequestKey(self.next), request));
     }
 
-    /// Returns a box an event and carries out what it does.
+    /// Passes an event to a box's gateway and applies the effects.
     fn step(&mut self, number: usize, event: Event) {
         let member = &mut self.members[number];
         let Some(gateway) = &mut member.gateway else { return };
@@ -509,28 +510,28 @@
         }
     }
 
-    /// Has a question or an order of a box come to an engine that may be in need.
+    /// Records that a box's query or order arrives at an engine that may be rate-limited.
     fn query_engine(&mut self, number: usize, engine: EngineKey) {
         let start_count = self.members[number].start_count;
         _ = self.rate_limits.arrive((number, start_count), engine, self.now);
         _ = self.statements.arrive((number, start_count), engine, self.now);
     }
 
-    /// Has engines name a limit from now on, or none.
+    /// Sets or removes the limit that engines state from now on.
     pub fn set_limit(&mut self, engines: impl IntoIterator<Item = EngineKey>, rate: Option<f64>) {
         for engine in engines {
             self.rate_limits.set_limit(engine, rate, self.now);
         }
     }
 
-    /// Has engines say from now on, in their answers alone, that they leave.
+    /// Has engines report from now on, only in their answers, that they are shutting down.
     pub fn drain(&mut self, engines: impl IntoIterator<Item = EngineKey>) {
         for engine in engines {
             self.statements.drain(engine, self.now);
         }
     }
 
-    /// Has engines turn all away at times, and say for how long.
+    /// Has engines reject all calls at times, and state the duration of the back-off.
     pub fn back_off(
         &mut self,
         engines: impl IntoIterator<Item = EngineKey>,
@@ -541,18 +542,19 @@
         }
     }
 
-    /// Returns the engines of a service.
+    /// Returns the keys of a service's engines.
     pub fn engines_of(&self, service: &str) -> Vec<EngineKey> {
         let engines = self.engines().into_iter();
         engines.filter(|it| *it.service == *service).map(|it| it.key).collect()
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Has another box hand a box over what that lacks, unless it is down or cut off.
+    /// Schedules another box's snapshot for a box, unless the other box is down or partitioned from
+    /// it.
     fn hand_over(&mut self, number: usize, provider: SocketAddr) {
         let is_provider = |it: &usize| settings_of(*it).peer == provider;
         let Some(other) = (0..self.members.len()).find(is_provider) else { return };
@@ -567,14 +569,14 @@
         }
     }
 
-    /// Tells a box the store's era, as each answer does.
+    /// Reports the store's era to a box, as each answer of the store does.
     fn report_era(&mut self, number: usize) {
         if self.store.revision.era > 0 {
             self.step(number, Event::StoreEra(self.store.revision.era));
         }
     }
 
-    /// Sends a datagram to boxes of one side.
+    /// Sends a datagram to boxes; it is lost unless they are on the sender's side.
     fn send_datagrams(&mut self, side: usize, audience: &[SocketAddr], message: &Message) {
         for &address in audience {
             let is_receiver = |it: &usize| settings_of(*it).peer == address;
--- a/tests/src/fleet/engines.rs
+++ b/tests/src/fleet/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a fleet: what they do with calls, how they crash and are back.
+//! The engines of a fleet: how they answer calls, crash and restart.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::repeats::Arrival;
 
 impl Fleet {
-    /// Has a call arrive at its engine, which answers.
+    /// Handles a call that arrives at an engine, and schedules the answer.
     pub(super) fn arrive(&mut self, number: usize, start_count: u64, send: &Send) {
         let caller = Caller { number, start_count, call: send.call };
         let engine = send.engine.key;
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Has an engine crash under a harmful request, unless it has crashed since that began.
+    /// Crashes an engine by a harmful request, unless it has crashed since the request started
+    /// there.
     pub(super) fn crash_by_request(&mut self, caller: Caller, engine: EngineKey, before: u64) {
         if self.crashes.state(engine).crashes == before {
             self.crashes.harmful_crashes.push(self.now);
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Has engines crash without a request's fault.
+    /// Crashes engines independently of requests.
     pub fn crash_all(&mut self, engines: impl IntoIterator<Item = EngineKey>) {
         for engine in engines {
             self.crash(engine, None);
         }
     }
 
-    /// Has an engine crash, under a call or not: what it has under way breaks.
+    /// Crashes an engine, by a call or independently. Its connections break.
     pub(super) fn crash(&mut self, engine: EngineKey, caller: Option<Caller>) {
         self.rate_limits.forget(engine, self.now);
         self.statements.forget(engine);
@@ -91,7 +92,7 @@
         self.schedule(self.now + RESTART_DELAY, Scheduled::Back(engine));
     }
 
-    /// Has all connections to an engine break, and that of one call more.
+    /// Breaks all connections to an engine, and additionally that of a call.
     pub(super) fn reset(&mut self, engine: EngineKey, caller: Option<Caller>) {
         let mut broken: Vec<_> = caller.into_iter().collect();
         self.scheduled.retain(|_, due| match due {
@@ -111,14 +112,14 @@
         }
     }
 
-    /// Has all connections to engines break that go on living.
+    /// Breaks all connections to engines that stay alive.
     pub fn reset_all(&mut self, engines: impl IntoIterator<Item = EngineKey>) {
         for engine in engines {
             self.reset(engine, None);
         }
     }
 
-    /// Has a crashed engine be back, which all boxes hear from the store.
+    /// Restarts a crashed engine, which all boxes receive as a change from the store.
     pub(super) fn recover(&mut self, engine: EngineKey) {
         self.store.revision.number += 1;
         let Some(engine) = self.engines().into_iter().find(|it| it.key == engine) else { return };
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns the engines as they are listed now.
+    /// Returns the engines as the store lists them now.
     pub fn engines(&self) -> Vec<Engine> {
         let current = |it: Engine| {
             let crashes = self.crashes.state(it.key).crashes;
@@ -139,7 +140,7 @@
         engines().into_iter().map(current).collect()
     }
 
-    /// Has a box hear whether an engine lives.
+    /// Schedules the result of a box's probe of an engine.
     pub(super) fn probe(&mut self, number: usize, engine: EngineKey) {
         let State { crashes, down_until } = self.crashes.state(engine);
         let probe = if self.now < down_until { Probe::Silent } else { Probe::Alive(Some(crashes)) };
@@ -151,7 +152,7 @@
     }
 }
 
-/// Adds to an event what the engine says of itself.
+/// Adds an engine's statement to an event that carries an answer.
 fn with_statement(event: &CallEvent, statement: Statement) -> CallEvent {
     let add = |answer: &Answer| Answer { statement, ..answer.clone() };
     match event {
@@ -161,7 +162,7 @@
     }
 }
 
-/// Returns three plain engines, six that read prompts and twelve that generate.
+/// Returns three plain engines, six prefill engines and twelve decode engines.
 fn engines() -> Vec<Engine> {
     let plain = (1..=3).map(|it| engine(it, PLAIN, None));
     let prefill_engines = (11..=16).map(|it| engine(it, MODEL, Some(Stage::Prefill)));
--- a/tests/src/fleet/store.rs
+++ b/tests/src/fleet/store.rs
@@ -1,23 +1,23 @@
-//! The store of a fleet: the boxes' own objects, and what came to it.
+//! The store of a fleet: the boxes' own objects, and counts of the calls that arrived.
 
 use std::collections::BTreeMap;
 
 use hollyspoke::store::{Answer, Operation, Revision};
 use hollyspoke_gateway::gateway::CASES;
 
-/// The revision at which engines are first listed.
+/// The revision of the first list of engines.
 const FIRST: Revision = Revision::new(0, 10);
 
-/// The store.
+/// The platform's store, as far as boxes use it.
 #[derive(Debug, Clone)]
 pub struct Store {
-    /// The revision of the newest change of an engine; its era is told if it is not 0.
+    /// The revision of the newest change of an engine; its era is reported if it is not 0.
     pub revision: Revision,
     /// The objects, each with its version.
     objects: BTreeMap<String, (u64, String)>,
-    /// The calls on objects and lists that came, without watches.
+    /// The number of calls on objects and lists, without watches.
     pub calls: usize,
-    /// How often boxes have read the held requests.
+    /// How often boxes have read the quarantine cases.
     pub case_reads: usize,
 }
 
@@ -28,19 +28,19 @@
 }
 
 impl Store {
-    /// Comes back from a copy: what was written since is lost, and numbers are given out again.
+    /// Restores a backup: later changes are lost, and their revision numbers are assigned again.
     pub fn restore(&mut self, copy: &Store) {
         let era = self.revision.era + 1;
         self.revision = copy.revision.in_era(era);
         self.objects.clone_from(&copy.objects);
     }
 
-    /// Gives an object's value.
+    /// Returns the value of an object.
     pub fn value(&self, kind: &str, name: &str) -> Option<&str> {
         self.objects.get(&format!("{kind}/{name}")).map(|it| it.1.as_str())
     }
 
-    /// Carries out an operation.
+    /// Applies an operation.
     pub(super) fn carry_out(&mut self, operation: Operation) -> Answer {
         self.calls += 1;
         if matches!(&operation, Operation::Get { kind, .. } if kind == CASES) {
--- a/tests/src/platform.rs
+++ b/tests/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' platform: its store, and engines that misanswer as a test says. It
-//! speaks the platform's pages over plain sockets, so that every byte is the test's own.
+//! A stand-in for the users' platform: its store, and engines that answer as a test's script says.
+//! It implements the platform's HTTP interface on plain sockets, so that a test controls each byte.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,24 +22,24 @@
 /// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreBehaviour {
-    /// It answers.
+    /// Answers requests.
     Available,
-    /// It refuses with 503.
+    /// Refuses requests with status 503.
     Unavailable,
-    /// It takes requests and says nothing.
+    /// Accepts requests and never answers.
     Unresponsive,
-    /// Its history is gone: watches get 410.
+    /// Has lost its history: watches are answered with status 410.
     HistoryLost,
-    /// It does what it is asked, and its answers are lost with the connection.
+    /// Carries out requests, but closes the connection instead of answering.
     AnswersLost,
 }
 
-/// A head and a body that a peer sent.
+/// The head and the body of a message that a peer sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received {
-    /// The first line.
+    /// The request line or the status line.
     pub line: String,
-    /// The headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -51,40 +51,40 @@
         self.headers.iter().find(|it| it.0 == name).map(|it| it.1.as_str())
     }
 
-    /// Returns whether it is a box's question whether the engine lives, and no client's request.
+    /// Returns whether this is a box's probe of the engine and not a client's request.
     pub fn is_probe(&self) -> bool {
         self.line.starts_with("GET /report ")
     }
 }
 
-/// What an engine does with a request.
+/// A step of an engine's answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Sends bytes and keeps the connection open.
     Send(Vec<u8>),
-    /// Waits.
+    /// Waits; the script ends if the connection closes or more bytes arrive meanwhile.
     Wait(Duration),
-    /// Closes the connection in order.
+    /// Closes the connection normally.
     Close,
     /// Resets the connection.
     Reset,
 }
 
-/// What an engine does with each request.
+/// Returns the steps of an engine's answer to a request.
 pub type Script = Rc<dyn Fn(&Received) -> Vec<Action>>;
 
-/// An engine.
+/// An engine that a test scripts.
 #[derive(Clone)]
 pub struct Engine {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// What it received.
+    /// The requests that it received, probes included.
     pub received: Rc<RefCell<Vec<Received>>>,
-    /// Requests whose connection closed before their script was through.
+    /// The number of requests whose connection was closed before their script ended.
     pub dropped: Rc<Cell<u32>>,
 }
 
-/// An object of the store.
+/// An object of the store, also after its removal.
 #[derive(Clone)]
 struct Object {
     /// Its kind.
@@ -93,46 +93,46 @@
     name: String,
     /// The revision of its last change.
     revision: u64,
-    /// What was written.
+    /// Its specification, as it was written.
     spec: Value,
     /// Whether it was removed.
     is_gone: bool,
 }
 
-/// A copy of all that the store holds.
+/// A backup of the store's objects.
 pub struct Backup {
-    /// The revision.
+    /// The store's revision at the backup.
     revision: u64,
-    /// The objects.
+    /// The objects, including removed ones.
     objects: Vec<Object>,
 }
 
-/// The store.
+/// The platform's store.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// How it behaves.
     pub behaviour: Rc<Cell<StoreBehaviour>>,
-    /// The revision.
+    /// The revision of the newest change.
     revision: Rc<Cell<u64>>,
-    /// How often it has come back from a copy; none if it does not tell.
+    /// How often the store was restored from a backup; absent if its answers do not carry it.
     pub era: Rc<Cell<Option<u64>>>,
-    /// The calls that came, those that were refused too.
+    /// The number of requests received, including refused ones.
     pub calls: Rc<Cell<u64>>,
-    /// The objects, those that are gone too.
+    /// The objects, including removed ones.
     objects: Rc<RefCell<Vec<Object>>>,
-    /// The most objects of a page.
+    /// The maximum number of objects in a page.
     pub page_size: Rc<Cell<usize>>,
-    /// How often a list of engines was begun.
+    /// How often the first page of the list of engines was read.
     pub lists: Rc<Cell<usize>>,
-    /// Engines that leave right after the first page was given.
+    /// Engines that are removed right after the first page was returned.
     pub leave_between_pages: Rc<RefCell<Vec<String>>>,
-    /// How many of the next reads of a page after the first are refused.
+    /// How many of the next requests for a page after the first one are refused.
     pub refused_pages: Rc<Cell<u32>>,
-    /// How often the open connections were silenced.
+    /// How often the connections that were open were stalled.
     stalled: Rc<Cell<u32>>,
-    /// Wakes watches.
+    /// Wakes the watches that wait for a change.
     changed: Rc<Notify>,
 }
 
@@ -152,7 +152,7 @@
     (listener, address)
 }
 
-/// Reads one message; none if the connection closed before.
+/// Reads one message; `None` if the connection closes before its end.
 pub async fn receive(stream: &mut TcpStream) -> Option<Received> {
     let mut bytes = Vec::new();
     let head_end = loop {
@@ -182,7 +182,7 @@
     Some(received)
 }
 
-/// Starts an engine.
+/// Starts an engine that answers by a script.
 pub async fn engine(script: Script) -> Engine {
     let (listener, address) = listener().await;
     let engine = Engine { address, received: Rc::default(), dropped: Rc::default() };
@@ -226,7 +226,7 @@
     }
 }
 
-/// Returns an answer as an engine sends it: to a request, with a status, headers and a body.
+/// Returns an engine's answer to a request, with a status, headers and a body.
 pub fn answer(to: &Received, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let id = to.header("x-request-id").unwrap_or_default();
     let length = body.len();
@@ -237,17 +237,17 @@
     .into_bytes()
 }
 
-/// Returns a whole answer.
+/// Returns a complete answer with status 200.
 pub fn whole(to: &Received, body: &str) -> Vec<u8> {
     answer(to, "200 OK", "", body)
 }
 
-/// Returns the answer to the reading of a prompt.
+/// Returns the answer to a prefill request.
 pub fn handle(to: &Received) -> Vec<u8> {
     whole(to, r#"{"prefillHandle":"abc","tokens":3,"version":1}"#)
 }
 
-/// Returns the head of a stream of events in chunks.
+/// Returns the head of an event stream with chunked encoding.
 pub fn stream_head(to: &Received) -> Vec<u8> {
     let id = to.header("x-request-id").unwrap_or_default();
     format!(
@@ -262,15 +262,15 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Returns an event.
+/// Returns a server-sent event.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// The end of a body in chunks.
+/// The last chunk of a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Starts a store without objects.
+/// Starts an empty store.
 pub async fn store() -> Store {
     let (listener, address) = listener().await;
     let store = Store {
@@ -330,17 +330,17 @@
 }
 
 impl Store {
-    /// Has the connections that are open say nothing any more; new ones work.
+    /// Stalls the connections that are open: they are never answered again. New ones work.
     pub fn stall_open_connections(&self) {
         self.stalled.set(self.stalled.get() + 1);
     }
 
-    /// Copies all that the store holds.
+    /// Copies the revision and all objects.
     pub fn back_up(&self) -> Backup {
         Backup { revision: self.revision.get(), objects: self.objects.borrow().clone() }
     }
 
-    /// Comes back from a copy: what was written since is lost, and revisions are given out again.
+    /// Restores a backup: later changes are lost, and their revisions are assigned again.
     pub fn restore(&self, backup: &Backup) {
         self.revision.set(backup.revision);
         self.objects.borrow_mut().clone_from(&backup.objects);
@@ -348,7 +348,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Puts an object.
+    /// Writes an object.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.write(kind, name, spec, false);
     }
@@ -358,18 +358,18 @@
         self.write(kind, name, Value::Null, true);
     }
 
-    /// Puts the configuration of a version: the routes `/safe/`, `/unsafe/`, `/once/` and
+    /// Writes a configuration of this version, with the routes `/safe/`, `/unsafe/`, `/once/` and
     /// `/resumed/` of the host `host.example`.
     pub fn configure(&self, version: u64) {
         self.configure_engines(version, None);
     }
 
-    /// Puts the same configuration, with engines that can change their stage.
+    /// Writes the same configuration, with engines that can change their stage.
     pub fn configure_switchable(&self, version: u64) {
         self.configure_engines(version, Some(6.0));
     }
 
-    /// Puts the same configuration with customers whose keys requests need.
+    /// Writes the same configuration, with customers whose credentials requests must carry.
     pub fn configure_customers(&self, version: u64, tenants: Value) {
         self.configure_engines(version, None);
         let (_, mut spec) = self.object("config", "main").expect("it was just put");
@@ -377,7 +377,8 @@
         self.put("config", "main", spec);
     }
 
-    /// Puts the configuration; `switch_s` is how long a change of the stage takes, if there is any.
+    /// Writes the configuration; `switch_s` is the duration of a stage change in seconds, absent if
+    /// engines do not change their stage.
     fn configure_engines(&self, version: u64, switch_s: Option<f64>) {
         let route = |name: &str, kind: &str, service: &str, resumable: bool| {
             json!({"name": name, "host": "host.example", "pathPrefix": format!("/{name}/"),
@@ -403,7 +404,7 @@
         self.put("config", "main", spec);
     }
 
-    /// Lists an engine.
+    /// Adds an engine to the store's list.
     pub fn list(&self, id: &str, engine: &Engine, service: &str, stage: Option<&str>) {
         let spec = json!({"service": service, "address": engine.address.to_string(),
             "zone": "north", "version": "v1", "slots": 8, "state": "ready", "coldLeftMs": 0,
@@ -411,7 +412,7 @@
         self.put("servers", id, spec);
     }
 
-    /// Writes an object.
+    /// Writes or removes an object at a new revision, and wakes the watches.
     fn write(&self, kind: &str, name: &str, spec: Value, is_gone: bool) {
         let revision = self.revision.get() + 1;
         self.revision.set(revision);
@@ -422,14 +423,14 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns an object's revision and what was written.
+    /// Returns an object's revision and its specification.
     pub fn object(&self, kind: &str, name: &str) -> Option<(u64, Value)> {
         let objects = self.objects.borrow();
         let found = objects.iter().find(|it| it.kind == kind && it.name == name && !it.is_gone);
         found.map(|it| (it.revision, it.spec.clone()))
     }
 
-    /// Answers a request: a list or a watch, or one object.
+    /// Answers a request for a list, a watch or one object.
     async fn respond(&self, received: &Received, path: &str) -> (&'static str, Value) {
         let object_path = path.trim_start_matches("/objects/");
         let method = received.line.split(' ').next().unwrap_or_default();
@@ -458,7 +459,7 @@
         }
     }
 
-    /// Returns the answer to a read of one object.
+    /// Returns the answer to a request for one object.
     fn found(&self, kind: &str, name: &str) -> (&'static str, Value) {
         match self.object(kind, name) {
             Some((revision, spec)) => {
@@ -489,7 +490,7 @@
         ("200 OK", json!({"events": events, "at": self.revision.get()}))
     }
 
-    /// Returns a page of a list, by name.
+    /// Returns a page of a list, sorted by name.
     fn page(&self, kind: &str, path: &str) -> Value {
         let after = path.split("after=").nth(1).and_then(|it| it.split('&').next());
         let name = |it: &Value| it["metadata"]["name"].as_str().unwrap_or_default().to_owned();
@@ -508,7 +509,7 @@
         page
     }
 
-    /// Returns the objects of a kind after a revision, as events or as items.
+    /// Returns the objects of a kind that changed after a revision, as events or as list items.
     fn since(&self, kind: &str, since: u64, as_events: bool) -> Vec<Value> {
         let objects = self.objects.borrow();
         let newer = objects.iter().filter(|it| it.kind == kind && it.revision > since);
@@ -524,11 +525,11 @@
     }
 }
 
-/// How often requests may be repeated: so often that a box which has just started has its first
-/// repeat within 0.03 ms, since a test's first request may need one.
+/// The bound on retries. With this allowance, a box that has just started may send its first retry
+/// within 0.03 ms, since a test's first request may need one.
 const BOUND: Bound = Bound { ratio: 0.2, allowance: 1e6, window: Duration::from_secs(10) };
 
-/// Returns the settings of a box on free ports.
+/// Returns the settings of a box that listens on free ports.
 pub fn settings(store: SocketAddr, seeds: Vec<SocketAddr>) -> Settings {
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
@@ -564,7 +565,7 @@
     running
 }
 
-/// A log that keeps nothing.
+/// Returns a logger that discards everything.
 pub fn log() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
@@ -578,14 +579,14 @@
     )
 }
 
-/// Sends a request and gives all that the connection carries until it is quiet or closed.
+/// Sends a request and returns the answer.
 pub async fn ask(front: SocketAddr, head: &str) -> String {
     let mut stream = TcpStream::connect(front).await.expect("the front listens");
     stream.write_all(head.as_bytes()).await.expect("the front reads");
     read_answer(&mut stream).await
 }
 
-/// Reads an answer to its end: its length, its last chunk, or the connection's end.
+/// Reads an answer to its end: by its length, its last chunk, or the end of the connection.
 pub async fn read_answer(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     loop {
@@ -600,7 +601,7 @@
     }
 }
 
-/// Returns whether an answer is whole.
+/// Returns whether an answer is complete.
 pub fn is_whole(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let head = head.to_ascii_lowercase();
@@ -611,7 +612,7 @@
     length.and_then(|it| it.trim().parse().ok()).is_some_and(|it: usize| body.len() >= it)
 }
 
-/// Returns the status of an answer.
+/// Returns an answer's status code.
 pub fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or_default()
 }
