--- a/tests/src/crashes.rs
+++ b/tests/src/crashes.rs
@@ -1,5 +1,4 @@
-//! Requests that crash the engines that run them: how they come, and what was seen of them and of
-//! the requests beside them.
+//! Requests that crash the engines that run them, and the effects on them and on other requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,61 +8,61 @@
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::request::RequestKey;
 
-/// How long a harmful request runs before its engine crashes.
+/// The time that a harmful request runs before its engine crashes.
 pub const CRASH_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a crashed engine takes to be back.
+/// The time that a crashed engine takes to restart.
 pub const RESTART_DELAY: Duration = Duration::from_millis(2500);
 
-/// How many crashes of its engines a request is allowed before it counts as harmful.
+/// The number of engine crashes after which a request counts as harmful.
 pub const MAX_CRASHES: usize = 3;
 
-/// A request that crashes the engines that run it, and comes again at any box.
+/// A request that crashes the engines that run it, and is repeated at any box.
 #[derive(Debug, Clone, Copy)]
 pub struct Harmful {
     /// Its route.
     pub route: &'static str,
-    /// How often it comes.
+    /// The interval at which it is sent.
     pub every: Duration,
-    /// Whether reading its prompt for another engine crashes an engine too.
+    /// Whether it also crashes the engine that prefills its prompt.
     pub crashes_on_prefill: bool,
 }
 
-/// What is known of one engine.
+/// The state of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct State {
     /// How often it has crashed.
     pub crashes: u64,
-    /// Until when it is down.
+    /// The time until which it is down.
     pub down_until: Time,
 }
 
-/// The engines, and what was seen.
+/// The engines' states, and what happened to requests.
 #[derive(Debug, Clone, Default)]
 pub struct Crashes {
-    /// The engines that have crashed.
+    /// The states of the engines that have crashed.
     pub states: BTreeMap<EngineKey, State>,
     /// The requests that are harmful.
     pub harmful: BTreeSet<RequestKey>,
-    /// When engines crashed under a harmful request.
+    /// When engines crashed because of a harmful request.
     pub harmful_crashes: Vec<Time>,
-    /// When harmful requests came to engines.
+    /// When harmful requests arrived at engines.
     pub arrivals: Vec<Time>,
-    /// What harmful requests were told by the boxes.
+    /// When boxes refused harmful requests, and how.
     pub answers: Vec<(Time, Refusal)>,
-    /// The other requests that were refused, and when.
+    /// When boxes refused other requests, and how.
     pub refused: Vec<(Time, Refusal)>,
-    /// When answers to other requests were broken off.
+    /// When answers to other requests were aborted.
     pub aborted: Vec<Time>,
 }
 
 impl Crashes {
-    /// Returns what is known of an engine.
+    /// Returns the state of an engine.
     pub fn state(&self, engine: EngineKey) -> State {
         self.states.get(&engine).copied().unwrap_or_default()
     }
 
-    /// Records what a request was told by its box.
+    /// Records that a box refused a request.
     pub fn record_refusal(&mut self, request: RequestKey, refusal: Refusal, at: Time) {
         if self.harmful.contains(&request) {
             self.answers.push((at, refusal));
@@ -72,14 +71,14 @@
         }
     }
 
-    /// Records that an answer was broken off.
+    /// Records that an answer was aborted, unless its request is harmful.
     pub fn record_abort(&mut self, request: RequestKey, at: Time) {
         if !self.harmful.contains(&request) {
             self.aborted.push(at);
         }
     }
 
-    /// Counts the harmless requests that were refused as if they were harmful.
+    /// Returns how many harmless requests were refused as if they were harmful.
     pub fn wrongly_quarantined(&self) -> usize {
         let is_wrong = |refusal: &Refusal| {
             matches!(
@@ -90,8 +89,8 @@
         self.refused.iter().filter(|(_, it)| is_wrong(it)).count()
     }
 
-    /// Returns how often harmful requests came to engines later than some time after the third crash;
-    /// none if there were not as many crashes.
+    /// Returns how many harmful requests arrived at engines later than a delay after the third
+    /// crash; `None` if there were fewer crashes.
     pub fn late_arrivals(&self, delay: Duration) -> Option<usize> {
         let third = *self.harmful_crashes.get(MAX_CRASHES - 1)?;
         Some(self.arrivals.iter().filter(|&&it| it > third + delay).count())
--- a/tests/src/permits.rs
+++ b/tests/src/permits.rs
@@ -1,8 +1,8 @@
-//! Permits alone, at any number of boxes and any rate: boxes that ask, issue and use them for one
-//! engine, over datagrams that may be lost, while boxes are cut off and start again.
+//! Permits alone, with any number of boxes and any rate. Boxes request, issue and use permits for
+//! one engine, over datagrams that may be lost, while boxes are partitioned and restarted.
 //!
-//! Who lives is known to each box as its heartbeats tell it: a box that is gone is missed some time
-//! later, one that starts has heard nobody.
+//! Each box knows which others are alive from their heartbeats: a box that stops is missed some
+//! time later, and one that starts has received no heartbeat yet.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -17,83 +17,84 @@
 
 use crate::rate_limits::{WINDOW, allowed};
 
-/// The engine.
+/// The engine that all requests are for.
 const ENGINE: EngineKey = EngineKey(41);
 
-/// For how long a request may wait for its turn.
+/// The maximum time that a request waits for its permit.
 const PATIENCE: Duration = Duration::from_millis(60);
 
-/// How long a call takes to reach the engine, in milliseconds.
+/// The time from a box to the engine, in milliseconds.
 const TRANSIT_MS: RangeInclusive<u64> = 1..=4;
 
-/// How long a datagram takes, in milliseconds.
+/// The delay of a datagram, in milliseconds.
 const DELAY_MS: RangeInclusive<u64> = 1..=4;
 
-/// The silence after which a box counts as missing and after which it is taken for dead, in
-/// heartbeats: the means of what boxes go by.
+/// The silence after which a box counts as missing, and after which it counts as dead, in heartbeat
+/// intervals. Both are the means of the timeouts that boxes use.
 const TIMEOUT_BEATS: (f64, f64) = (1.15, 3.6);
 
 /// One box.
 #[derive(Debug)]
 struct Member {
-    /// What it issues.
+    /// The permits that it issues.
     issuer: Issuer,
-    /// What it holds.
+    /// The permits that it holds.
     holder: Holder,
-    /// When this life of it began.
+    /// The start time of this incarnation.
     started_at: Time,
-    /// When the life before ended.
+    /// The end of the previous incarnation.
     stopped_at: Time,
-    /// Until when it is down.
+    /// The time until which it is down.
     down_until: Time,
-    /// With whom it exchanges datagrams: those of the same side.
+    /// The side of a partition: boxes exchange datagrams only with those of the same side.
     side: usize,
 }
 
-/// What is yet to happen.
+/// What is scheduled to happen.
 #[derive(Debug, Clone, Copy)]
 enum Scheduled {
-    /// A request comes to a box.
+    /// A request arrives at a box.
     Request(usize),
-    /// A question comes from one box to another.
+    /// A query for a permit arrives at a box, from another one.
     Query(usize, usize),
-    /// The answer comes to a box: the time until the permit, or until the next one.
+    /// The reply arrives at a box: the time until its permit is valid, or until it may ask again.
     Reply(usize, Result<Duration, Duration>),
     /// A box uses a permit.
     Use(usize),
-    /// A request comes to the engine.
+    /// A request arrives at the engine.
     Arrival,
-    /// A box looks whether it issues the permits.
+    /// A box updates whether it issues the permits.
     Beat(usize),
 }
 
-/// Boxes and one engine in need.
+/// Boxes and one rate-limited engine.
 #[derive(Debug)]
 pub struct Site {
-    /// What the engine takes.
+    /// The engine's limit, in requests per second.
     rate: f64,
     /// The boxes.
     members: Vec<Member>,
-    /// The boxes in the order in which they issue the engine's permits.
+    /// The boxes in the order in which they take over the issuing of the engine's permits.
     order: Vec<usize>,
-    /// When the sides last changed, and what they were before.
+    /// The time of the last change of the sides, and the sides before it.
     partition_change: (Time, Vec<usize>),
-    /// The time.
+    /// The current time.
     now: Time,
-    /// What is yet to happen.
+    /// What is scheduled, by time and number.
     scheduled: BTreeMap<(Time, u64), Scheduled>,
-    /// The number of the next entry.
+    /// The number of the next entry of `scheduled`.
     next: u64,
     /// The share of datagrams that are lost.
     pub lost: f64,
-    /// What came to the engine.
+    /// The times at which requests arrived at the engine.
     arrivals: Vec<Time>,
-    /// The source of chance.
+    /// The random number generator.
     random: Pcg64Mcg,
 }
 
 impl Site {
-    /// Makes boxes that have heard each other, before an engine that takes so many requests a second.
+    /// Creates boxes that have received each other's heartbeats, and an engine with this limit in
+    /// requests per second.
     pub fn new(boxes: usize, rate: f64, seed: u64) -> Site {
         let member = |_| Member {
             issuer: Issuer::default(),
@@ -123,12 +124,12 @@
         site
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Cuts boxes off from the others: gives each the number of its side.
+    /// Partitions the boxes: assigns each the number of its side.
     pub fn partition(&mut self, side: impl Fn(usize) -> usize) {
         self.partition_change = (self.now, self.members.iter().map(|it| it.side).collect());
         for (number, member) in self.members.iter_mut().enumerate() {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Has boxes end and start again after a time; they know nothing then.
+    /// Stops boxes and restarts them after a time, without their state.
     pub fn restart(&mut self, members: impl IntoIterator<Item = usize>, down: Duration) {
         for number in members {
             let member = &mut self.members[number];
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Has time pass, with so many requests a second at all boxes together, and one at each box at the
-    /// same moment now and then.
+    /// Runs the site for a time, with requests at random boxes and, at an optional interval, a
+    /// request at every box at the same moment.
     pub fn run(&mut self, duration: Duration, rate_per_s: f64, all_every: Option<Duration>) {
         let end = self.now + duration;
         self.draw_requests(rate_per_s, end);
@@ -171,7 +172,8 @@
         self.now = end;
     }
 
-    /// Returns the most that came to the engine in the span, as a share of what is allowed.
+    /// Returns the maximum number of arrivals at the engine within the window, as a share of what
+    /// is allowed.
     pub fn bound_used(&self) -> f64 {
         let mut first = 0;
         let mut max = 0;
@@ -184,13 +186,13 @@
         max as f64 / allowed(self.rate)
     }
 
-    /// Returns the share of the limit that came to the engine from a time on.
+    /// Returns the share of the limit that was used since a time.
     pub fn limit_used(&self, from: Time) -> f64 {
         let count = self.arrivals.iter().filter(|it| **it >= from).count();
         count as f64 / (self.rate * self.now.since(from).as_secs_f64())
     }
 
-    /// Draws when and where requests come until a time.
+    /// Schedules requests at random boxes until a time.
     fn draw_requests(&mut self, rate_per_s: f64, end: Time) {
         let mut at = self.now;
         loop {
@@ -204,19 +206,19 @@
         }
     }
 
-    /// Adds what is yet to happen.
+    /// Schedules an entry.
     fn schedule(&mut self, at: Time, due: Scheduled) {
         self.next += 1;
         self.scheduled.insert((at, self.next), due);
     }
 
-    /// Adds what happens after some milliseconds.
+    /// Schedules an entry after a random number of milliseconds.
     fn schedule_in(&mut self, millis: RangeInclusive<u64>, due: Scheduled) {
         let duration = Duration::from_millis(self.random.random_range(millis));
         self.schedule(self.now + duration, due);
     }
 
-    /// Has something happen. What concerns a box that is down is lost with it.
+    /// Handles a scheduled entry. Entries for a box that is down are lost.
     fn handle(&mut self, due: Scheduled) {
         let concerned = match due {
             Scheduled::Request(number) | Scheduled::Use(number) | Scheduled::Reply(number, _) => {
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Has a box look whether it issues the permits, as it does with each heartbeat.
+    /// Updates whether a box issues the permits, as boxes do at each heartbeat.
     fn update_issuer(&mut self, number: usize) {
         if self.now >= self.members[number].down_until {
             let is_issuer = self.issuer(number) == number;
@@ -253,7 +255,7 @@
         self.schedule(self.now + self.beat_interval(), Scheduled::Beat(number));
     }
 
-    /// Has a box with a request send it, or ask for a permit.
+    /// Handles a request at a box: sends it with a permit, or asks for one.
     fn handle_request(&mut self, number: usize) {
         let now = self.now;
         let holder = &self.members[number].holder;
@@ -271,20 +273,20 @@
         self.send_datagram(number, issuer, Scheduled::Query(number, issuer));
     }
 
-    /// Has a box answer a question.
+    /// Answers another box's query for a permit.
     fn handle_query(&mut self, from: usize, to: usize) {
         let issued =
             if self.issuer(to) == to { self.issue(to) } else { Err(Duration::from_millis(100)) };
         self.send_datagram(to, from, Scheduled::Reply(from, issued));
     }
 
-    /// Has a box decide on a permit.
+    /// Issues or refuses a permit at a box.
     fn issue(&mut self, number: usize) -> Result<Duration, Duration> {
         let side = self.side(number);
         self.members[number].issuer.issue(ENGINE, self.rate, side, PATIENCE, self.now)
     }
 
-    /// Has a box take the answer to its question.
+    /// Handles the reply to a box's query.
     fn handle_reply(&mut self, number: usize, reply: Result<Duration, Duration>) {
         let now = self.now;
         match reply {
@@ -296,7 +298,7 @@
         }
     }
 
-    /// Has a box send a request, if it has a permit.
+    /// Sends a request if the box has a permit.
     fn send(&mut self, number: usize) {
         let now = self.now;
         let holder = &mut self.members[number].holder;
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Sends a datagram from one box to another.
+    /// Sends a datagram from one box to another, unless it is lost or the two are partitioned.
     fn send_datagram(&mut self, from: usize, to: usize, due: Scheduled) {
         let is_lost = self.random.random_bool(self.lost);
         if !is_lost && self.members[from].side == self.members[to].side {
@@ -314,12 +316,12 @@
         }
     }
 
-    /// Returns the time between two heartbeats.
+    /// Returns the interval between heartbeats.
     fn beat_interval(&self) -> Duration {
         Duration::from_millis(if self.members.len() > 100 { 800 } else { 350 })
     }
 
-    /// Returns whether a box has heard another within some heartbeats.
+    /// Returns whether a box has received another one's heartbeat within a number of intervals.
     fn hears(&self, number: usize, other: usize, beats: f64) -> bool {
         let spread = rank::weight(number as u64, other as u64) as f64 / u64::MAX as f64;
         let (own, its) = (&self.members[number], &self.members[other]);
@@ -343,14 +345,15 @@
         own.started_at <= last && self.now.since(last) < silence
     }
 
-    /// Returns the box that issues permits, as a box knows the others.
+    /// Returns the box that issues the permits, by the boxes that this box takes for alive.
     fn issuer(&self, number: usize) -> usize {
         let (_, dead) = TIMEOUT_BEATS;
         let is_alive = |it: &&usize| **it == number || self.hears(number, **it, dead);
         self.order.iter().find(is_alive).copied().unwrap_or(number)
     }
 
-    /// Tells how a box that issues permits stands to the others.
+    /// Returns whether an issuing box receives heartbeats from a majority; if not, how many of the
+    /// first boxes in order are alive to it, and 0 in the first 5 s after its start.
     fn side(&self, number: usize) -> Side {
         let (late, dead) = TIMEOUT_BEATS;
         let boxes = self.members.len();
@@ -359,7 +362,7 @@
         if (1 + heard) * 2 > boxes {
             return Side::Majority;
         }
-        // A box knows all others once it has heard them, for a minute.
+        // A box knows all others once it has received their heartbeats, and then for a minute.
         let has_heard_all =
             self.now.since(self.members[number].started_at) > Duration::from_secs(5);
         let leaders = self.order.iter().take(PART_COUNT);
--- a/tests/src/quota.rs
+++ b/tests/src/quota.rs
@@ -1,4 +1,4 @@
-//! Boxes that share customers' limits, in virtual time and without anything else.
+//! Boxes that share a customer's limit, in virtual time and with no other part of the router.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,110 +9,112 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The step of the time.
+/// The time step of a run.
 pub const STEP: Duration = Duration::from_millis(10);
 
-/// How often boxes tell each other their totals.
+/// The interval at which boxes announce their totals.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
-/// How often a box looks who is heard.
+/// The interval at which a box updates which others are reachable.
 const VISIBILITY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The silence after which a box is not counted on any more.
+/// The silence after which a box counts as unreachable.
 const REACHABLE_TIMEOUT: Duration = Duration::from_millis(402);
 
-/// The customer.
+/// The customer whose limit is shared.
 const CUSTOMER: u32 = 7;
 
 /// How boxes share the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
-    /// Each has an equal part.
+    /// Each box has an equal part.
     Parts,
-    /// Each tells the others its totals.
+    /// Each box announces its totals to the others.
     Totals,
-    /// Each tells its totals, and none minds that others are not heard: a mistake to be caught.
+    /// Boxes announce totals but ignore that others are unreachable: a deliberate fault that a test
+    /// must detect.
     TotalsIgnoringSilence,
-    /// Nobody tells anything, and each has the whole limit: a mistake to be caught.
+    /// Boxes announce nothing, and each has the whole limit: a deliberate fault that a test must
+    /// detect.
     Unshared,
 }
 
 /// One box.
 #[derive(Debug)]
 struct Member {
-    /// Its buckets.
+    /// Its token buckets.
     quota: Quota<u32>,
-    /// The number of its life.
+    /// Its incarnation.
     incarnation: u64,
-    /// When its life began.
+    /// The start time of this incarnation.
     started_at: Time,
-    /// When it tells next.
+    /// The time of its next announcement.
     next_announcement: Time,
-    /// When it looks next who is heard.
+    /// The time at which it next updates which others are reachable.
     next_visibility_update: Time,
-    /// When it last heard each box.
+    /// The time of the last announcement from each box.
     heard: BTreeMap<usize, Time>,
-    /// The most boxes that it has heard at once in this life, itself included.
+    /// The maximum number of boxes reachable at once in this incarnation, itself included.
     max_heard: usize,
-    /// The most that others have told of.
+    /// The maximum number that others have reported.
     max_reported: usize,
-    /// With whom it can talk.
+    /// The side of the partition that it is on.
     side: Side,
 }
 
-/// The boxes that one can talk with are those of the same side.
+/// The side of a partition; boxes receive announcements only from those of the same side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
-    /// Those that are not cut off.
+    /// The boxes that are not partitioned off.
     Main,
-    /// Those that are cut off together.
+    /// The boxes that are partitioned off together.
     Split,
-    /// One that is cut off alone, by its number.
+    /// A box that is isolated alone, by its number.
     Alone(usize),
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
-    /// Of what one bucket for all would have let through, the share that was.
+    /// The admitted units, as a share of what one common bucket would have admitted.
     pub share: f64,
-    /// The largest sum within the window, over what the limit allows without the tolerance.
+    /// The largest sum within the window, divided by what the limit allows without the tolerance.
     pub most: f64,
 }
 
-/// The boxes.
+/// Boxes that share a customer's limit.
 #[derive(Debug)]
 pub struct Fleet {
     /// The boxes.
     members: Vec<Member>,
-    /// The limit.
+    /// The customer's limit.
     limit: Limit,
-    /// The tolerance.
+    /// The tolerance of the limit.
     tolerance: Tolerance,
-    /// How they share.
+    /// How the boxes share the limit.
     sharing: Sharing,
-    /// The time.
+    /// The current time.
     now: Time,
-    /// What was let through, and when.
+    /// The units admitted within the window, and when.
     admitted: VecDeque<(Time, u64)>,
-    /// The sum of these within the window.
+    /// The sum of `admitted`.
     sum: u64,
-    /// The largest such sum.
+    /// The largest sum within the window.
     most: u64,
-    /// All that was let through.
+    /// All units admitted.
     total: f64,
-    /// The one bucket for all, that the boxes are compared with.
+    /// The level of one common bucket that the boxes are compared with.
     ideal: f64,
-    /// What it let through.
+    /// The units that the common bucket admitted.
     ideal_total: f64,
-    /// The share of messages that are lost.
+    /// The share of announcements that are lost.
     pub lost: f64,
-    /// The source of chance.
+    /// The random number generator.
     pub random: Pcg64Mcg,
 }
 
 impl Fleet {
-    /// Makes boxes that have run for a time long enough that their buckets are full.
+    /// Creates boxes that have run long enough for their buckets to be full.
     pub fn new(
         boxes: usize,
         limit: Limit,
@@ -156,7 +158,8 @@
         fleet
     }
 
-    /// Lets time pass; the function gives which box is asked for how much in each step.
+    /// Runs the boxes for a time; the function returns the box and the units of each request in a
+    /// step.
     pub fn run(
         &mut self,
         duration: Duration,
@@ -175,21 +178,22 @@
         }
     }
 
-    /// Cuts the first boxes off, each alone, or heals them.
+    /// Isolates each of the first boxes, or heals them.
     pub fn isolate(&mut self, count: usize, is_isolated: bool) {
         for (number, member) in self.members.iter_mut().take(count).enumerate() {
             member.side = if is_isolated { Side::Alone(number) } else { Side::Main };
         }
     }
 
-    /// Cuts the first boxes off together, so that they hear each other.
+    /// Partitions the first boxes off together, so that they still receive each other's
+    /// announcements.
     pub fn split(&mut self, count: usize) {
         for member in self.members.iter_mut().take(count) {
             member.side = Side::Split;
         }
     }
 
-    /// Starts boxes anew.
+    /// Restarts boxes without their state.
     pub fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
         for number in members {
             let incarnation = self.random.random();
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Starts all boxes anew, each with a full bucket: a mistake to be caught.
+    /// Restarts all boxes with full buckets: a deliberate fault that a test must detect.
     pub fn restart_full(&mut self) {
         let full = Account { customer: CUSTOMER, total: 0, level: Some(self.limit.burst as i32) };
         let nobody = SocketAddr::from(([10, 0, 0, 2], 0));
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Changes the limit on all boxes.
+    /// Changes the limit at all boxes.
     pub fn set_limit(&mut self, limit: Limit) {
         self.limit = limit;
         for member in &mut self.members {
@@ -230,25 +234,25 @@
         self.ideal = self.ideal.min(limit.burst);
     }
 
-    /// Returns what the run has come to.
+    /// Returns the result of the run so far.
     pub fn outcome(&self) -> Outcome {
         let allowed = self.limit.rate * self.tolerance.window.as_secs_f64() + self.limit.burst;
         Outcome { share: self.total / self.ideal_total.max(1.0), most: self.most as f64 / allowed }
     }
 
-    /// Returns the largest sum within the window, over the bound that the tolerance widens.
+    /// Returns the largest sum within the window, divided by the bound that includes the tolerance.
     pub fn bound_used(&self) -> f64 {
         let Tolerance { window, overrun, slack } = self.tolerance;
         let limit = self.limit.rate * window.as_secs_f64() + self.limit.burst;
         self.most as f64 / (limit * (1.0 + overrun) + slack)
     }
 
-    /// Forgets what was measured so far.
+    /// Resets the totals and the largest sum.
     pub fn reset_counts(&mut self) {
         (self.total, self.ideal_total, self.most) = (0.0, 0.0, self.sum);
     }
 
-    /// Asks a box for units.
+    /// Requests units at a box.
     fn request(&mut self, number: usize, units: u64) {
         if self.ideal >= 1.0 {
             self.ideal -= units as f64;
@@ -271,7 +275,7 @@
         self.most = self.most.max(self.sum);
     }
 
-    /// Has the boxes whose turn it is tell their totals, and all look who is heard.
+    /// Sends the announcements that are due, and updates which boxes are reachable.
     fn announce_due(&mut self) {
         for number in 0..self.members.len() {
             if self.members[number].next_visibility_update <= self.now {
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Has a box hear another.
+    /// Applies a box's announcement at another one.
     fn receive(
         &mut self,
         to: usize,
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Has a box look who is heard.
+    /// Updates which other boxes a box can reach.
     fn update_visibility(&mut self, number: usize) {
         let boxes = self.members.len();
         let now = self.now;
@@ -336,7 +340,7 @@
         member.max_heard = member.max_heard.max(1 + heard);
         let visibility = match self.sharing {
             Sharing::Parts => Visibility::isolated(boxes),
-            // One that has heard nobody takes many others to be there.
+            // A box that has received no announcement assumes many other boxes.
             Sharing::Totals if member.heard.is_empty() => Visibility::isolated(MAX_BOXES),
             Sharing::Totals => {
                 Visibility::connected(member.max_heard.max(member.max_reported), heard)
--- a/tests/src/rate_limits.rs
+++ b/tests/src/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Engines that name how many requests a second they take from all boxes together, and what came to
-//! them.
+//! Engines that state how many requests per second they accept from all boxes together, and the
+//! requests that arrived at them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,67 +8,67 @@
 use hollyspoke_gateway::engine::EngineKey;
 use hollyspoke_gateway::rate_limit::Reported;
 
-/// The span over which what comes to an engine is counted.
+/// The window over which arrivals at an engine are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 
-/// How long after it was first named a limit is kept.
+/// The time after its first statement from which a limit is checked.
 const ENFORCED_AFTER: Duration = Duration::from_secs(3);
 
-/// How long after a box was told what it sends counts.
+/// The time after a box was informed from which its requests count.
 const COUNTED_AFTER: Duration = Duration::from_millis(500);
 
-/// The times by which what a limit allows may be exceeded.
+/// The factor by which arrivals may exceed the limit.
 const OVERRUN_RATIO: f64 = 1.5;
 
-/// The requests by which it may be exceeded beside that.
+/// The number of requests by which arrivals may exceed the limit in addition.
 const SLACK_COUNT: f64 = 5.0;
 
-/// What an engine has named, and when.
+/// A change of the limit that an engine states.
 #[derive(Debug, Clone, Copy)]
 struct LimitChange {
-    /// The requests a second; none from when on it names no limit.
+    /// The limit in requests per second; `None` if it states no limit.
     rate: Option<f64>,
-    /// Since when.
+    /// The time of the change.
     since: Time,
 }
 
-/// A life of a box: its number, and which of its lives.
+/// An incarnation of a box: the box's number and its count of starts.
 pub type Sender = (usize, u64);
 
-/// Something that came to an engine in need.
+/// A message that arrived at an engine that has stated a limit.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
-    /// The box that sent it.
+    /// The box and incarnation that sent it.
     sender: Sender,
-    /// When.
+    /// The time of arrival.
     at: Time,
 }
 
-/// One engine.
+/// The changes and arrivals of one engine.
 #[derive(Debug, Clone, Default)]
 struct EngineHistory {
-    /// All that it has named, in order.
+    /// All changes of its limit, in order.
     changes: Vec<LimitChange>,
-    /// What came to it.
+    /// The messages that arrived at it.
     arrivals: Vec<Arrival>,
-    /// When each life of a box was first told, since the last time that nothing was named.
+    /// When each incarnation of a box was first informed, since the last time without a limit.
     informed: BTreeMap<Sender, Time>,
 }
 
-/// All engines that have ever named a limit.
+/// All engines that have stated a limit.
 #[derive(Debug, Clone, Default)]
 pub struct RateLimits {
-    /// The engines.
+    /// The engines' histories.
     engines: BTreeMap<EngineKey, EngineHistory>,
 }
 
-/// Returns what an engine may get in the span.
+/// Returns the number of arrivals allowed at an engine in the window.
 pub fn allowed(rate: f64) -> f64 {
     rate * WINDOW.as_secs_f64() * OVERRUN_RATIO + SLACK_COUNT
 }
 
 impl RateLimits {
-    /// Has an engine name a limit from now on, or none.
+    /// Sets or removes the limit that an engine states from now on.
     pub fn set_limit(&mut self, engine: EngineKey, rate: Option<f64>, now: Time) {
         let history = self.engines.entry(engine).or_default();
         history.changes.push(LimitChange { rate, since: now });
@@ -77,14 +77,15 @@
         }
     }
 
-    /// Has an engine begin a new life, which is not in need.
+    /// Starts a new incarnation of an engine, which is not rate-limited.
     pub fn forget(&mut self, engine: EngineKey, now: Time) {
         if self.engines.contains_key(&engine) {
             self.set_limit(engine, None, now);
         }
     }
 
-    /// Records that something of a box comes to an engine; gives what its answer says.
+    /// Records the arrival of a box's message at an engine; returns the limit that the answer
+    /// states.
     pub fn arrive(&mut self, sender: Sender, engine: EngineKey, now: Time) -> Reported {
         let Some(history) = self.engines.get_mut(&engine) else { return Reported::Nothing };
         history.arrivals.push(Arrival { sender, at: now });
@@ -97,12 +98,13 @@
         }
     }
 
-    /// Returns the most that has come to any engine within the span, as a share of what is allowed.
+    /// Returns the maximum number of arrivals at any engine within the window, as a share of what
+    /// is allowed.
     pub fn bound_used(&self) -> f64 {
         self.engines.values().map(EngineHistory::bound_used).fold(0.0, f64::max)
     }
 
-    /// Returns how much of their limits the engines have got in the mean of a time.
+    /// Returns the share of their limits that the engines received on average in an interval.
     pub fn limit_used(&self, from: Time, to: Time) -> f64 {
         let count = |it: &EngineHistory| {
             it.arrivals.iter().filter(|it| it.at >= from && it.at < to).count()
@@ -112,7 +114,7 @@
         got as f64 / (rates.sum::<f64>() * to.since(from).as_secs_f64()).max(f64::MIN_POSITIVE)
     }
 
-    /// Returns how many requests have come to an engine in a time.
+    /// Returns how many requests arrived at an engine in an interval.
     pub fn arrivals_between(&self, engine: EngineKey, from: Time, to: Time) -> usize {
         let arrivals = self.engines.get(&engine).map(|it| it.arrivals.iter());
         let arrivals = arrivals.into_iter().flatten();
@@ -121,7 +123,7 @@
 }
 
 impl EngineHistory {
-    /// Returns the most that has come within the span, as a share of what is allowed.
+    /// Returns the maximum number of arrivals within the window, as a share of what is allowed.
     fn bound_used(&self) -> f64 {
         let counted: Vec<_> = self.arrivals.iter().filter(|it| self.is_counted(it)).collect();
         let used = counted.iter().filter_map(|last| {
@@ -132,14 +134,14 @@
         used.fold(0.0, f64::max)
     }
 
-    /// Returns whether what a box sent counts.
+    /// Returns whether an arrival counts.
     fn is_counted(&self, arrival: &Arrival) -> bool {
         let informed = self.informed.get(&arrival.sender);
         informed.is_some_and(|it| arrival.at >= *it + COUNTED_AFTER)
     }
 
-    /// Returns the highest limit that was named in the span that ends at a time, if it is to be kept
-    /// by then: it was first named some time before, and nothing was lifted meanwhile.
+    /// Returns the highest limit stated in the window that ends at a time. It is absent if the
+    /// limit was first stated only shortly before, or was removed since.
     fn max_rate(&self, end: Time) -> Option<f64> {
         let until = self.changes.iter().take_while(|it| it.since <= end);
         let changes: Vec<_> = until.collect();
--- a/tests/src/repeats.rs
+++ b/tests/src/repeats.rs
@@ -1,4 +1,4 @@
-//! What arrived at engines beyond the first call of each request, against what is allowed over all
+//! The calls at engines beyond the first call of each request, compared with the bound for all
 //! boxes together.
 
 use std::collections::BTreeSet;
@@ -10,47 +10,48 @@
 /// A request that a client has sent.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientRequest {
-    /// Its service.
+    /// The service.
     pub service: &'static str,
-    /// When.
+    /// The time at which it was sent.
     pub at: Time,
 }
 
-/// A call that has come to an engine.
+/// A call that has arrived at an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     /// The service.
     pub service: &'static str,
-    /// The request: its box, the box's life, and its number there.
+    /// The request: its box, the box's count of starts, and its number at the box.
     pub request: (usize, u64, u64),
-    /// When.
+    /// The time of arrival.
     pub at: Time,
-    /// Whether it is a reading that the engine took up, of which the first does not count.
+    /// Whether this is a prefill that the engine accepted; the first one of a request does not
+    /// count.
     pub is_accepted_prefill: bool,
 }
 
-/// A repeat that a box did not allow.
+/// A retry that a box refused.
 #[derive(Debug, Clone, Copy)]
 pub struct RefusedRetry {
     /// The service.
     pub service: &'static str,
-    /// When.
+    /// The time of the refusal.
     pub at: Time,
 }
 
-/// All that was seen.
+/// The requests, calls and refused retries of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Records {
-    /// The requests.
+    /// The requests that clients sent.
     pub requests: Vec<ClientRequest>,
-    /// The calls at engines.
+    /// The calls that arrived at engines.
     pub arrivals: Vec<Arrival>,
-    /// The repeats not allowed.
+    /// The refused retries.
     pub refused: Vec<RefusedRetry>,
 }
 
 impl Records {
-    /// Returns the most repeats in any window over what is allowed there.
+    /// Returns the maximum number of retries in any window, divided by the number allowed there.
     pub fn bound_used(&self, service: &str, bound: &Bound) -> f64 {
         let repeats = self.repeats(service);
         let requested = self.request_times(service);
@@ -60,13 +61,13 @@
         used.fold(0.0, f64::max)
     }
 
-    /// Returns how many repeats there were.
+    /// Returns the number of retries.
     pub fn repeat_count(&self, service: &str) -> usize {
         self.repeats(service).len()
     }
 
-    /// Returns how many repeats were not allowed though all boxes together had room for them, and how
-    /// many were not allowed at all.
+    /// Returns how many retries were refused although the bound for all boxes together allowed
+    /// them, and how many were refused in total.
     pub fn refused_with_capacity(&self, service: &str, bound: &Bound) -> (usize, usize) {
         let repeats = self.repeats(service);
         let requested = self.request_times(service);
@@ -78,7 +79,7 @@
         (refused.iter().filter(has_capacity).count(), refused.len())
     }
 
-    /// Returns when each call arrived beyond the first of its request, in order.
+    /// Returns the time of each call beyond the first one of its request, in order.
     fn repeats(&self, service: &str) -> Vec<Time> {
         let mut prefilled = BTreeSet::new();
         let mut started = BTreeSet::new();
@@ -92,21 +93,21 @@
         arrivals.iter().map(|it| it.at).collect()
     }
 
-    /// Returns when the requests for a service were sent.
+    /// Returns the times at which requests for a service were sent.
     fn request_times(&self, service: &str) -> Vec<Time> {
         self.requests.iter().filter(|it| it.service == service).map(|it| it.at).collect()
     }
 }
 
-/// Returns the repeats allowed in the window that ends at a time: for the requests in it, in the one
-/// before or in the one half a window before, whichever has the most.
+/// Returns the number of retries allowed in the window that ends at a time. It depends on the
+/// requests in that window, the one before or the one half a window before, whichever has the most.
 fn allowed(requested: &[Time], end: Time, bound: &Bound) -> f64 {
     let ends = [end, end - bound.window / 2, end - bound.window];
     let most = ends.into_iter().map(|it| count_in_window(requested, it, bound.window)).max();
     most.unwrap_or(0) as f64 * bound.ratio + bound.allowance
 }
 
-/// Counts the times in the window that ends at a time; they are in order.
+/// Counts the times in the window that ends at a time. The times must be sorted.
 fn count_in_window(times: &[Time], end: Time, window: Duration) -> usize {
     let until = times.partition_point(|&it| it <= end);
     let before = times.partition_point(|&it| it + window <= end);
--- a/tests/src/stages.rs
+++ b/tests/src/stages.rs
@@ -1,4 +1,4 @@
-//! A box that changes engines' stages, with a store and engines made up by the test.
+//! A box that changes the stages of engines, with a store and engines that the test simulates.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,34 +16,34 @@
 
 use crate::gateway::{MODEL, World, configuration, engine, prefilled, ran, request, route};
 
-/// How long an engine takes to change its stage.
+/// The time that an engine takes to change its stage.
 pub const SWITCH: Duration = Duration::from_secs(6);
 
-/// The tokens that an engine reads in a millisecond.
+/// The prefill rate of an engine, in tokens per millisecond.
 const PREFILL_TOKENS_PER_MS: u64 = 30;
 
-/// How often the store is asked whether something has changed.
+/// The interval at which watches of the store are answered.
 const STEP: Duration = Duration::from_millis(10);
 
-/// One object of the store.
+/// An object of the store.
 #[derive(Debug, Clone)]
 struct Object {
-    /// Its version.
+    /// Its version: the store's revision at its last write.
     version: u64,
     /// Its value.
     value: String,
 }
 
-/// How the engines answer orders.
+/// How engines answer orders to change their stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderBehaviour {
-    /// They take them.
+    /// They accept orders.
     Accepts,
-    /// They refuse them.
+    /// They refuse orders.
     Refuses,
-    /// They take them, and the answer is lost.
+    /// They accept orders, but their answers are lost.
     LosesAnswers,
-    /// They neither take them nor answer.
+    /// They neither receive orders nor answer.
     Unreachable,
 }
 
@@ -54,52 +54,52 @@
     pub world: World,
     /// Whether the store answers.
     pub has_store: bool,
-    /// How the engines answer orders.
+    /// How engines answer orders.
     pub order_behaviour: OrderBehaviour,
-    /// How long a run takes.
+    /// The time that a decode run takes.
     pub run: Duration,
-    /// The tokens of the prompts that arrive now.
+    /// The prompt tokens of the requests that arrive now.
     tokens: u64,
-    /// The orders given.
+    /// The orders that the box sent.
     pub orders: Vec<Order>,
-    /// When each of them was given.
+    /// The time of each order.
     pub ordered_at: Vec<Time>,
-    /// When another box last took the lease.
+    /// The time at which another box last took the lease.
     pub lease_taken_at: Option<Time>,
-    /// When this box last wrote the lease.
+    /// The time at which this box last wrote the lease.
     pub written_at: Option<Time>,
-    /// The requests refused.
+    /// The number of refused requests.
     pub refused: usize,
-    /// The requests a second that engines in need name in their answers.
+    /// The limits that rate-limited engines state in their answers, in requests per second.
     pub limits: BTreeMap<EngineKey, f64>,
-    /// Where each call was sent.
+    /// The engine to which each call was sent.
     calls: BTreeMap<CallKey, EngineKey>,
     /// The objects in the store.
     objects: BTreeMap<String, Object>,
-    /// The engines with stages.
+    /// The engines with stages, as the store lists them.
     engines: Vec<Engine>,
-    /// The orders that each engine has taken.
+    /// The number of orders that each engine has accepted.
     order_counts: BTreeMap<EngineKey, u64>,
-    /// What is yet to happen, by time.
+    /// What is scheduled, with its time.
     scheduled: Vec<(Time, Scheduled)>,
-    /// The store's revision.
+    /// The revision of the store's newest change.
     revision: u64,
 }
 
-/// What is yet to happen.
+/// What is scheduled to happen.
 #[derive(Debug, Clone)]
 enum Scheduled {
-    /// A prompt has been read.
+    /// An engine has prefilled a prompt.
     Prefilled(CallKey),
     /// A stream begins.
     Begin(CallKey),
     /// A stream ends.
     End(CallKey),
-    /// An engine has changed.
+    /// An engine has changed its stage.
     Changed(EngineKey, Stage),
 }
 
-/// Returns the usual configuration with engines that can change their stage.
+/// Returns the usual configuration, with engines that can change their stage.
 pub fn switchable(version: u64) -> Configuration {
     let staged = Staged {
         memory_tokens: 40_000,
@@ -120,7 +120,7 @@
 }
 
 impl StageWorld {
-    /// Makes a box that knows engines that read and engines that generate.
+    /// Creates a box that knows these numbers of prefill engines and decode engines.
     pub fn new(prefill_engines: u8, decode_engines: u8) -> StageWorld {
         let mut world = World::unconfigured();
         let prefill_engine = |it| engine(10 + it, MODEL, Some(Stage::Prefill));
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns how many engines read, as the store lists them.
+    /// Returns the number of prefill engines, as the store lists them.
     pub fn prefill_count(&self) -> usize {
         self.engines.iter().filter(|it| it.stage == Some(Stage::Prefill)).count()
     }
@@ -163,12 +163,12 @@
         self.objects.get("stages").map(|it| it.version)
     }
 
-    /// Returns how many engines change their stage now.
+    /// Returns the number of engines that are changing their stage.
     pub fn switching_count(&self) -> usize {
         self.scheduled.iter().filter(|it| matches!(it.1, Scheduled::Changed(..))).count()
     }
 
-    /// Returns how many engines will read once all changes are done.
+    /// Returns the number of prefill engines after all changes in progress.
     pub fn prefill_count_after_switches(&self) -> usize {
         let mut stages: BTreeMap<EngineKey, Option<Stage>> =
             self.engines.iter().map(|it| (it.key, it.stage)).collect();
@@ -180,7 +180,7 @@
         stages.values().filter(|it| **it == Some(Stage::Prefill)).count()
     }
 
-    /// Lets another box take the lease.
+    /// Writes the lease as another box that takes it over.
     pub fn take_lease(&mut self) {
         self.revision += 1;
         let object = Object { version: self.revision, value: "another box".to_owned() };
@@ -188,7 +188,7 @@
         self.lease_taken_at = Some(self.world.now);
     }
 
-    /// Has requests arrive at a rate for a time, and all that follows from them.
+    /// Sends requests at a rate for a time, and simulates the answers.
     pub fn run_load(&mut self, rate_per_s: u32, tokens: u64, duration: Duration) {
         self.tokens = tokens;
         let end = self.world.now + duration;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Has the store's watches answer, if it is there.
+    /// Answers the watches of the store, if the store is available.
     fn answer_watches(&mut self) {
         for kind in [Kind::Configuration, Kind::Engines, Kind::Evacuations] {
             let contact = if self.has_store { Event::StoreAnswered } else { Event::StoreFailed };
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Carries effects out.
+    /// Applies the effects of the box.
     fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             let now = self.world.now;
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Has an engine take an order.
+    /// Applies an order at an engine.
     fn accept_order(&mut self, order: Order) {
         let key = order.engine.key;
         let count = self.order_counts.entry(key).or_default();
@@ -276,7 +276,7 @@
         self.apply_effects(next);
     }
 
-    /// Carries out an operation on the store.
+    /// Applies an operation to the store.
     fn store(&mut self, operation: Operation) -> Answer {
         if !self.has_store {
             return Answer::Away;
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Has what is due happen.
+    /// Handles the scheduled entries that are due.
     fn handle_due(&mut self) {
         let now = self.world.now;
         let (due, later) =
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Adds to an answer what its engine takes.
+    /// Adds the engine's limit to an answer.
     fn with_limit(&self, call: CallKey, answer: Answered) -> Answered {
         let engine = self.calls.get(&call);
         let rate = engine.and_then(|it| self.limits.get(it));
@@ -335,7 +335,7 @@
         Answered { statement: Statement { limit, ..answer.statement }, ..answer }
     }
 
-    /// Lists an engine with another stage.
+    /// Returns the event that lists an engine with another stage.
     fn changed(&mut self, key: EngineKey, stage: Stage) -> Event {
         self.revision += 1;
         let engine = self.engines.iter_mut().find(|it| it.key == key).expect("a known engine");
