--- a/tests/src/gateway.rs
+++ b/tests/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's reducer with engines made up by the test.
+//! A box's gateway without input and output, with engines that the test simulates.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// The service of plain requests.
 pub const PLAIN: &str = "orders";
 
-/// The service with stages.
+/// The service of engines with stages.
 pub const MODEL: &str = "model";
 
 /// The host of all routes.
@@ -32,18 +32,18 @@
 /// The memory of an engine with stages, in tokens.
 pub const MEMORY: u64 = 60_000;
 
-/// A reducer and the clock that the test moves.
+/// A gateway and the clock that the test advances.
 #[derive(Debug)]
 pub struct World {
-    /// The reducer.
+    /// The gateway.
     pub gateway: Gateway,
-    /// The time.
+    /// The current time.
     pub now: Time,
     /// The number of the next request.
     pub next_request: u64,
 }
 
-/// Returns settings of a box.
+/// Returns the settings of a box by its number.
 pub fn settings(number: u8) -> Settings {
     Settings {
         data_centre: "north".into(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns a route; its prefix is `/NAME/`.
+/// Returns a route with the prefix `/NAME/`.
 pub fn route(name: &str, kind: RouteKind, service: &str) -> Route {
     Route {
         name: name.into(),
@@ -95,7 +95,7 @@
     configuration_of(version, routes)
 }
 
-/// Returns a configuration with the usual services and some routes.
+/// Returns a configuration with the usual services and the given routes.
 pub fn configuration_of(version: u64, routes: Vec<Route>) -> Configuration {
     let staged = Staged {
         memory_tokens: MEMORY,
@@ -117,7 +117,7 @@
     Configuration::new(version, limits, routes, services)
 }
 
-/// Returns an engine; its last address byte is its number.
+/// Returns an engine; its number is the last byte of its address.
 pub fn engine(number: u8, service: &str, stage: Option<Stage>) -> Engine {
     let id = format!("engine-{number}");
     Engine {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Returns two plain engines (1, 2), two that read prompts (11, 12) and two that generate (21, 22).
+/// Returns two plain engines (1, 2), two prefill engines (11, 12) and two decode engines (21, 22).
 pub fn engines() -> Vec<Engine> {
     vec![
         engine(1, PLAIN, None),
@@ -174,7 +174,7 @@
     Answer { execution: Execution::Refused, ..ran(503) }
 }
 
-/// Returns the answer to the reading of a prompt.
+/// Returns the answer to a prefill call.
 pub fn prefilled(handle: &str) -> Answer {
     Answer { handle: Some(handle.to_owned()), ..ran(200) }
 }
@@ -186,7 +186,7 @@
 }
 
 impl World {
-    /// Makes a box that knows the usual configuration and engines.
+    /// Creates a box with the usual configuration and engines.
     pub fn new() -> World {
         let mut world = World::unconfigured();
         world.event(Event::Configured(Arc::new(configuration(1))));
@@ -194,19 +194,20 @@
         world
     }
 
-    /// Makes a box of a number that knows nothing.
+    /// Creates a box with a number, without configuration and engines.
     pub fn numbered(number: u8) -> World {
         let gateway = Gateway::new(settings(number));
         World { gateway, now: Time::from_millis(1000), next_request: 0 }
     }
 
-    /// Makes a box that knows nothing.
+    /// Creates box 1 without configuration and engines.
     pub fn unconfigured() -> World {
         World::numbered(1)
     }
 
-    /// Returns the reducer an event; the effects leave out the log, and what a box does apart from
-    /// requests: datagrams, the store, and asking engines which prompts they keep.
+    /// Passes an event to the gateway and returns the effects, without log entries and without work
+    /// that is independent of requests: announcements, probes, the store's quarantine cases and
+    /// watches, and queries for cached prompts.
     pub fn event(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = self.gateway.step(self.now, event);
         effects.retain(|it| {
@@ -226,25 +227,25 @@
         effects
     }
 
-    /// Has a request arrive.
+    /// Passes a new request to the gateway.
     pub fn arrive(&mut self, request: Request) -> (RequestKey, Vec<Effect>) {
         let request_key = RequestKey(self.next_request);
         self.next_request += 1;
         (request_key, self.event(Event::Arrived(request_key, request)))
     }
 
-    /// Has a request arrive and gives its first call.
+    /// Passes a new request to the gateway and returns the request's first call.
     pub fn first_call(&mut self, request: Request) -> (RequestKey, Send) {
         let (request_key, effects) = self.arrive(request);
         (request_key, only_send(&effects))
     }
 
-    /// Has something happen to a call.
+    /// Passes an event of a call to the gateway.
     pub fn call(&mut self, call: CallKey, event: CallEvent) -> Vec<Effect> {
         self.event(Event::Call(call, event))
     }
 
-    /// Has a stream's prompt read and its first event come; gives the call that generates.
+    /// Starts a stream up to the beginning of its answer, and returns the decode call.
     pub fn begin_stream(&mut self, request: Request) -> (RequestKey, Send) {
         let (request_key, prefill) = self.first_call(request);
         assert_eq!(prefill.task, Task::Prefill);
@@ -255,7 +256,7 @@
         (request_key, decode)
     }
 
-    /// Lets time pass, with a tick whenever the reducer asks for one.
+    /// Advances the clock, with a tick whenever the gateway requires one.
     pub fn advance(&mut self, duration: Duration) -> Vec<Effect> {
         let end = self.now + duration;
         let mut effects = Vec::new();
@@ -268,7 +269,7 @@
     }
 }
 
-/// Returns the only call that was sent.
+/// Returns the only call among effects.
 pub fn only_send(effects: &[Effect]) -> Send {
     let sends: Vec<_> = effects
         .iter()
@@ -281,7 +282,7 @@
     sends.into_iter().next().expect("there is one")
 }
 
-/// Returns the only refusal.
+/// Returns the only refusal among effects.
 pub fn only_refusal(effects: &[Effect]) -> Refusal {
     let mut refusals = effects.iter().filter_map(|it| match it {
         Effect::Refuse(_, refusal) => Some(*refusal),
@@ -292,7 +293,7 @@
     first
 }
 
-/// Returns a heartbeat of another box that knows something of the store.
+/// Returns another box's heartbeat with its view of the store.
 pub fn heartbeat(number: u8, sequence: u64, store_view: StoreView) -> Message {
     let Settings { peer, front, .. } = settings(number);
     Message {
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the failure tests share: processes, and a small site made of them.
+//! Code that the failure tests share: simulated fleets and engines, processes, and a small site
+//! made of them.
 
 pub mod cluster;
 pub mod crashes;
--- a/tests/src/recorded.rs
+++ b/tests/src/recorded.rs
@@ -1,5 +1,5 @@
-//! What boxes of an older version tell and hand over, made up whole, so that its recorded bytes can
-//! be held against what is read and written now.
+//! Announcements and snapshots of boxes with all fields set. The bytes that an older version wrote
+//! for them are recorded, and tests compare them with what is read and written now.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,18 +27,18 @@
     MODEL, PLAIN, configuration, configuration_of, engine, heartbeat, request, route,
 };
 
-/// Returns where a box listens.
+/// Returns a box's address.
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-/// Returns the signature of some request.
+/// Returns the signature of a request.
 fn signature() -> Signature {
     let Request { content, .. } = request("safe");
     Signature::of(content, Some("north-desk"), None)
 }
 
-/// Returns an engine with all that its entry tells.
+/// Returns an engine with all optional fields set.
 fn full_engine() -> Engine {
     let stage = Some(Stage::Decode);
     Engine {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns a heartbeat in which nothing is left out.
+/// Returns a heartbeat with all fields set.
 pub fn whole() -> Message {
     let load = Load { prefill_tokens: 5000, calls: 3, held_tokens: 70_000 };
     let account =
@@ -106,7 +106,7 @@
     }
 }
 
-/// Returns a datagram that tells a change alone.
+/// Returns an announcement that has only a change.
 pub fn partial() -> Message {
     let load = Load { prefill_tokens: 0, calls: 1, held_tokens: 0 };
     Message {
@@ -116,12 +116,12 @@
     }
 }
 
-/// Returns what a box asks that has a list.
+/// Returns the request of a box that already has a list of engines.
 pub fn snapshot_request() -> SnapshotRequest {
     SnapshotRequest { version: 11, revision: Some(70.into()) }
 }
 
-/// Returns a handover of a whole configuration and list.
+/// Returns a snapshot with a whole configuration and a whole list of engines.
 pub fn snapshot() -> Snapshot {
     let homes = Homes::new(vec![Arc::from("south")]);
     let customer = Customer {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Returns a handover of changes alone.
+/// Returns a snapshot with changes only.
 pub fn changes() -> Snapshot {
     let changes = vec![
         EngineChange::Put(full_engine(), 81.into()),
--- a/tests/src/source.rs
+++ b/tests/src/source.rs
@@ -2,16 +2,16 @@
 
 use std::path::{Path, PathBuf};
 
-/// Gives the repository's folder.
+/// Returns the repository's root folder.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Gives the source files below a folder.
+/// Returns the source files below a folder.
 ///
 /// # Panics
 ///
-/// If the folder can't be read.
+/// If the folder cannot be read.
 pub fn files(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).expect("the folder is there") {
