--- a/tests/src/cluster.rs
+++ b/tests/src/cluster.rs
@@ -15,32 +15,33 @@
 
 use crate::process::Process;
 
-/// The data centres, dealt out in turn.
+/// The data centres, assigned to boxes in turn.
 const DATA_CENTRES: [&str; 3] = ["north", "south", "east"];
 
-/// How long the site gets for anything that it should do soon.
+/// The time limit for anything that the site should do soon.
 pub const SOON: Duration = Duration::from_secs(15);
 
-/// What a site is made of.
+/// The parts of a site, by number and capacity.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Boxes.
+    /// The number of boxes.
     pub boxes: usize,
-    /// Engines that prefill.
+    /// The number of prefill engines.
     pub prefills: usize,
-    /// Engines that decode.
+    /// The number of decode engines.
     pub decodes: usize,
-    /// Upstreams of the plain service.
+    /// The number of upstreams of the plain service.
     pub services: usize,
     /// The memory of a decode engine, in tokens.
     pub memory_tokens: u64,
-    /// The prefill rate, in tokens a second.
+    /// The prefill rate, in tokens per second.
     pub prefill_rate: u64,
-    /// How long a token takes, in milliseconds.
+    /// The time that a decode engine takes for a token, in milliseconds.
     pub token_ms: u64,
-    /// More of the service of engines in the site file.
+    /// More lines for the service of engines in the site file.
     pub more: String,
-    /// Whether the engines take orders; those that prefill then compare tokens, the others do not.
+    /// Whether engines accept orders. Prefill engines then compare fencing tokens; the others do
+    /// not.
     pub orders: bool,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// A box.
+/// A box of the site.
 #[derive(Debug)]
 pub struct Member {
     /// Its process.
@@ -79,12 +80,12 @@
         &self.process.address
     }
 
-    /// Freezes it.
+    /// Freezes its process.
     pub fn freeze(&self) {
         self.process.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes its frozen process.
     pub fn resume(&self) {
         self.process.signal(Signal::SIGCONT);
     }
@@ -94,7 +95,7 @@
         self.process.signal(Signal::SIGTERM);
     }
 
-    /// Asks for its state.
+    /// Requests its status.
     pub async fn status(&self) -> eyre::Result<Status> {
         let client = Client::new();
         let url = format!("http://{}/v1/status", self.address());
@@ -105,19 +106,19 @@
 /// A running site.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What it is made of.
+    /// The parts that it consists of.
     pub plan: Plan,
     /// The platform.
     pub platform: Process,
-    /// The engines that prefill.
+    /// The prefill engines.
     pub prefills: Vec<Process>,
-    /// The engines that decode.
+    /// The decode engines.
     pub decodes: Vec<Process>,
     /// The upstreams of the plain service.
     pub services: Vec<Process>,
     /// The boxes.
     pub boxes: Vec<Member>,
-    /// The names of engines and upstreams that are marked as leaving.
+    /// The names of engines and upstreams that the site file marks as leaving.
     pub leaving: Vec<String>,
 }
 
@@ -157,7 +158,7 @@
     pub fn add_box(&mut self) -> eyre::Result<()> {
         let number = self.boxes.len();
         let name = format!("box-{number}");
-        // Orders are a matter of one data centre.
+        // Orders are sent only within one data centre.
         let data_centre = if self.plan.orders { "north" } else { DATA_CENTRES[number % 3] };
         let mut arguments: Vec<String> = ["--name", &name, "--site", "test"].map(Into::into).into();
         arguments.extend(["--data-centre".into(), data_centre.into()]);
@@ -171,7 +172,7 @@
         Ok(())
     }
 
-    /// Writes the site file.
+    /// Returns the text of the site file.
     pub fn file(&self) -> String {
         let mut text = format!(
             "site = \"test\"\ndata_centres = {DATA_CENTRES:?}\n\n\
@@ -191,7 +192,7 @@
             let leaving = self.leaving.contains(name);
             let data_centre = if self.plan.orders { "north" } else { DATA_CENTRES[index % 3] };
             let checks = role == "prefill";
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = write!(
                 text,
                 "[[engine]]\nname = \"{name}\"\nservice = \"llm\"\ndata_centre = \"{data_centre}\"\n\
@@ -218,20 +219,20 @@
         text
     }
 
-    /// Returns the platform.
+    /// Returns a client of the platform.
     pub fn store(&self) -> Platform {
         Platform::new(Client::new(), self.platform.address.clone())
     }
 
-    /// Applies the site file; gives its version.
+    /// Applies the site file and returns its version.
     pub async fn apply(&self) -> eyre::Result<u64> {
         match apply::apply(&self.store(), "test", &self.file(), None).await {
             Applied::Accepted { version } => Ok(version),
-            other => bail!("the file was not accepted: {other:?}"),
+            other => bail!("the site file was not accepted: {other:?}"),
         }
     }
 
-    /// Waits until the first box knows so many boxes, itself included.
+    /// Waits until the first box knows this number of boxes, itself included.
     pub async fn wait_for_members(&self, count: usize) -> eyre::Result<()> {
         until(SOON, "the boxes do not find each other", async || {
             for member in &self.boxes {
@@ -244,7 +245,7 @@
         .await
     }
 
-    /// Waits until a version is in force at every box; gives how long it took.
+    /// Waits until a version is in force at every box, and returns the time that it took.
     pub async fn wait_in_force(&self, version: u64) -> eyre::Result<Duration> {
         let started = Instant::now();
         until(SOON, "the file does not come into force", async || {
@@ -260,19 +261,19 @@
         Ok(started.elapsed())
     }
 
-    /// Makes a caller that knows some boxes.
+    /// Creates a caller that knows some of the boxes.
     pub fn caller(&self, name: &str) -> Caller {
         Caller::new(name, self.boxes.iter().map(|it| it.address().to_owned()).collect())
     }
 
-    /// Finds the box that owns the engines' shard.
+    /// Returns the number of the box that owns the engines' shard.
     pub async fn owner(&self) -> eyre::Result<usize> {
         for (number, member) in self.boxes.iter().enumerate() {
             if member.status().await.is_ok_and(|it| !it.pools.is_empty()) {
                 return Ok(number);
             }
         }
-        bail!("no box owns the shard")
+        bail!("no box owns the shard of the engines")
     }
 
     /// Reads the ledgers of all engines that answer.
@@ -286,7 +287,7 @@
         ledgers
     }
 
-    /// Waits until no engine holds memory; gives how long it took.
+    /// Waits until no engine holds memory, and returns the time that it took.
     pub async fn wait_memory_free(&self, limit: Duration) -> eyre::Result<Duration> {
         let started = Instant::now();
         until(limit, "engines still hold memory", async || {
@@ -296,7 +297,7 @@
         Ok(started.elapsed())
     }
 
-    /// Waits until some engine has come so far.
+    /// Waits until the ledgers of the engines meet a condition.
     pub async fn wait_engines(
         &self,
         what: &str,
@@ -305,7 +306,7 @@
         until(SOON, what, async || reached(&self.engines().await)).await
     }
 
-    /// Counts how often each request ran at the plain service, over all upstreams.
+    /// Returns how often a request with this body ran at the plain service, over all upstreams.
     pub async fn runs(&self, body: &str) -> eyre::Result<u64> {
         let mut runs = 0;
         for process in &self.services {
@@ -316,7 +317,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition is met.
 pub async fn until(
     limit: Duration,
     what: &str,
--- a/tests/src/link.rs
+++ b/tests/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection that a test can cut, or leave open with nothing passing.
+//! A connection that a test can cut, or leave half-open.
 
 use std::sync::Arc;
 
@@ -7,25 +7,25 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a link does with what comes.
+/// How a link forwards bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes it on.
+    /// It forwards bytes.
     Pass,
-    /// It keeps connections open and passes nothing on: half-open.
+    /// It keeps connections open and forwards nothing: they are half-open.
     Stall,
-    /// It closes connections, and takes no new ones.
+    /// It closes connections at once, also new ones.
     Cut,
 }
 
-/// A link to an address, with an address of its own.
+/// A proxy for an address, with an address of its own.
 #[derive(Debug)]
 pub struct Link {
     /// The link's own address.
     pub address: String,
-    /// What it does.
+    /// How it forwards.
     mode: Arc<watch::Sender<Mode>>,
-    /// The task that takes connections.
+    /// The task that accepts connections.
     task: JoinHandle<()>,
 }
 
@@ -39,7 +39,7 @@
         Ok(Link { address, mode, task })
     }
 
-    /// Sets what it does, with the connections that are open too.
+    /// Sets how it forwards, also on open connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes connections.
+/// Accepts connections and forwards them.
 async fn accept(listener: TcpListener, to: String, mode: Arc<watch::Sender<Mode>>) {
     while let Ok((client, _)) = listener.accept().await {
         if *mode.borrow() == Mode::Cut {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Passes bytes on one way, until an end closes or the link is cut.
+/// Forwards bytes in one direction, until either end closes or the link is cut.
 async fn forward(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
@@ -84,7 +84,7 @@
             _ = mode.wait_for(|it| *it == Mode::Cut) => return,
         };
         let Ok(count @ 1..) = read else { return };
-        // What comes while nothing passes waits here, as it would on a dead path.
+        // Bytes that arrive while the link is stalled wait here, as on a dead network path.
         let Ok(is_open) = mode.wait_for(|it| *it != Mode::Stall).await.map(|it| *it != Mode::Cut)
         else {
             return;
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a test starts, and stops again by their handles.
+//! Processes that a test starts and stops by their handles.
 
 use std::io::{BufRead, BufReader, Read};
 use std::path::PathBuf;
@@ -16,46 +16,46 @@
 use hollyspoke_wire::engine::Empty;
 use hollyspoke_wire::http::Client;
 
-/// The kernel's clock ticks of a second, in which processor time is counted.
+/// The kernel's clock ticks per second, the unit of processor time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The bytes of a page of memory.
+/// The size of a memory page, in bytes.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// A process with an address.
+/// A running program that listens on an address.
 #[derive(Debug)]
 pub struct Process {
-    /// The process.
+    /// The handle of the process.
     child: Child,
     /// The address that it printed.
     pub address: String,
-    /// The lines that it has written.
+    /// The lines that it has printed after the first one.
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Process {
-    /// Starts a stand-in.
+    /// Starts a stand-in of this kind.
     pub fn standin(kind: &str, arguments: &[&str]) -> eyre::Result<Process> {
         let mut command = Command::new(program("hollyspoke-standin")?);
         command.arg(kind).args(arguments).stdout(Stdio::piped()).stderr(Stdio::null());
-        let mut child = command.spawn().wrap_err("the stand-in does not start")?;
+        let mut child = command.spawn().wrap_err("cannot start the stand-in")?;
         let output = child.stdout.take().ok_or_eyre("no output")?;
         let (first, lines) = read_lines(output)?;
         let address = first["listening"].as_str().ok_or_eyre("no address")?.to_owned();
         Ok(Process { child, address, lines })
     }
 
-    /// Starts a daemon.
+    /// Starts a daemon; returns it with its address for other boxes and its incarnation.
     pub fn daemon(arguments: &[String]) -> eyre::Result<(Process, String, String)> {
         let mut command = Command::new(program("hollyspoked")?);
         command.args(arguments).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = command.spawn().wrap_err("the daemon does not start")?;
+        let mut child = command.spawn().wrap_err("cannot start the daemon")?;
         let output = child.stderr.take().ok_or_eyre("no output")?;
         let (first, lines) = read_lines(output)?;
         let text = |key: &str| first[key].as_str().unwrap_or_default().to_owned();
         let (address, peers, incarnation) = (text("callers"), text("peers"), text("incarnation"));
         if address.is_empty() {
-            bail!("the daemon's first line names no address: {first}");
+            bail!("the daemon's first line has no address: {first}");
         }
         Ok((Process { child, address, lines }, peers, incarnation))
     }
@@ -65,7 +65,7 @@
         let read =
             |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).ok();
         let stat = read("stat")?;
-        // The second field, the program's name, may have spaces; it ends with a bracket.
+        // The second field, the program's name, may contain spaces; it ends with a parenthesis.
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
         let pages: f64 = read("statm")?.split(' ').nth(1)?.parse().ok()?;
@@ -74,18 +74,18 @@
 
     /// Sends the process a signal.
     pub fn signal(&self, signal: Signal) {
-        // A process that has ended already needs no signal.
+        // A process that has already ended needs no signal.
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
     /// Kills the process at once.
     pub fn kill(&mut self) {
-        // A process that has ended already needs no killing.
+        // A process that has already ended needs no kill.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for the process's end.
+    /// Waits for the end of the process, up to a limit.
     pub async fn wait(&mut self, limit: Duration) -> eyre::Result<ExitStatus> {
         let started = tokio::time::Instant::now();
         while started.elapsed() < limit {
@@ -94,10 +94,10 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        bail!("the process does not end")
+        bail!("the process did not end in time")
     }
 
-    /// Returns the lines written so far.
+    /// Returns the lines printed so far, without the first one.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -108,7 +108,7 @@
         Ok(Client::new().get(&url).await?)
     }
 
-    /// Sets a stand-in's faults.
+    /// Replaces a stand-in's faults.
     pub async fn faults(&self, faults: &impl Serialize) -> eyre::Result<()> {
         let url = format!("http://{}/standin/faults", self.address);
         let Empty {} = Client::new().post(&url, faults).await?;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Runs the operators' tool; gives its exit code and what it printed.
+/// Runs the operator's command line tool; returns its exit code and its output.
 pub async fn run_cli(arguments: &[&str]) -> eyre::Result<(u8, String)> {
     let arguments = arguments.iter().map(Into::into).collect();
     let mut out = Vec::new();
@@ -131,14 +131,14 @@
     Ok((exit.number(), String::from_utf8(out)?))
 }
 
-/// Finds a program that was built beside the test.
+/// Returns the path of a program that was built with the test.
 ///
 /// # Errors
 ///
-/// If it is not built.
+/// If the program is not built.
 pub fn program(name: &str) -> eyre::Result<PathBuf> {
     let test = std::env::current_exe()?;
-    let folder = test.ancestors().nth(2).ok_or_eyre("the test stands nowhere")?;
+    let folder = test.ancestors().nth(2).ok_or_eyre("the test program has no parent folder")?;
     let program = folder.join(name);
     if !program.exists() {
         bail!("{name} is not built: run `cargo build --workspace --bins` first");
@@ -146,14 +146,14 @@
     Ok(program)
 }
 
-/// Reads a first line of JSON, and collects the lines after it.
+/// Reads the first line as JSON, and collects later lines in a thread.
 fn read_lines(
     output: impl Read + Send + 'static,
 ) -> eyre::Result<(Value, Arc<Mutex<Vec<String>>>)> {
     let mut output = BufReader::new(output);
     let mut first = String::new();
     output.read_line(&mut first)?;
-    let value = serde_json::from_str(&first).wrap_err("the first line is no JSON")?;
+    let value = serde_json::from_str(&first).wrap_err("the first line is not JSON")?;
     let lines = Arc::new(Mutex::new(Vec::new()));
     let collected = lines.clone();
     std::thread::spawn(move || {
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as tests send them, with full control over box, key and connection.
+//! Requests of callers, with control over the box, the key and the connection.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::cluster::Member;
 
-/// How long one answer may take.
+/// The time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A request to one box.
@@ -29,7 +29,7 @@
     pub body: String,
 }
 
-/// What came back.
+/// The response to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerResponse {
     /// An answer.
@@ -41,12 +41,12 @@
     },
     /// A problem.
     Problem(Problem),
-    /// The connection broke, or nothing came in time.
+    /// The connection broke, or no answer arrived in time.
     Failed(String),
 }
 
 impl CallerRequest {
-    /// Makes a request for tokens.
+    /// Creates a request for tokens.
     pub fn generate(prompt: &str, max_tokens: u32, stream: bool) -> CallerRequest {
         let body = json!({
             "model": "m", "prompt": prompt, "max_tokens": max_tokens, "stream": stream,
@@ -55,7 +55,7 @@
         CallerRequest { method: Method::POST, path, headers: Vec::new(), body: body.to_string() }
     }
 
-    /// Makes a call of the plain service that must run at most once.
+    /// Creates a request to the plain service that must run at most once.
     pub fn hold(body: &str) -> CallerRequest {
         let path = "/holds/seat".to_owned();
         CallerRequest { method: Method::POST, path, headers: Vec::new(), body: body.to_owned() }
@@ -68,17 +68,17 @@
         self
     }
 
-    /// Adds a key.
+    /// Adds a request key of the router.
     pub fn key(self, key: &str) -> CallerRequest {
         self.header(KEY, key)
     }
 
-    /// Adds a caller's own key.
+    /// Adds an idempotency key of the caller's own.
     pub fn own_key(self, key: &str) -> CallerRequest {
         self.header(IDEMPOTENCY_KEY, key)
     }
 
-    /// Sends it and gives the response as soon as it begins.
+    /// Sends the request and returns the response as soon as its head has arrived.
     pub async fn begin(&self, address: &str) -> eyre::Result<Response<Incoming>> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -87,11 +87,11 @@
             request = request.header(name, value);
         }
         let request = request.body(Full::new(Bytes::from(self.body.clone())))?;
-        // A client of its own closes the connection when the response is dropped.
+        // A separate client closes the connection when the response is dropped.
         Ok(Client::new().send_fresh(request).await?)
     }
 
-    /// Sends it and reads all that comes back.
+    /// Sends the request and reads the whole response.
     pub async fn send(&self, address: &str) -> CallerResponse {
         let whole = async {
             let response = self.begin(address).await?;
@@ -116,17 +116,17 @@
 }
 
 impl CallerResponse {
-    /// Returns the generated text of a whole answer.
+    /// Returns the generated text of a complete answer.
     pub fn text(&self) -> eyre::Result<String> {
         let CallerResponse::Answer { status: 200, body } = self else {
             eyre::bail!("no answer: {self:?}")
         };
-        let value: Value = serde_json::from_str(body).wrap_err("the answer is no JSON")?;
+        let value: Value = serde_json::from_str(body).wrap_err("the answer is not JSON")?;
         let text = value["choices"][0]["text"].as_str().ok_or_eyre("the answer has no text")?;
         Ok(text.to_owned())
     }
 
-    /// Returns the last part of a problem's type; empty for an answer.
+    /// Returns the last part of a problem's type; empty if the response is not a problem.
     pub fn slug(&self) -> &str {
         match self {
             CallerResponse::Problem(problem) => problem.kind.rsplit(':').next().unwrap_or_default(),
@@ -135,18 +135,18 @@
         }
     }
 
-    /// Returns whether the request was answered.
+    /// Returns whether the response is an answer.
     pub fn is_answer(&self) -> bool {
         matches!(self, CallerResponse::Answer { status: 200, .. })
     }
 }
 
-/// Mints a key whose home is a box.
+/// Returns a new key whose home is the given box.
 pub fn key_of(member: &Member, nonce: u64) -> String {
     format!("{}.1.{nonce:x}", member.incarnation)
 }
 
-/// Reads a streamed answer's text until its end; whether the end was said.
+/// Reads a streamed answer; returns its text and whether it ended with the end marker.
 pub async fn read_stream(response: Response<Incoming>) -> (String, bool) {
     let mut body = response.into_body();
     let mut rest = String::new();
@@ -168,7 +168,7 @@
             text.push_str(value["choices"][0]["text"].as_str().unwrap_or_default());
         }
     }
-    // What came was no stream: its body says why.
+    // The response was not a stream: its body has the reason.
     text.push_str(&rest);
     (text, false)
 }
