--- a/crates/hollyspoke-daemon/src/callers.rs
+++ b/crates/hollyspoke-daemon/src/callers.rs
@@ -24,25 +24,25 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::input::{Input, Inputs, Query};
+use crate::input::{Input, InputSender, Query};
 use crate::openai::{self, Form, Usage};
-use crate::problem::{self, Unreadable};
+use crate::problem::{self, RequestError};
 use crate::upstream;
 
 /// How long a caller may take to send a request's body.
-pub const BODY_TIME: Duration = Duration::from_secs(15);
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The highest class.
-const MOST_CLASS: u8 = 9;
+const MAX_CLASS: u8 = 9;
 
 /// The longest name of a tenant or an idempotency key, in bytes.
-const MOST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// What all routes share.
 #[derive(Debug, Clone)]
 pub struct Callers {
     /// The way to the reducer.
-    inputs: Inputs,
+    inputs: InputSender,
     /// The client for passing requests on to other boxes.
     client: Client,
     /// The number of the last connection.
@@ -53,23 +53,23 @@
 
 /// A request's connection to the reducer; when it is dropped early, the caller is gone.
 #[derive(Debug)]
-struct Open {
+struct CallHandle {
     /// The connection's number.
     call: CallId,
     /// The way to the reducer.
-    inputs: Inputs,
+    inputs: InputSender,
     /// The replies.
     replies: mpsc::UnboundedReceiver<CallerReply>,
 }
 
-impl Drop for Open {
+impl Drop for CallHandle {
     fn drop(&mut self) {
         // The reducer passes over connections that it has answered already.
-        self.inputs.event(Event::Gone(self.call));
+        self.inputs.send_event(Event::Gone(self.call));
     }
 }
 
-impl Open {
+impl CallHandle {
     /// Waits for the next reply.
     async fn next(&mut self) -> Option<CallerReply> {
         self.replies.recv().await
@@ -78,7 +78,7 @@
 
 /// A request as it came, for passing it on to another box.
 #[derive(Debug, Clone)]
-struct Original {
+struct OriginalRequest {
     /// The method.
     method: String,
     /// The path with its query.
@@ -91,7 +91,7 @@
 
 impl Callers {
     /// Makes the state of the routes.
-    pub fn new(inputs: Inputs, body_limit: usize) -> Callers {
+    pub fn new(inputs: InputSender, body_limit: usize) -> Callers {
         Callers { inputs, client: Client::new(), last_call: Arc::default(), body_limit }
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Gives a request to the reducer.
-    fn open(&self, arrival: Arrival) -> Open {
+    fn submit(&self, arrival: Arrival) -> CallHandle {
         let call = CallId(self.last_call.fetch_add(1, Ordering::Relaxed) + 1);
         let (sender, replies) = mpsc::unbounded_channel();
         let arrival = Box::new(arrival);
-        self.inputs.put(Input::Arrive { call, arrival, replies: sender });
-        Open { call, inputs: self.inputs.clone(), replies }
+        self.inputs.send(Input::Arrive { call, arrival, replies: sender });
+        CallHandle { call, inputs: self.inputs.clone(), replies }
     }
 
     /// Asks the reducer's loop a question.
@@ -126,42 +126,42 @@
         query: impl FnOnce(oneshot::Sender<T>) -> Query,
     ) -> Result<T, Response> {
         let (sender, answer) = oneshot::channel();
-        self.inputs.put(Input::Query(query(sender)));
+        self.inputs.send(Input::Query(query(sender)));
         answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE.into_response())
     }
 
     /// Reads a request whole.
-    async fn read(&self, request: Request) -> Result<(Original, HeaderMap), Unreadable> {
+    async fn read(&self, request: Request) -> Result<(OriginalRequest, HeaderMap), RequestError> {
         let (parts, body) = request.into_parts();
         let collected = Limited::new(body, self.body_limit).collect();
-        let body = match tokio::time::timeout(BODY_TIME, collected).await {
+        let body = match tokio::time::timeout(BODY_TIMEOUT, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
-                return Err(Unreadable {
+                return Err(RequestError {
                     status: StatusCode::PAYLOAD_TOO_LARGE,
                     slug: "too-large",
                     detail: format!("the body has more than {} bytes", self.body_limit),
                 });
             }
-            Ok(Err(error)) => return Err(Unreadable::malformed(format!("the body: {error}"))),
+            Ok(Err(error)) => return Err(RequestError::malformed(format!("the body: {error}"))),
             Err(_) => {
-                return Err(Unreadable {
+                return Err(RequestError {
                     status: StatusCode::REQUEST_TIMEOUT,
                     slug: "slow-sender",
-                    detail: format!("the body did not come within {} s", BODY_TIME.as_secs()),
+                    detail: format!("the body did not come within {} s", BODY_TIMEOUT.as_secs()),
                 });
             }
         };
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str()).to_owned();
-        let headers = parts.headers.iter().filter_map(upstream::passed_on).collect();
-        let original = Original { method: parts.method.to_string(), path, headers, body };
+        let headers = parts.headers.iter().filter_map(upstream::forwarded_header).collect();
+        let original = OriginalRequest { method: parts.method.to_string(), path, headers, body };
         Ok((original, parts.headers))
     }
 
     /// Passes a request on to its home.
     async fn relay(
         &self,
-        original: &Original,
+        original: &OriginalRequest,
         address: &str,
         key: Key,
         repeatable: bool,
@@ -189,23 +189,27 @@
 
     /// Gives a request to the reducer and follows it to its home if that is another box; gives
     /// the first reply that is of use here.
-    async fn first(&self, original: &Original, arrival: Arrival) -> Result<Begun, Response> {
-        let mut open = self.open(arrival.clone());
-        let Some(reply) = open.next().await else {
+    async fn submit_and_relay(
+        &self,
+        original: &OriginalRequest,
+        arrival: Arrival,
+    ) -> Result<StartedCall, Response> {
+        let mut handle = self.submit(arrival.clone());
+        let Some(reply) = handle.next().await else {
             return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
         };
         let CallerReply::Relay { address, key, repeatable } = reply else {
-            return Ok(Begun { open, first: reply });
+            return Ok(StartedCall { handle, first: reply });
         };
         match self.relay(original, &address, key, repeatable).await {
             Ok(response) => Err(response),
             Err(_) if repeatable => {
-                let again = Arrival { key: None, claim: None, ..arrival };
-                let mut open = self.open(again);
-                let Some(first) = open.next().await else {
+                let retry = Arrival { key: None, claim: None, ..arrival };
+                let mut handle = self.submit(retry);
+                let Some(first) = handle.next().await else {
                     return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
                 };
-                Ok(Begun { open, first })
+                Ok(StartedCall { handle, first })
             }
             Err(_) => {
                 let detail = "the box that has this request can't be reached; it may have run";
@@ -218,9 +222,9 @@
 }
 
 /// A request to which there is a first reply.
-struct Begun {
+struct StartedCall {
     /// The connection to the reducer.
-    open: Open,
+    handle: CallHandle,
     /// The first reply.
     first: CallerReply,
 }
@@ -241,33 +245,42 @@
         let (original, headers) = callers.read(request).await?;
         let wanted = openai::read(form, &original.body)?;
         let arrival = arrival(&headers, Work::Generate(wanted.work.clone()))?;
-        Ok::<_, Unreadable>((original, wanted, arrival))
+        Ok::<_, RequestError>((original, wanted, arrival))
     };
     let (original, wanted, arrival) = match read.await {
         Ok(read) => read,
-        Err(unreadable) => return problem::response(&unreadable.wire()),
+        Err(error) => return problem::response(&error.wire()),
     };
     let id = match arrival.key {
         Some(key) => format!("cmpl-{key}"),
         None => format!("cmpl-{}", callers.last_call.load(Ordering::Relaxed) + 1),
     };
-    let begun = match callers.first(&original, arrival).await {
-        Ok(begun) => begun,
+    let started = match callers.submit_and_relay(&original, arrival).await {
+        Ok(started) => started,
         Err(response) => return response,
     };
-    if wanted.stream { streamed(wanted, id, begun) } else { whole(wanted, id, begun).await }
+    if wanted.stream {
+        streamed_response(wanted, id, started)
+    } else {
+        complete_response(wanted, id, started).await
+    }
 }
 
 /// Collects an answer and gives it whole.
-async fn whole(wanted: openai::Request, id: String, mut begun: Begun) -> Response {
+async fn complete_response(
+    wanted: openai::Request,
+    id: String,
+    mut started: StartedCall,
+) -> Response {
     let mut text = String::new();
-    let mut reply = Some(begun.first);
+    let mut reply = Some(started.first);
     loop {
         match reply {
             Some(CallerReply::Token(token)) => text.push_str(&token),
             Some(CallerReply::Finished { reason, prompt_tokens, tokens }) => {
                 let usage = Usage::new(prompt_tokens, tokens);
-                return Json(openai::whole(&wanted, &id, &text, &reason, usage)).into_response();
+                return Json(openai::completion(&wanted, &id, &text, &reason, usage))
+                    .into_response();
             }
             Some(CallerReply::Problem(problem)) => {
                 return problem::response(&problem::wire(&problem));
@@ -276,26 +289,26 @@
                 return StatusCode::SERVICE_UNAVAILABLE.into_response();
             }
         }
-        reply = begun.open.next().await;
+        reply = started.handle.next().await;
     }
 }
 
 /// Gives an answer token by token, as server-sent events.
-fn streamed(wanted: openai::Request, id: String, begun: Begun) -> Response {
-    let Begun { open, first } = begun;
+fn streamed_response(wanted: openai::Request, id: String, started: StartedCall) -> Response {
+    let StartedCall { handle, first } = started;
     if let CallerReply::Problem(problem) = &first {
         return problem::response(&problem::wire(problem));
     }
-    let events = stream::unfold(Some((open, Some(first))), move |state| {
+    let events = stream::unfold(Some((handle, Some(first))), move |state| {
         let (wanted, id) = (wanted.clone(), id.clone());
         async move {
-            let (mut open, first) = state?;
+            let (mut handle, first) = state?;
             let reply = match first {
                 Some(first) => Some(first),
-                None => open.next().await,
+                None => handle.next().await,
             };
-            let (event, more) = sse(&wanted, &id, reply?);
-            Some((Ok::<_, Infallible>(event), more.then_some((open, None))))
+            let (event, more) = server_sent_event(&wanted, &id, reply?);
+            Some((Ok::<_, Infallible>(event), more.then_some((handle, None))))
         }
     });
     let mut response = Body::from_stream(events).into_response();
@@ -306,7 +319,7 @@
 }
 
 /// Writes a reply as server-sent events; tells whether more may come.
-fn sse(wanted: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
+fn server_sent_event(wanted: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
     match reply {
         CallerReply::Token(token) => {
             let chunk = openai::chunk(wanted, id, &token, None);
@@ -337,18 +350,18 @@
             body: original.body.as_ref().into(),
         };
         let arrival = arrival(&headers, Work::Call(call))?;
-        Ok::<_, Unreadable>((original, arrival))
+        Ok::<_, RequestError>((original, arrival))
     };
     let (original, arrival) = match read.await {
         Ok(read) => read,
-        Err(unreadable) => return problem::response(&unreadable.wire()),
+        Err(error) => return problem::response(&error.wire()),
     };
-    let begun = match callers.first(&original, arrival).await {
-        Ok(begun) => begun,
+    let started = match callers.submit_and_relay(&original, arrival).await {
+        Ok(started) => started,
         Err(response) => return response,
     };
-    match begun.first {
-        CallerReply::Answer(answer) => passed_back(answer),
+    match started.first {
+        CallerReply::Answer(answer) => service_response(answer),
         CallerReply::Problem(problem) => problem::response(&problem::wire(&problem)),
         CallerReply::Token(_) | CallerReply::Finished { .. } | CallerReply::Relay { .. } => {
             StatusCode::SERVICE_UNAVAILABLE.into_response()
@@ -357,7 +370,7 @@
 }
 
 /// Makes the response of a plain service's answer.
-fn passed_back(answer: Answer) -> Response {
+fn service_response(answer: Answer) -> Response {
     let mut response = Response::new(Body::from(Bytes::copy_from_slice(&answer.body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
@@ -370,51 +383,52 @@
 }
 
 /// Makes an arrival of what the headers say.
-fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, Unreadable> {
-    let key = match text_of(headers, caller::KEY)? {
+fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, RequestError> {
+    let key = match text_header(headers, caller::KEY)? {
         Some(text) => Some(text.parse::<Key>().map_err(|error| {
-            Unreadable::malformed(format!("the header `{}`: {error}", caller::KEY))
+            RequestError::malformed(format!("the header `{}`: {error}", caller::KEY))
         })?),
         None => None,
     };
-    let class = match text_of(headers, caller::CLASS)? {
+    let class = match text_header(headers, caller::CLASS)? {
         None => 0,
-        Some(text) => text.parse().ok().filter(|it| *it <= MOST_CLASS).ok_or_else(|| {
-            let detail = format!("the header `{}` must be from 0 to {MOST_CLASS}", caller::CLASS);
-            Unreadable::malformed(detail)
+        Some(text) => text.parse().ok().filter(|it| *it <= MAX_CLASS).ok_or_else(|| {
+            let detail = format!("the header `{}` must be from 0 to {MAX_CLASS}", caller::CLASS);
+            RequestError::malformed(detail)
         })?,
     };
     Ok(Arrival {
         key,
-        claim: text_of(headers, caller::IDEMPOTENCY_KEY)?.map(str::to_owned),
-        relayed: flag_of(headers, caller::RELAYED)?,
-        repeatable: !flag_of(headers, caller::ONCE)?,
-        tenant: text_of(headers, caller::TENANT)?.unwrap_or_default().to_owned(),
+        claim: text_header(headers, caller::IDEMPOTENCY_KEY)?.map(str::to_owned),
+        relayed: bool_header(headers, caller::RELAYED)?,
+        repeatable: !bool_header(headers, caller::ONCE)?,
+        tenant: text_header(headers, caller::TENANT)?.unwrap_or_default().to_owned(),
         class,
         work,
     })
 }
 
 /// Reads a header that is a short text.
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Unreadable> {
+fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MOST_NAME => Ok(Some(text)),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => Ok(Some(text)),
         Ok(_) | Err(_) => {
-            let detail = format!("the header `{name}` must be a text of 1 to {MOST_NAME} bytes");
-            Err(Unreadable::malformed(detail))
+            let detail =
+                format!("the header `{name}` must be a text of 1 to {MAX_NAME_BYTES} bytes");
+            Err(RequestError::malformed(detail))
         }
     }
 }
 
 /// Reads a header that is `true` or `false`.
-fn flag_of(headers: &HeaderMap, name: &str) -> Result<bool, Unreadable> {
-    match text_of(headers, name)? {
+fn bool_header(headers: &HeaderMap, name: &str) -> Result<bool, RequestError> {
+    match text_header(headers, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(_) => {
             let detail = format!("the header `{name}` must be `true` or `false`");
-            Err(Unreadable::malformed(detail))
+            Err(RequestError::malformed(detail))
         }
     }
 }
--- a/crates/hollyspoke-daemon/src/connection.rs
+++ b/crates/hollyspoke-daemon/src/connection.rs
@@ -16,16 +16,16 @@
 use tokio::sync::watch;
 use tower::ServiceExt;
 
-use crate::problem::Unreadable;
+use crate::problem::RequestError;
 
 /// How long a caller may take to send a request's head.
-pub const HEAD_LIMIT: Duration = Duration::from_secs(10);
+pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The largest head of a request, in bytes.
-const MOST_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// The most headers of a request.
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS_COUNT: usize = 100;
 
 /// Accepts connections until told to stop.
 pub async fn accept(listener: TcpListener, router: Router, mut stopping: watch::Receiver<bool>) {
@@ -56,15 +56,15 @@
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT)
-        .max_buf_size(MOST_HEAD)
-        .max_headers(MOST_HEADERS)
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS_COUNT)
         .serve_connection(TokioIo::new(socket), service);
-    let mut told = false;
+    let mut is_closing = false;
     let mut stop = std::pin::pin!(async move { drop(stopping.wait_for(|it| *it).await) });
     let served = std::future::poll_fn(|cx| {
-        if !told && stop.as_mut().poll(cx).is_ready() {
-            told = true;
+        if !is_closing && stop.as_mut().poll(cx).is_ready() {
+            is_closing = true;
             Pin::new(&mut connection).graceful_shutdown();
         }
         connection.poll_without_shutdown(cx)
@@ -74,7 +74,7 @@
     let mut socket = parts.io.into_inner();
     // A head that never came whole is answered too; an idle connection just ends.
     if served.is_err_and(|error| error.is_timeout()) && !parts.read_buf.is_empty() {
-        let _ = socket.write_all(&late_head()).await;
+        let _ = socket.write_all(&head_timeout_response()).await;
     }
     let _ = socket.shutdown().await;
 }
@@ -88,13 +88,13 @@
 }
 
 /// Writes the answer to a head that did not come in time.
-fn late_head() -> Vec<u8> {
-    let unreadable = Unreadable {
+fn head_timeout_response() -> Vec<u8> {
+    let error = RequestError {
         status: StatusCode::REQUEST_TIMEOUT,
         slug: "slow-sender",
-        detail: format!("the request's head did not come within {} s", HEAD_LIMIT.as_secs()),
+        detail: format!("the request's head did not come within {} s", HEAD_TIMEOUT.as_secs()),
     };
-    let body = serde_json::to_string(&unreadable.wire()).unwrap_or_default();
+    let body = serde_json::to_string(&error.wire()).unwrap_or_default();
     format!(
         "HTTP/1.1 408 Request Timeout\r\ncontent-type: {}\r\ncontent-length: {}\r\n\
          connection: close\r\n\r\n{body}",
--- a/crates/hollyspoke-daemon/src/input.rs
+++ b/crates/hollyspoke-daemon/src/input.rs
@@ -50,22 +50,22 @@
 
 /// The way into the loop.
 #[derive(Debug, Clone)]
-pub struct Inputs(mpsc::UnboundedSender<Input>);
+pub struct InputSender(mpsc::UnboundedSender<Input>);
 
-impl Inputs {
+impl InputSender {
     /// Makes the way in and its other end.
-    pub fn new() -> (Inputs, mpsc::UnboundedReceiver<Input>) {
+    pub fn new() -> (InputSender, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        (Inputs(sender), receiver)
+        (InputSender(sender), receiver)
     }
 
     /// Puts something in. Nothing happens when the loop has ended.
-    pub fn put(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.0.send(input);
     }
 
     /// Puts an event in.
-    pub fn event(&self, event: Event) {
-        self.put(Input::Event(event));
+    pub fn send_event(&self, event: Event) {
+        self.send(Input::Event(event));
     }
 }
--- a/crates/hollyspoke-daemon/src/metrics.rs
+++ b/crates/hollyspoke-daemon/src/metrics.rs
@@ -10,14 +10,14 @@
 use opentelemetry::metrics::{Counter, Histogram};
 
 /// The bounds of histograms of seconds.
-const SECONDS: [f64; 14] =
+const BUCKETS_S: [f64; 14] =
     [0.005, 0.01, 0.02, 0.035, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0];
 
 /// The highest class with a label of its own.
-const MOST_CLASS: u8 = 3;
+const MAX_LABELLED_CLASS: u8 = 3;
 
 /// The label of tenants that the site's file does not name, so that labels stay few.
-const OTHER: &str = "other";
+const OTHER_TENANT: &str = "other";
 
 /// A daemon's metrics.
 #[derive(Debug)]
@@ -58,8 +58,8 @@
     /// When the exporter can't be set up.
     pub fn new() -> eyre::Result<Metrics> {
         let exporter = Exporter::new()?;
-        let seconds = |name, what| exporter.seconds_histogram(name, what, &SECONDS);
-        let count = |name, what| exporter.counter(name, what);
+        let seconds = |name, description| exporter.seconds_histogram(name, description, &BUCKETS_S);
+        let count = |name, description| exporter.counter(name, description);
         Ok(Metrics {
             first_token: seconds("hollyspoke_first_token", "from arrival to the first token"),
             between_tokens: seconds("hollyspoke_between_tokens", "the mean time between tokens"),
@@ -84,23 +84,24 @@
 
     /// Counts one request.
     pub fn record(&self, record: &Record) {
-        let tenant = if self.tenants.contains(&record.tenant) { &record.tenant } else { OTHER };
+        let tenant =
+            if self.tenants.contains(&record.tenant) { &record.tenant } else { OTHER_TENANT };
         let labels = [
             KeyValue::new("service", record.service.clone()),
             KeyValue::new("tenant", tenant.to_owned()),
-            KeyValue::new("class", i64::from(record.class.min(MOST_CLASS))),
+            KeyValue::new("class", i64::from(record.class.min(MAX_LABELLED_CLASS))),
         ];
         self.queued.record(record.queued.as_secs_f64(), &labels);
         self.total.record(record.total.as_secs_f64(), &labels);
-        let spans = [
+        let durations = [
             (&self.first_token, record.first_token),
             (&self.between_tokens, record.between_tokens),
             (&self.prefill, record.prefill),
             (&self.transfer, record.transfer),
         ];
-        for (histogram, span) in spans {
-            if let Some(span) = span {
-                histogram.record(span.as_secs_f64(), &labels);
+        for (histogram, duration) in durations {
+            if let Some(duration) = duration {
+                histogram.record(duration.as_secs_f64(), &labels);
             }
         }
         self.tokens.add(u64::from(record.tokens), &labels);
--- a/crates/hollyspoke-daemon/src/openai.rs
+++ b/crates/hollyspoke-daemon/src/openai.rs
@@ -8,19 +8,19 @@
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::problem::Unreadable;
+use crate::problem::RequestError;
 
 /// The tokens generated when a request does not say how many.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// The most tokens that a request may ask for.
-const MOST_TOKENS: u32 = 32_768;
+const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
 /// About how many bytes a token has.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// The most leading blocks of a prompt that are digested.
-const MOST_BLOCKS: usize = 32;
+const MAX_DIGESTED_BLOCKS_COUNT: usize = 32;
 
 /// Which of the two calls a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -106,18 +106,18 @@
 /// # Errors
 ///
 /// When it is not the JSON that the form asks for.
-pub fn read(form: Form, body: &[u8]) -> Result<Request, Unreadable> {
+pub fn read(form: Form, body: &[u8]) -> Result<Request, RequestError> {
     let body: Body = serde_json::from_slice(body).map_err(|error| {
-        Unreadable::malformed(format!("the body is not the JSON expected: {error}"))
+        RequestError::malformed(format!("the body is not the JSON expected: {error}"))
     })?;
     let prompt = match form {
         Form::Chat => chat_prompt(body.messages)?,
         Form::Text => text_prompt(body.prompt)?,
     };
     let wanted = body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
-    if !(1..=MOST_TOKENS).contains(&wanted) {
-        let detail = format!("`max_tokens` must be from 1 to {MOST_TOKENS}");
-        return Err(Unreadable::malformed(detail));
+    if !(1..=MAX_OUTPUT_TOKENS).contains(&wanted) {
+        let detail = format!("`max_tokens` must be from 1 to {MAX_OUTPUT_TOKENS}");
+        return Err(RequestError::malformed(detail));
     }
     let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32;
     let work = Generate {
@@ -131,10 +131,10 @@
 }
 
 /// Makes one text of a chat.
-fn chat_prompt(messages: Option<Vec<Message>>) -> Result<String, Unreadable> {
+fn chat_prompt(messages: Option<Vec<Message>>) -> Result<String, RequestError> {
     let messages = messages.filter(|it| !it.is_empty());
     let Some(messages) = messages else {
-        return Err(Unreadable::malformed("`messages` must be a list that is not empty"));
+        return Err(RequestError::malformed("`messages` must be a list that is not empty"));
     };
     let mut prompt = String::new();
     for message in messages {
@@ -150,11 +150,11 @@
 }
 
 /// Makes one text of a prompt.
-fn text_prompt(prompt: Option<Prompt>) -> Result<String, Unreadable> {
+fn text_prompt(prompt: Option<Prompt>) -> Result<String, RequestError> {
     match prompt {
         Some(Prompt::One(text)) => Ok(text),
         Some(Prompt::Many(texts)) => Ok(texts.concat()),
-        None => Err(Unreadable::malformed("`prompt` is missing")),
+        None => Err(RequestError::malformed("`prompt` is missing")),
     }
 }
 
@@ -165,7 +165,7 @@
     prompt
         .as_bytes()
         .chunks_exact(block)
-        .take(MOST_BLOCKS)
+        .take(MAX_DIGESTED_BLOCKS_COUNT)
         .map(|it| {
             digest = xxh3_64_with_seed(it, digest);
             digest
@@ -193,7 +193,7 @@
 }
 
 /// Makes a whole answer.
-pub fn whole(request: &Request, id: &str, text: &str, reason: &str, usage: Usage) -> Value {
+pub fn completion(request: &Request, id: &str, text: &str, reason: &str, usage: Usage) -> Value {
     let (object, choice) = match request.form {
         Form::Chat => {
             let message = json!({ "role": "assistant", "content": text });
--- a/crates/hollyspoke-daemon/src/peers.rs
+++ b/crates/hollyspoke-daemon/src/peers.rs
@@ -9,13 +9,13 @@
 use hollyspoke_wire::peer::Connection;
 use tokio::sync::mpsc;
 
-use crate::input::Inputs;
+use crate::input::InputSender;
 
 /// The messages to one box that may wait; more are dropped, as the reducer expects.
-const WAITING: usize = 1024;
+const MAX_QUEUED_COUNT: usize = 1024;
 
 /// The most messages in one call.
-const BATCH: usize = 64;
+const MAX_BATCH_COUNT: usize = 64;
 
 /// What waits for one box.
 #[derive(Debug)]
@@ -30,36 +30,36 @@
 #[derive(Debug)]
 pub struct Peers {
     /// This box.
-    me: Incarnation,
+    own_incarnation: Incarnation,
     /// Where answers go.
-    inputs: Inputs,
+    inputs: InputSender,
     /// The queue of each address.
     queues: HashMap<String, mpsc::Sender<Outgoing>>,
 }
 
 impl Peers {
     /// Makes it without connections.
-    pub fn new(me: Incarnation, inputs: Inputs) -> Peers {
-        Peers { me, inputs, queues: HashMap::new() }
+    pub fn new(own_incarnation: Incarnation, inputs: InputSender) -> Peers {
+        Peers { own_incarnation, inputs, queues: HashMap::new() }
     }
 
     /// Sends a message; it is dropped when too many wait.
     pub fn send(&mut self, to: Incarnation, address: String, message: Message) {
-        self.put(address, Outgoing::Message(to, message));
+        self.enqueue(address, Outgoing::Message(to, message));
     }
 
     /// Greets the box at an address.
     pub fn greet(&mut self, address: String, entry: Entry) {
-        self.put(address, Outgoing::Greeting(entry));
+        self.enqueue(address, Outgoing::Greeting(entry));
     }
 
     /// Puts something into an address's queue.
-    fn put(&mut self, address: String, outgoing: Outgoing) {
+    fn enqueue(&mut self, address: String, outgoing: Outgoing) {
         self.queues.retain(|_, queue| !queue.is_closed());
-        let (me, inputs) = (self.me, self.inputs.clone());
+        let (own_incarnation, inputs) = (self.own_incarnation, self.inputs.clone());
         let queue = self.queues.entry(address).or_insert_with_key(|address| {
-            let (queue, waiting) = mpsc::channel(WAITING);
-            tokio::spawn(serve(me, inputs, address.clone(), waiting));
+            let (queue, receiver) = mpsc::channel(MAX_QUEUED_COUNT);
+            tokio::spawn(deliver_queue(own_incarnation, inputs, address.clone(), receiver));
             queue
         });
         // A full queue drops the message: the other box does not keep up or is gone.
@@ -68,26 +68,26 @@
 }
 
 /// Delivers what waits for one address. What waits when the box can't be reached is dropped.
-async fn serve(
-    me: Incarnation,
-    inputs: Inputs,
+async fn deliver_queue(
+    own_incarnation: Incarnation,
+    inputs: InputSender,
     address: String,
-    mut waiting: mpsc::Receiver<Outgoing>,
+    mut receiver: mpsc::Receiver<Outgoing>,
 ) {
-    let mut link: Option<Connection> = None;
+    let mut connection: Option<Connection> = None;
     let mut batch = Vec::new();
-    while waiting.recv_many(&mut batch, BATCH).await > 0 {
-        if link.is_none() {
-            link = Connection::open(&address).await.ok();
+    while receiver.recv_many(&mut batch, MAX_BATCH_COUNT).await > 0 {
+        if connection.is_none() {
+            connection = Connection::open(&address).await.ok();
         }
-        let Some(open) = &link else {
-            batch.extend(std::iter::from_fn(|| waiting.try_recv().ok()));
+        let Some(open) = &connection else {
+            batch.extend(std::iter::from_fn(|| receiver.try_recv().ok()));
             report_unreachable(&inputs, &batch);
             batch.clear();
             continue;
         };
-        if !deliver(me, &inputs, open, &batch).await {
-            link = None;
+        if !deliver(own_incarnation, &inputs, open, &batch).await {
+            connection = None;
             report_unreachable(&inputs, &batch);
         }
         batch.clear();
@@ -95,39 +95,44 @@
 }
 
 /// Tells the reducer that the boxes for which a batch was meant can't be reached.
-fn report_unreachable(inputs: &Inputs, batch: &[Outgoing]) {
+fn report_unreachable(inputs: &InputSender, batch: &[Outgoing]) {
     let mut last = None;
     for outgoing in batch {
         let Outgoing::Message(to, _) = outgoing else { continue };
         if last != Some(*to) {
-            inputs.event(Event::Unreachable(*to));
+            inputs.send_event(Event::Unreachable(*to));
             last = Some(*to);
         }
     }
 }
 
 /// Delivers a batch; false when the connection has failed.
-async fn deliver(me: Incarnation, inputs: &Inputs, link: &Connection, batch: &[Outgoing]) -> bool {
+async fn deliver(
+    own_incarnation: Incarnation,
+    inputs: &InputSender,
+    connection: &Connection,
+    batch: &[Outgoing],
+) -> bool {
     let mut messages: Vec<(Incarnation, Vec<Message>)> = Vec::new();
     let mut greeting = None;
     for outgoing in batch {
         match outgoing {
             Outgoing::Greeting(entry) => greeting = Some(entry.clone()),
             Outgoing::Message(to, message) => match messages.last_mut() {
-                Some((last, run)) if last == to => run.push(message.clone()),
+                Some((last, group)) if last == to => group.push(message.clone()),
                 Some(_) | None => messages.push((*to, vec![message.clone()])),
             },
         }
     }
     if let Some(entry) = greeting {
-        let Ok(seen) = link.greet(entry).await else { return false };
-        inputs.event(Event::Seen(seen));
+        let Ok(seen) = connection.greet(entry).await else { return false };
+        inputs.send_event(Event::Seen(seen));
     }
-    for (to, run) in messages {
-        match link.deliver(me, to, run).await {
+    for (to, group) in messages {
+        match connection.deliver(own_incarnation, to, group).await {
             Ok(true) => {}
             // Another incarnation has dropped them: the one they were meant for is gone.
-            Ok(false) => inputs.event(Event::Unreachable(to)),
+            Ok(false) => inputs.send_event(Event::Unreachable(to)),
             Err(_) => return false,
         }
     }
--- a/crates/hollyspoke-daemon/src/problem.rs
+++ b/crates/hollyspoke-daemon/src/problem.rs
@@ -9,7 +9,7 @@
 
 /// A request that could not be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct RequestError {
     /// The status.
     pub status: StatusCode,
     /// The last part of the stable type.
@@ -18,10 +18,10 @@
     pub detail: String,
 }
 
-impl Unreadable {
+impl RequestError {
     /// Makes a problem of the status 400.
-    pub fn malformed(detail: impl Into<String>) -> Unreadable {
-        Unreadable { status: StatusCode::BAD_REQUEST, slug: "malformed", detail: detail.into() }
+    pub fn malformed(detail: impl Into<String>) -> RequestError {
+        RequestError { status: StatusCode::BAD_REQUEST, slug: "malformed", detail: detail.into() }
     }
 
     /// Gives the problem as it is sent.
@@ -41,7 +41,7 @@
 pub fn wire(problem: &outcome::Problem) -> caller::Problem {
     let (status, title, ran) = match &problem.kind {
         ProblemKind::NotRun(_, refusal) => {
-            let (status, title) = refused(*refusal);
+            let (status, title) = status_and_title(*refusal);
             (status, title, "no")
         }
         ProblemKind::Failed => (StatusCode::BAD_GATEWAY, "the request failed", "failed"),
@@ -63,7 +63,7 @@
 }
 
 /// Gives a refusal's status and words.
-fn refused(refusal: Refusal) -> (StatusCode, &'static str) {
+fn status_and_title(refusal: Refusal) -> (StatusCode, &'static str) {
     match refusal {
         Refusal::TooLate => (StatusCode::SERVICE_UNAVAILABLE, "the answer would come too late"),
         Refusal::Limited => (StatusCode::TOO_MANY_REQUESTS, "the tenant is over its limit"),
--- a/crates/hollyspoke-daemon/src/run.rs
+++ b/crates/hollyspoke-daemon/src/run.rs
@@ -19,14 +19,14 @@
 
 use crate::callers::Callers;
 use crate::connection;
-use crate::input::Inputs;
+use crate::input::InputSender;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::shell::{self, Shell};
 use crate::store::{self, SiteObject};
 
 /// How long connections get to close once the planned stop is complete.
-const CLOSING: Duration = Duration::from_millis(500);
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
 
 /// A box that runs.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// The address for other boxes.
     pub peers: SocketAddr,
     /// The way to the reducer.
-    inputs: Inputs,
+    inputs: InputSender,
     /// The reducer's loop.
     shell: JoinHandle<()>,
     /// Tells connections to close.
@@ -48,7 +48,7 @@
 impl Running {
     /// Begins the planned stop.
     pub fn leave(&self) {
-        self.inputs.event(Event::Leave);
+        self.inputs.send_event(Event::Leave);
     }
 
     /// Waits until the planned stop is complete.
@@ -56,7 +56,7 @@
         // A loop that panicked is over too; the process then ends.
         let _ = (&mut self.shell).await;
         self.stopping.send_replace(true);
-        tokio::time::sleep(CLOSING).await;
+        tokio::time::sleep(CLOSE_GRACE).await;
     }
 }
 
@@ -99,10 +99,10 @@
         "data_centre" => &settings.data_centre,
         "site" => &settings.site,
     );
-    let (inputs, receiver) = Inputs::new();
-    let (entry, entry_seen) = watch::channel(node.entry().clone());
-    let (arrived_sender, arrived) = mpsc::unbounded_channel();
-    let (stopping, stopping_seen) = watch::channel(false);
+    let (inputs, receiver) = InputSender::new();
+    let (entry, entry_receiver) = watch::channel(node.entry().clone());
+    let (received_sender, received) = mpsc::unbounded_channel();
+    let (stopping, stopping_receiver) = watch::channel(false);
     let platform = Platform::new(Client::new(), settings.platform.to_string());
     let site = SiteObject {
         platform: platform.clone(),
@@ -112,23 +112,23 @@
     };
     let router = Callers::new(inputs.clone(), settings.body_limit).router();
     let shell = Shell::new(node, inputs.clone(), site, entry, Metrics::new()?, log);
-    let inbox = Inbox::new(entry_seen, arrived_sender);
+    let inbox = Inbox::new(entry_receiver, received_sender);
     let tasks = vec![
         tokio::spawn(async move {
             // The listener ends with the box; without it no other box reaches this one, which
             // the members' view shows.
             let _ = inbox.serve(peers).await;
         }),
-        tokio::spawn(shell::pass_on(arrived, inputs.clone())),
-        tokio::spawn(store::list_boxes(platform, inputs.clone())),
-        tokio::spawn(connection::accept(callers, router, stopping_seen)),
+        tokio::spawn(shell::forward_received(received, inputs.clone())),
+        tokio::spawn(store::poll_boxes(platform, inputs.clone())),
+        tokio::spawn(connection::accept(callers, router, stopping_receiver)),
     ];
     let shell = tokio::spawn(shell.run(receiver));
     Ok(Running { callers: callers_address, peers: peers_address, inputs, shell, stopping, tasks })
 }
 
 /// Listens on an address.
-async fn listen(address: SocketAddr, whom: &str) -> eyre::Result<TcpListener> {
+async fn listen(address: SocketAddr, clients: &str) -> eyre::Result<TcpListener> {
     let listening = TcpListener::bind(address).await;
-    listening.wrap_err_with(|| format!("can't listen for {whom} on {address}"))
+    listening.wrap_err_with(|| format!("can't listen for {clients} on {address}"))
 }
--- a/crates/hollyspoke-daemon/src/settings.rs
+++ b/crates/hollyspoke-daemon/src/settings.rs
@@ -31,10 +31,10 @@
 ";
 
 /// The default of `--body-limit`, in bytes.
-const BODY_LIMIT: usize = 1024 * 1024;
+const DEFAULT_BODY_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// The largest `--body-limit`, in bytes.
-const MOST_BODY_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_BODY_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
 /// A daemon's settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -143,7 +143,7 @@
             Ok(Some(value)) => Some(value),
             Ok(None) => (self.variable)(&variable_name(flag)).filter(|it| !it.is_empty()),
             Err(error) => {
-                self.find(flag, error.to_string());
+                self.add_finding(flag, error.to_string());
                 None
             }
         }
@@ -154,7 +154,7 @@
         let value = self.optional(flag);
         if value.is_none() {
             let message = format!("is missing; give it or set {}", variable_name(flag));
-            self.find(flag, message);
+            self.add_finding(flag, message);
         }
         value
     }
@@ -170,7 +170,7 @@
         let address = value.parse().ok();
         if address.is_none() {
             let message = format!("`{value}` is no IP number with a port, such as 10.1.0.7:8000");
-            self.find(flag, message);
+            self.add_finding(flag, message);
         }
         address
     }
@@ -180,7 +180,7 @@
         let value = self.optional(flag);
         if value.is_none() && listen.ip().is_unspecified() {
             let message = format!("is needed, since {} can't be connected to", listen.ip());
-            self.find(flag, message);
+            self.add_finding(flag, message);
         }
         self.address(flag, &value?)
     }
@@ -194,14 +194,14 @@
 
     /// Reads the largest body.
     fn body_limit(&mut self) -> usize {
-        let Some(value) = self.optional("--body-limit") else { return BODY_LIMIT };
+        let Some(value) = self.optional("--body-limit") else { return DEFAULT_BODY_LIMIT_BYTES };
         match value.parse() {
-            Ok(bytes) if (1..=MOST_BODY_LIMIT).contains(&bytes) => bytes,
+            Ok(bytes) if (1..=MAX_BODY_LIMIT_BYTES).contains(&bytes) => bytes,
             Ok(_) | Err(_) => {
                 let message =
-                    format!("`{value}` is no number of bytes from 1 to {MOST_BODY_LIMIT}");
-                self.find("--body-limit", message);
-                BODY_LIMIT
+                    format!("`{value}` is no number of bytes from 1 to {MAX_BODY_LIMIT_BYTES}");
+                self.add_finding("--body-limit", message);
+                DEFAULT_BODY_LIMIT_BYTES
             }
         }
     }
@@ -212,7 +212,7 @@
             None | Some("json") => LogForm::Json,
             Some("terminal") => LogForm::Terminal,
             Some(other) => {
-                self.find("--log", format!("`{other}` is neither `json` nor `terminal`"));
+                self.add_finding("--log", format!("`{other}` is neither `json` nor `terminal`"));
                 LogForm::Json
             }
         }
@@ -220,16 +220,16 @@
 
     /// Ends the reading: what is left on the command line is not known.
     fn finish(mut self) -> Vec<Finding> {
-        let rest = std::mem::replace(&mut self.arguments, Arguments::from_vec(Vec::new()));
-        for argument in rest.finish() {
+        let unknown = std::mem::replace(&mut self.arguments, Arguments::from_vec(Vec::new()));
+        for argument in unknown.finish() {
             let flag = argument.to_string_lossy().into_owned();
-            self.find(&flag, "is not known; see --help".to_owned());
+            self.add_finding(&flag, "is not known; see --help".to_owned());
         }
         self.findings
     }
 
     /// Adds a finding.
-    fn find(&mut self, flag: &str, message: String) {
+    fn add_finding(&mut self, flag: &str, message: String) {
         self.findings.push(Finding { flag: flag.to_owned(), message });
     }
 }
--- a/crates/hollyspoke-daemon/src/shell.rs
+++ b/crates/hollyspoke-daemon/src/shell.rs
@@ -17,14 +17,14 @@
 use tokio::task::{AbortHandle, JoinHandle};
 use tokio::time::MissedTickBehavior;
 
-use crate::input::{Input, Inputs, Query};
+use crate::input::{Input, InputSender, Query};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::store::SiteObject;
 use crate::upstream::{self, PlainCall};
 
 /// How often the reducer is told that time has passed.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the loop holds.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// Its clock.
     clock: Clock,
     /// The way in, for tasks.
-    inputs: Inputs,
+    inputs: InputSender,
     /// The client for engines and services.
     client: Client,
     /// The connections to other boxes.
@@ -52,7 +52,7 @@
     /// The metrics.
     metrics: Metrics,
     /// The version for which the metrics have their labels.
-    labelled: u64,
+    labelled_version: u64,
     /// The log.
     log: Logger,
 }
@@ -61,7 +61,7 @@
     /// Makes the loop's state.
     pub fn new(
         node: Node,
-        inputs: Inputs,
+        inputs: InputSender,
         site: SiteObject,
         entry: watch::Sender<Entry>,
         metrics: Metrics,
@@ -80,21 +80,21 @@
             attempts: HashMap::new(),
             watch: None,
             metrics,
-            labelled: 0,
+            labelled_version: 0,
             log,
         }
     }
 
     /// Runs until the planned stop is complete.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         loop {
             let input = tokio::select! {
                 _ = ticks.tick() => Input::Event(Event::Tick),
                 Some(input) = inputs.recv() => input,
             };
-            if self.take(input) {
+            if self.handle_input(input) {
                 break;
             }
         }
@@ -104,7 +104,7 @@
     }
 
     /// Takes an input; tells whether the box may exit.
-    fn take(&mut self, input: Input) -> bool {
+    fn handle_input(&mut self, input: Input) -> bool {
         match input {
             Input::Event(event) => self.step(event),
             Input::Arrive { call, arrival, replies } => {
@@ -112,7 +112,7 @@
                 self.step(Event::Arrive { call, arrival })
             }
             Input::Query(query) => {
-                self.answer(query);
+                self.answer_query(query);
                 false
             }
         }
@@ -136,7 +136,7 @@
         let effects = self.node.step(now, event);
         let mut exit = false;
         for effect in effects {
-            exit |= self.carry_out(effect);
+            exit |= self.execute(effect);
         }
         self.entry.send_if_modified(|entry| {
             let changed = entry.beat != self.node.entry().beat;
@@ -149,7 +149,7 @@
     }
 
     /// Carries out one effect; tells whether the box may exit.
-    fn carry_out(&mut self, effect: Effect) -> bool {
+    fn execute(&mut self, effect: Effect) -> bool {
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         match effect {
@@ -157,25 +157,31 @@
             Effect::Greet(address) => self.peers.greet(address, self.node.entry().clone()),
             Effect::Prefill { ticket, address, work, class } => {
                 let call = upstream::prefill(client, inputs, ticket, address, *work, class);
-                self.begin(ticket, call);
+                self.start_attempt(ticket, call);
             }
             Effect::Import { ticket, address, from, tokens } => {
                 let import = Import { stream: ticket.to_string(), from, tokens };
-                self.begin(ticket, upstream::import(client, inputs, ticket, address, import));
+                self.start_attempt(
+                    ticket,
+                    upstream::import(client, inputs, ticket, address, import),
+                );
             }
             Effect::Decode { ticket, address, work, from_seq } => {
                 let stream = ticket.to_string();
                 let decode = Decode { stream, max_tokens: work.max_tokens, from_seq };
-                self.begin(ticket, upstream::decode(client, inputs, ticket, address, decode));
+                self.start_attempt(
+                    ticket,
+                    upstream::decode(client, inputs, ticket, address, decode),
+                );
             }
             Effect::Cancel { ticket, address } => {
-                self.drop_attempt(ticket);
+                self.abort_attempt(ticket);
                 tokio::spawn(upstream::cancel(client, ticket, address));
             }
-            Effect::Drop(ticket) => self.drop_attempt(ticket),
+            Effect::Drop(ticket) => self.abort_attempt(ticket),
             Effect::Poll { engine, address } => {
                 tokio::spawn(async move {
-                    inputs.put(upstream::polled(client, engine, address).await);
+                    inputs.send(upstream::poll_event(client, engine, address).await);
                 });
             }
             Effect::Order { address, token, order } => {
@@ -183,14 +189,14 @@
             }
             Effect::Call { ticket, key, address, call, timeout, repeatable } => {
                 let call = PlainCall { ticket, key, address, call: *call, timeout, repeatable };
-                self.begin(ticket, upstream::call(client, inputs, call));
+                self.start_attempt(ticket, upstream::call(client, inputs, call));
             }
             Effect::Reply { call, reply } => self.reply(call, reply),
             Effect::Store { number, operation } => {
                 let platform = self.site.platform.clone();
                 tokio::spawn(async move {
                     let answer = platform.execute(operation).await;
-                    inputs.event(Event::Store { number, answer });
+                    inputs.send_event(Event::Store { number, answer });
                 });
             }
             Effect::Watch(true) => self.watch = Some(tokio::spawn(self.site.clone().watch())),
@@ -210,13 +216,13 @@
     }
 
     /// Begins a task of an attempt, in place of the one before.
-    fn begin(&mut self, ticket: Ticket, task: impl Future<Output = ()> + Send + 'static) {
+    fn start_attempt(&mut self, ticket: Ticket, task: impl Future<Output = ()> + Send + 'static) {
         let task = tokio::spawn(task);
         self.attempts.insert(ticket, task.abort_handle());
     }
 
     /// Ends the task of an attempt, which closes its connection.
-    fn drop_attempt(&mut self, ticket: Ticket) {
+    fn abort_attempt(&mut self, ticket: Ticket) {
         if let Some(task) = self.attempts.remove(&ticket) {
             task.abort();
         }
@@ -237,8 +243,8 @@
     /// Writes a request's record to the log and the metrics.
     fn record(&mut self, record: &Record) {
         let current = self.node.site();
-        if self.labelled != current.version {
-            self.labelled = current.version;
+        if self.labelled_version != current.version {
+            self.labelled_version = current.version;
             self.metrics.configure(&current.site);
         }
         self.metrics.record(record);
@@ -263,7 +269,7 @@
     }
 
     /// Answers a question. A questioner that is gone needs no answer.
-    fn answer(&mut self, query: Query) {
+    fn answer_query(&mut self, query: Query) {
         match query {
             Query::Status(answer) => drop(answer.send(self.node.status())),
             Query::Addresses { caller, data_centre, answer } => {
@@ -277,13 +283,16 @@
 }
 
 /// Passes what other boxes send on to the loop, until either end is gone.
-pub async fn pass_on(mut arrived: mpsc::UnboundedReceiver<Received>, inputs: Inputs) {
-    while let Some(arrived) = arrived.recv().await {
-        match arrived {
-            Received::Greeting(entry) => inputs.event(Event::Seen(entry)),
+pub async fn forward_received(
+    mut received: mpsc::UnboundedReceiver<Received>,
+    inputs: InputSender,
+) {
+    while let Some(received) = received.recv().await {
+        match received {
+            Received::Greeting(entry) => inputs.send_event(Event::Seen(entry)),
             Received::Messages { from, messages } => {
                 for message in messages {
-                    inputs.event(Event::Peer { from, message: Box::new(message) });
+                    inputs.send_event(Event::Peer { from, message: Box::new(message) });
                 }
             }
         }
--- a/crates/hollyspoke-daemon/src/store.rs
+++ b/crates/hollyspoke-daemon/src/store.rs
@@ -10,16 +10,16 @@
 use slog::{Logger, warn};
 use tokio::time::Instant;
 
-use crate::input::Inputs;
+use crate::input::InputSender;
 
 /// How long to wait after a failed watch, at least.
-const PAUSE: Duration = Duration::from_millis(300);
+const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How much longer at most, by chance, so that boxes don't come back together.
-const JITTER_MS: u64 = 400;
+const MAX_JITTER_MS: u64 = 400;
 
 /// How often the list of boxes is read.
-const LIST_EVERY: Duration = Duration::from_secs(10);
+const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The site that a daemon serves, in the platform's store.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
     /// The site's name.
     pub site: String,
     /// Where events go.
-    pub inputs: Inputs,
+    pub inputs: InputSender,
     /// The log.
     pub log: Logger,
 }
@@ -38,46 +38,46 @@
     /// Reads the site once.
     pub async fn fetch(self) {
         let answer = self.platform.get(SITE_KIND, &self.site).await;
-        self.take(answer, &mut 0);
+        self.handle_answer(answer, &mut 0);
     }
 
     /// Holds the watch until the task is dropped.
     pub async fn watch(self) {
         let mut after = 0;
         loop {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let answer = self.platform.watch(SITE_KIND, &self.site, after).await;
-            let is_news = matches!(&answer, Ok(Some(object)) if object.version > after);
-            if !self.take(answer, &mut after) {
+            let is_new_version = matches!(&answer, Ok(Some(object)) if object.version > after);
+            if !self.handle_answer(answer, &mut after) {
                 // The next watch answers at once with what is there, which shows that the
                 // platform is back without waiting for a change.
                 after = 0;
-                let jitter = rand::rng().random_range(0..JITTER_MS);
-                tokio::time::sleep(PAUSE + Duration::from_millis(jitter)).await;
+                let jitter = rand::rng().random_range(0..MAX_JITTER_MS);
+                tokio::time::sleep(MIN_RETRY_INTERVAL + Duration::from_millis(jitter)).await;
             }
             // A platform that answers at once without news is not asked without end. After news
             // the watch is held again at once: the store may go away right after a write.
-            if !is_news {
-                tokio::time::sleep_until(began + PAUSE).await;
+            if !is_new_version {
+                tokio::time::sleep_until(started_at + MIN_RETRY_INTERVAL).await;
             }
         }
     }
 
     /// Takes an answer; false when the platform did not give one.
-    fn take(&self, answer: Result<Option<Object>, CallError>, after: &mut u64) -> bool {
+    fn handle_answer(&self, answer: Result<Option<Object>, CallError>, after: &mut u64) -> bool {
         let object = match answer {
             Ok(object) => object,
             Err(error) => {
                 warn!(self.log, "the platform does not answer"; "error" => %error);
-                self.inputs.event(Event::StoreReachable(false));
+                self.inputs.send_event(Event::StoreReachable(false));
                 return false;
             }
         };
-        self.inputs.event(Event::StoreReachable(true));
+        self.inputs.send_event(Event::StoreReachable(true));
         let Some(object) = object else { return true };
         *after = object.version;
         match object.site() {
-            Ok(versioned) => self.inputs.event(Event::Site(Arc::new(versioned))),
+            Ok(versioned) => self.inputs.send_event(Event::Site(Arc::new(versioned))),
             Err(error) => {
                 // Only `hollyspoke apply` writes sites, and it checks them first.
                 let error = format!("{error:?}");
@@ -89,12 +89,12 @@
 }
 
 /// Reads the list of boxes now and then, until the task is dropped.
-pub async fn list_boxes(platform: Platform, inputs: Inputs) {
+pub async fn poll_boxes(platform: Platform, inputs: InputSender) {
     loop {
         if let Ok(listed) = platform.boxes().await {
-            inputs.event(Event::Listed(listed));
+            inputs.send_event(Event::Listed(listed));
         }
-        let jitter = rand::rng().random_range(0..JITTER_MS);
-        tokio::time::sleep(LIST_EVERY + Duration::from_millis(jitter)).await;
+        let jitter = rand::rng().random_range(0..MAX_JITTER_MS);
+        tokio::time::sleep(LIST_INTERVAL + Duration::from_millis(jitter)).await;
     }
 }
--- a/crates/hollyspoke-daemon/src/upstream.rs
+++ b/crates/hollyspoke-daemon/src/upstream.rs
@@ -19,16 +19,16 @@
 use http_body_util::Full;
 use slog::{Logger, warn};
 
-use crate::input::{Input, Inputs};
+use crate::input::{Input, InputSender};
 
 /// How long a cancel may take.
-const CANCEL_LIMIT: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How often a cancel is tried; the shard's owner sweeps up what is left.
-const CANCEL_TRIES: u32 = 3;
+const MAX_CANCEL_ATTEMPTS: u32 = 3;
 
 /// How long a report may take.
-const POLL_LIMIT: Duration = Duration::from_millis(800);
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Headers of one connection alone, which are not passed on.
 const CONNECTION_HEADERS: [&str; 8] = [
@@ -43,14 +43,14 @@
 ];
 
 /// Tells whether a header is passed on.
-pub fn is_passed_on(name: &str) -> bool {
+pub fn is_end_to_end(name: &str) -> bool {
     !CONNECTION_HEADERS.contains(&name) && name != "host"
 }
 
 /// Has an engine compute a prompt.
 pub async fn prefill(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     work: Generate,
@@ -66,15 +66,15 @@
     let url = format!("http://{address}/v1/prefill");
     let reply = match client.post::<Prefilled>(&url, &prefill).await {
         Ok(_) => Reply::Prefilled,
-        Err(error) => failure(&error),
+        Err(error) => failure_reply(&error),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
 /// Has a decode engine fetch a prefill result.
 pub async fn import(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     import: Import,
@@ -82,15 +82,15 @@
     let url = format!("http://{address}/v1/import");
     let reply = match client.post::<Empty>(&url, &import).await {
         Ok(Empty {}) => Reply::Imported,
-        Err(error) => failure(&error),
+        Err(error) => failure_reply(&error),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
 /// Has an engine generate, and passes on each token.
 pub async fn decode(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     decode: Decode,
@@ -98,33 +98,33 @@
     let lines = match engine::decode(&client, &address, &decode).await {
         Ok(lines) => lines,
         Err(error) => {
-            inputs.event(Event::Upstream { ticket, reply: failure(&error) });
+            inputs.send_event(Event::Upstream { ticket, reply: failure_reply(&error) });
             return;
         }
     };
     let mut lines = std::pin::pin!(lines);
     while let Some(line) = lines.next().await {
-        let (reply, last) = match line {
+        let (reply, is_last) = match line {
             Ok(Line::Token { seq, text }) => (Reply::Token { seq, text: text.into() }, false),
             Ok(Line::Finished { finished }) => (Reply::Finished { reason: finished.into() }, true),
-            Err(error) => (failure(&error), true),
+            Err(error) => (failure_reply(&error), true),
         };
-        inputs.event(Event::Upstream { ticket, reply });
-        if last {
+        inputs.send_event(Event::Upstream { ticket, reply });
+        if is_last {
             return;
         }
     }
     let error = CallError::Sent("the stream ended without its end".to_owned());
-    inputs.event(Event::Upstream { ticket, reply: failure(&error) });
+    inputs.send_event(Event::Upstream { ticket, reply: failure_reply(&error) });
 }
 
 /// Has an engine free what it holds for an attempt.
 pub async fn cancel(client: Client, ticket: Ticket, address: String) {
     let url = format!("http://{address}/v1/cancel");
     let body = Cancel { stream: ticket.to_string() };
-    for attempt in 0..CANCEL_TRIES {
+    for attempt in 0..MAX_CANCEL_ATTEMPTS {
         let call = client.post::<Empty>(&url, &body);
-        if let Ok(Ok(Empty {})) = tokio::time::timeout(CANCEL_LIMIT, call).await {
+        if let Ok(Ok(Empty {})) = tokio::time::timeout(CANCEL_TIMEOUT, call).await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100 << attempt)).await;
@@ -147,7 +147,7 @@
 pub async fn poll(client: &Client, address: &str) -> Option<Report> {
     let url = format!("http://{address}/v1/report");
     let call = client.get::<Load>(&url);
-    let load = tokio::time::timeout(POLL_LIMIT, call).await.ok()?.ok()?;
+    let load = tokio::time::timeout(POLL_TIMEOUT, call).await.ok()?.ok()?;
     Some(load.report())
 }
 
@@ -169,15 +169,15 @@
 }
 
 /// Calls a plain service.
-pub async fn call(client: Client, inputs: Inputs, plain: PlainCall) {
+pub async fn call(client: Client, inputs: InputSender, plain: PlainCall) {
     let ticket = plain.ticket;
-    let limit = plain.timeout;
-    let reply = match tokio::time::timeout(limit, call_once(client, plain)).await {
+    let timeout = plain.timeout;
+    let reply = match tokio::time::timeout(timeout, call_once(client, plain)).await {
         Ok(Ok(answer)) => Reply::Answered(answer),
-        Ok(Err(error)) => failure(&error),
-        Err(_) => failure(&CallError::Sent("the upstream did not answer in time".to_owned())),
+        Ok(Err(error)) => failure_reply(&error),
+        Err(_) => failure_reply(&CallError::Sent("the upstream did not answer in time".to_owned())),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
 /// Sends one call and reads its whole answer.
@@ -196,19 +196,19 @@
         false => client.send_unpooled(request).await?,
     };
     let status = response.status().as_u16();
-    let headers = response.headers().iter().filter_map(passed_on).collect();
+    let headers = response.headers().iter().filter_map(forwarded_header).collect();
     let body = read_whole(response).await?;
     Ok(Answer { status, headers, body: body.as_ref().into() })
 }
 
 /// Gives a header as it is passed on, if it is.
-pub fn passed_on((name, value): (&HeaderName, &HeaderValue)) -> Option<(String, String)> {
+pub fn forwarded_header((name, value): (&HeaderName, &HeaderValue)) -> Option<(String, String)> {
     let value = value.to_str().ok()?;
-    is_passed_on(name.as_str()).then(|| (name.to_string(), value.to_owned()))
+    is_end_to_end(name.as_str()).then(|| (name.to_string(), value.to_owned()))
 }
 
 /// Makes the reply for a call that failed.
-fn failure(error: &CallError) -> Reply {
+fn failure_reply(error: &CallError) -> Reply {
     if error.status() == Some(engine::STATUS_FULL) {
         return Reply::Full;
     }
@@ -220,7 +220,7 @@
 }
 
 /// Gives the input that reports a poll.
-pub async fn polled(
+pub async fn poll_event(
     client: Client,
     engine: hollyspoke::site::UpstreamId,
     address: String,
--- a/crates/hollyspoke-standin/src/answer.rs
+++ b/crates/hollyspoke-standin/src/answer.rs
@@ -11,8 +11,8 @@
 
 /// Gives the token at a place of the answer to a prompt.
 pub fn token(prompt: &str, seq: u32) -> String {
-    let mixed = xxh3_64(prompt.as_bytes()).wrapping_add(u64::from(seq).wrapping_mul(0x9e37_79b9));
-    let word = WORDS[(xxh3_64(&mixed.to_le_bytes()) % WORDS.len() as u64) as usize];
+    let seed = xxh3_64(prompt.as_bytes()).wrapping_add(u64::from(seq).wrapping_mul(0x9e37_79b9));
+    let word = WORDS[(xxh3_64(&seed.to_le_bytes()) % WORDS.len() as u64) as usize];
     format!("{word}{seq} ")
 }
 
--- a/crates/hollyspoke-standin/src/engine.rs
+++ b/crates/hollyspoke-standin/src/engine.rs
@@ -37,7 +37,7 @@
     /// How long a token takes.
     pub token_time: Duration,
     /// How long a prefill result is kept.
-    pub result_life: Duration,
+    pub result_ttl: Duration,
     /// Whether it takes orders, and then whether it compares their tokens.
     pub orders: Option<bool>,
 }
@@ -48,7 +48,7 @@
             memory_tokens: 64_000,
             prefill_rate: 20_000,
             token_time: Duration::from_millis(2),
-            result_life: Duration::from_secs(3),
+            result_ttl: Duration::from_secs(3),
             orders: None,
         }
     }
@@ -178,7 +178,7 @@
             .route("/v1/import", post(import))
             .route("/v1/decode", post(decode))
             .route("/v1/cancel", post(cancel))
-            .route("/v1/orders", post(take_order))
+            .route("/v1/orders", post(accept_order))
             .route("/v1/report", get(report))
             .route("/standin/faults", post(set_faults))
             .route("/standin/ledger", get(ledger))
@@ -236,7 +236,7 @@
         let held = Held { prompt: wanted.prompt, tokens, expires: None };
         inner.held.insert(wanted.stream.clone(), held);
     }
-    let Ok(turn) = engine.compute.acquire().await else {
+    let Ok(permit) = engine.compute.acquire().await else {
         return Err(StatusCode::INTERNAL_SERVER_ERROR.into_response());
     };
     if faults.stall_prefill {
@@ -244,13 +244,13 @@
     }
     let time = Duration::from_secs_f64(tokens as f64 / engine.settings.prefill_rate as f64);
     tokio::time::sleep(engine.slowed(time)).await;
-    drop(turn);
+    drop(permit);
     let mut inner = engine.lock();
     inner.ledger.prefill_tokens += tokens;
     let Some(held) = inner.held.get_mut(&wanted.stream) else {
         return Err(StatusCode::GONE.into_response());
     };
-    held.expires = Some(Instant::now() + engine.settings.result_life);
+    held.expires = Some(Instant::now() + engine.settings.result_ttl);
     Ok(Json(Prefilled { cached_tokens: 0 }))
 }
 
@@ -325,26 +325,26 @@
     /// Why it ends there.
     reason: &'static str,
     /// Tokens given in this call.
-    given: u32,
+    sent_count: u32,
     /// Whether the end was said.
-    ended: bool,
+    is_ended: bool,
 }
 
 impl Generation {
     /// Gives the next line; nothing after the end, and an error when the stream breaks off.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        if self.ended {
+        if self.is_ended {
             return None;
         }
         let faults = self.engine.faults();
-        if faults.break_after.is_some_and(|it| self.given >= it) {
+        if faults.break_after.is_some_and(|it| self.sent_count >= it) {
             return Some(Err(std::io::Error::other("the engine broke the stream off")));
         }
-        if faults.stall_after.is_some_and(|it| self.given >= it) {
+        if faults.stall_after.is_some_and(|it| self.sent_count >= it) {
             std::future::pending::<()>().await;
         }
         if self.seq >= self.length {
-            self.ended = true;
+            self.is_ended = true;
             let mut inner = self.engine.lock();
             inner.held.remove(&self.stream);
             inner.ledger.finished += 1;
@@ -358,7 +358,7 @@
         let text = answer::token(&self.prompt, self.seq);
         let token = line(&Line::Token { seq: self.seq, text });
         self.seq += 1;
-        self.given += 1;
+        self.sent_count += 1;
         Some(Ok(token))
     }
 }
@@ -390,8 +390,8 @@
         seq: wanted.from_seq,
         length,
         reason,
-        given: 0,
-        ended: false,
+        sent_count: 0,
+        is_ended: false,
     };
     let lines = stream::unfold(generation, |mut generation| async move {
         let line = generation.next().await?;
@@ -419,7 +419,7 @@
 }
 
 /// Takes an order.
-async fn take_order(
+async fn accept_order(
     State(engine): State<Engine>,
     Json(order): Json<FencedOrder>,
 ) -> Result<Json<Empty>, Response> {
--- a/crates/hollyspoke-standin/src/main.rs
+++ b/crates/hollyspoke-standin/src/main.rs
@@ -51,9 +51,9 @@
 
 /// Serves the stand-in that the arguments name until it is stopped.
 async fn serve(mut arguments: Arguments) -> eyre::Result<()> {
-    let sort = arguments.subcommand()?;
+    let kind = arguments.subcommand()?;
     let listen: Option<String> = arguments.opt_value_from_str("--listen")?;
-    let router = match sort.as_deref() {
+    let router = match kind.as_deref() {
         Some("platform") => Platform::default().router(),
         Some("engine") => engine(&mut arguments)?,
         Some("service") => Service::default().router(),
--- a/crates/hollyspoke-standin/src/platform.rs
+++ b/crates/hollyspoke-standin/src/platform.rs
@@ -17,10 +17,10 @@
 use tokio::sync::watch;
 
 /// The largest value, in bytes.
-const MOST_VALUE: usize = 1024 * 1024;
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// How long a lost answer stays away before its connection is closed.
-const LOST: Duration = Duration::from_secs(30);
+const LOST_ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What goes wrong at the platform.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
     fn put(&self, kind: String, name: String, put: Put) -> Option<Written> {
         let mut inner = self.lock();
         let found = inner.objects.get(&(kind.clone(), name.clone())).map_or(0, |it| it.version);
-        if found != put.expected || put.value.len() > MOST_VALUE {
+        if found != put.expected || put.value.len() > MAX_VALUE_BYTES {
             return None;
         }
         inner.version += 1;
@@ -129,7 +129,7 @@
     }
 
     /// Does what the faults say before any answer.
-    async fn meet_faults(&self) -> Result<Faults, Response> {
+    async fn apply_faults(&self) -> Result<Faults, Response> {
         let faults = self.lock().faults.clone();
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -147,7 +147,7 @@
     Path((kind, name)): Path<(String, String)>,
 ) -> Result<Json<Object>, Response> {
     platform.lock().ledger.reads += 1;
-    platform.meet_faults().await?;
+    platform.apply_faults().await?;
     platform.get(&kind, &name).map(Json).ok_or(StatusCode::NOT_FOUND.into_response())
 }
 
@@ -158,19 +158,19 @@
     Json(put): Json<Put>,
 ) -> Result<Json<Written>, Response> {
     platform.lock().ledger.writes += 1;
-    let faults = platform.meet_faults().await?;
+    let faults = platform.apply_faults().await?;
     if faults.late_ms > 0 {
         let late = platform.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
             late.put(kind, name, put);
         });
-        tokio::time::sleep(LOST).await;
+        tokio::time::sleep(LOST_ANSWER_TIMEOUT).await;
         return Err(StatusCode::GATEWAY_TIMEOUT.into_response());
     }
     let written = platform.put(kind, name, put);
     if faults.lose_answers {
-        tokio::time::sleep(LOST).await;
+        tokio::time::sleep(LOST_ANSWER_TIMEOUT).await;
         return Err(StatusCode::GATEWAY_TIMEOUT.into_response());
     }
     written.map(Json).ok_or(StatusCode::CONFLICT.into_response())
@@ -196,7 +196,7 @@
     let limit = tokio::time::sleep(Duration::from_millis(wait.wait_ms));
     tokio::pin!(limit);
     loop {
-        platform.meet_faults().await?;
+        platform.apply_faults().await?;
         if let Some(object) = platform.get(&kind, &name).filter(|it| it.version > wait.after) {
             return Ok(Json(object));
         }
@@ -212,7 +212,7 @@
 /// Gives the list of boxes.
 async fn boxes(State(platform): State<Platform>) -> Result<Json<Vec<Listed>>, Response> {
     platform.lock().ledger.reads += 1;
-    platform.meet_faults().await?;
+    platform.apply_faults().await?;
     let boxes = platform.lock().boxes.clone();
     Ok(Json(boxes))
 }
--- a/crates/hollyspoke-standin/src/service.rs
+++ b/crates/hollyspoke-standin/src/service.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest body, in bytes.
-const MOST_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// What goes wrong at the service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 
 /// The answer of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct CallRecord {
     /// The method.
     pub method: String,
     /// The path with its query.
@@ -104,7 +104,7 @@
     let path = request.uri().to_string();
     let key = request.headers().get(caller::KEY).and_then(|it| it.to_str().ok());
     let key = key.unwrap_or_default().to_owned();
-    let Ok(body) = axum::body::to_bytes(request.into_body(), MOST_BODY).await else {
+    let Ok(body) = axum::body::to_bytes(request.into_body(), MAX_BODY_BYTES).await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     let body = String::from_utf8_lossy(&body).into_owned();
@@ -125,7 +125,7 @@
     if faults.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     }
-    Json(Ran { method, path, key, body, run }).into_response()
+    Json(CallRecord { method, path, key, body, run }).into_response()
 }
 
 /// Sets what goes wrong.
