--- a/crates/hollyspoke-daemon/src/callers.rs
+++ b/crates/hollyspoke-daemon/src/callers.rs
@@ -29,73 +29,73 @@
 use crate::problem::{self, RequestError};
 use crate::upstream;
 
-/// How long a caller may take to send a request's body.
+/// The time limit for receiving a request's body.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The highest class.
+/// The highest class that a caller may request.
 const MAX_CLASS: u8 = 9;
 
-/// The longest name of a tenant or an idempotency key, in bytes.
+/// The longest value of a header with a short text, such as a tenant or an idempotency key.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What all routes share.
+/// The state that all routes share.
 #[derive(Debug, Clone)]
 pub struct Callers {
-    /// The way to the reducer.
+    /// The input queue of the reducer's loop.
     inputs: InputSender,
-    /// The client for passing requests on to other boxes.
+    /// The client for relaying requests to other boxes.
     client: Client,
-    /// The number of the last connection.
+    /// The number of the last call.
     last_call: Arc<AtomicU64>,
     /// The largest body, in bytes.
     body_limit: usize,
 }
 
-/// A request's connection to the reducer; when it is dropped early, the caller is gone.
+/// A call at the reducer. Dropping it reports that the caller has disconnected.
 #[derive(Debug)]
 struct CallHandle {
-    /// The connection's number.
+    /// The number of the call.
     call: CallId,
-    /// The way to the reducer.
+    /// The input queue of the reducer's loop.
     inputs: InputSender,
-    /// The replies.
+    /// The channel of the reducer's replies.
     replies: mpsc::UnboundedReceiver<CallerReply>,
 }
 
 impl Drop for CallHandle {
     fn drop(&mut self) {
-        // The reducer passes over connections that it has answered already.
+        // The reducer ignores this event for a call that it has answered.
         self.inputs.send_event(Event::Gone(self.call));
     }
 }
 
 impl CallHandle {
-    /// Waits for the next reply.
+    /// Waits for the next reply; none after the last.
     async fn next(&mut self) -> Option<CallerReply> {
         self.replies.recv().await
     }
 }
 
-/// A request as it came, for passing it on to another box.
+/// A request as received, for relaying it to another box.
 #[derive(Debug, Clone)]
 struct OriginalRequest {
     /// The method.
     method: String,
     /// The path with its query.
     path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     headers: Vec<(String, String)>,
     /// The body.
     body: Bytes,
 }
 
 impl Callers {
-    /// Makes the state of the routes.
+    /// Creates the state of the routes.
     pub fn new(inputs: InputSender, body_limit: usize) -> Callers {
         Callers { inputs, client: Client::new(), last_call: Arc::default(), body_limit }
     }
 
-    /// Makes the routes.
+    /// Returns the router; other paths are calls of plain services.
     pub fn router(self) -> Router {
         Router::new()
             .route("/v1/chat/completions", post(chat))
@@ -111,7 +111,7 @@
             .with_state(self)
     }
 
-    /// Gives a request to the reducer.
+    /// Submits a request to the reducer.
     fn submit(&self, arrival: Arrival) -> CallHandle {
         let call = CallId(self.last_call.fetch_add(1, Ordering::Relaxed) + 1);
         let (sender, replies) = mpsc::unbounded_channel();
@@ -120,7 +120,7 @@
         CallHandle { call, inputs: self.inputs.clone(), replies }
     }
 
-    /// Asks the reducer's loop a question.
+    /// Sends a query to the event loop and waits for the answer.
     async fn query<T>(
         &self,
         query: impl FnOnce(oneshot::Sender<T>) -> Query,
@@ -130,7 +130,7 @@
         answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE.into_response())
     }
 
-    /// Reads a request whole.
+    /// Reads a complete request, within the limits on the body's size and time.
     async fn read(&self, request: Request) -> Result<(OriginalRequest, HeaderMap), RequestError> {
         let (parts, body) = request.into_parts();
         let collected = Limited::new(body, self.body_limit).collect();
@@ -158,7 +158,7 @@
         Ok((original, parts.headers))
     }
 
-    /// Passes a request on to its home.
+    /// Relays a request to its home box.
     async fn relay(
         &self,
         original: &OriginalRequest,
@@ -187,8 +187,8 @@
         Ok(response.map(Body::new))
     }
 
-    /// Gives a request to the reducer and follows it to its home if that is another box; gives
-    /// the first reply that is of use here.
+    /// Submits a request to the reducer, and relays it if its home is another box. Returns the
+    /// first local reply, or the response if the request was answered elsewhere or failed.
     async fn submit_and_relay(
         &self,
         original: &OriginalRequest,
@@ -221,25 +221,25 @@
     }
 }
 
-/// A request to which there is a first reply.
+/// A call whose first reply has arrived.
 struct StartedCall {
-    /// The connection to the reducer.
+    /// The call at the reducer, for further replies.
     handle: CallHandle,
     /// The first reply.
     first: CallerReply,
 }
 
-/// Takes a chat.
+/// Handles a chat completion.
 async fn chat(State(callers): State<Callers>, request: Request) -> Response {
     generate(callers, Form::Chat, request).await
 }
 
-/// Takes a text to complete.
+/// Handles a text completion.
 async fn text(State(callers): State<Callers>, request: Request) -> Response {
     generate(callers, Form::Text, request).await
 }
 
-/// Takes a request for tokens.
+/// Handles a completion of either form.
 async fn generate(callers: Callers, form: Form, request: Request) -> Response {
     let read = async {
         let (original, headers) = callers.read(request).await?;
@@ -266,7 +266,7 @@
     }
 }
 
-/// Collects an answer and gives it whole.
+/// Collects all tokens and returns the complete answer.
 async fn complete_response(
     wanted: openai::Request,
     id: String,
@@ -293,7 +293,7 @@
     }
 }
 
-/// Gives an answer token by token, as server-sent events.
+/// Returns an answer token by token, as server-sent events.
 fn streamed_response(wanted: openai::Request, id: String, started: StartedCall) -> Response {
     let StartedCall { handle, first } = started;
     if let CallerReply::Problem(problem) = &first {
@@ -318,7 +318,7 @@
     response
 }
 
-/// Writes a reply as server-sent events; tells whether more may come.
+/// Formats a reply as server-sent events. Returns also whether more replies may follow.
 fn server_sent_event(wanted: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
     match reply {
         CallerReply::Token(token) => {
@@ -337,7 +337,7 @@
     }
 }
 
-/// Takes a call of a plain service.
+/// Handles a call of a plain service.
 async fn plain(State(callers): State<Callers>, request: Request) -> Response {
     let read = async {
         let (original, headers) = callers.read(request).await?;
@@ -369,7 +369,7 @@
     }
 }
 
-/// Makes the response of a plain service's answer.
+/// Returns the response for a plain service's answer.
 fn service_response(answer: Answer) -> Response {
     let mut response = Response::new(Body::from(Bytes::copy_from_slice(&answer.body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -382,7 +382,7 @@
     response
 }
 
-/// Makes an arrival of what the headers say.
+/// Creates an arrival from a request's headers.
 fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, RequestError> {
     let key = match text_header(headers, caller::KEY)? {
         Some(text) => Some(text.parse::<Key>().map_err(|error| {
@@ -408,7 +408,7 @@
     })
 }
 
-/// Reads a header that is a short text.
+/// Reads a header with a short text; none if the header is absent.
 fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     match value.to_str() {
@@ -421,7 +421,7 @@
     }
 }
 
-/// Reads a header that is `true` or `false`.
+/// Reads a header that is `true` or `false`; an absent one is false.
 fn bool_header(headers: &HeaderMap, name: &str) -> Result<bool, RequestError> {
     match text_header(headers, name)? {
         None | Some("false") => Ok(false),
@@ -433,7 +433,7 @@
     }
 }
 
-/// Lists the models.
+/// Returns the models and adapters of the site.
 async fn models(State(callers): State<Callers>) -> Result<Json<serde_json::Value>, Response> {
     let site = callers.query(Query::Site).await?;
     let names = site.services.iter().flat_map(|service| match &service.kind {
@@ -445,7 +445,7 @@
     Ok(Json(openai::models(names)))
 }
 
-/// Names the boxes for a caller.
+/// Returns the addresses of the boxes for a caller.
 async fn addresses(
     State(callers): State<Callers>,
     QueryString(mut query): QueryString<HashMap<String, String>>,
@@ -456,24 +456,24 @@
     callers.query(question).await.map(Json)
 }
 
-/// Gives the box's state.
+/// Returns the box's status.
 async fn status(
     State(callers): State<Callers>,
 ) -> Result<Json<hollyspoke::status::Status>, Response> {
     callers.query(Query::Status).await.map(Json)
 }
 
-/// Gives the site in force.
+/// Returns the site in force.
 async fn site(State(callers): State<Callers>) -> Result<Json<Site>, Response> {
     callers.query(Query::Site).await.map(Json)
 }
 
-/// Gives the metrics.
+/// Returns the metrics in Prometheus' text format.
 async fn metrics(State(callers): State<Callers>) -> Result<String, Response> {
     callers.query(Query::Metrics).await
 }
 
-/// Tells whether callers may be sent here.
+/// Returns whether the box is ready for callers.
 async fn ready(State(callers): State<Callers>) -> Result<&'static str, Response> {
     match callers.query(Query::Ready).await? {
         true => Ok("ready\n"),
--- a/crates/hollyspoke-daemon/src/connection.rs
+++ b/crates/hollyspoke-daemon/src/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accept, serve, answer what can't be read, and close at the planned stop.
+//! Callers' connections: accepts and serves them, and closes them at the planned stop.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -18,16 +18,16 @@
 
 use crate::problem::RequestError;
 
-/// How long a caller may take to send a request's head.
+/// The time limit for receiving a request's head.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest head of a request, in bytes.
+/// The largest size of a request's head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// The most headers of a request.
+/// The largest number of headers of a request.
 const MAX_HEADERS_COUNT: usize = 100;
 
-/// Accepts connections until told to stop.
+/// Accepts connections until the stop signal is set.
 pub async fn accept(listener: TcpListener, router: Router, mut stopping: watch::Receiver<bool>) {
     loop {
         let accepted = tokio::select! {
@@ -38,16 +38,16 @@
             Ok((socket, _)) => {
                 tokio::spawn(serve(socket, router.clone(), stopping.clone()));
             }
-            // Too many open files or a connection that broke at once: try again a little later.
+            // Too many open files, or the connection was reset: retries after a short delay.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
-/// Serves one connection.
+/// Serves one connection; the stop signal lets its current request finish.
 async fn serve(socket: TcpStream, router: Router, mut stopping: watch::Receiver<bool>) {
     if socket.set_nodelay(true).is_err() {
-        // The connection is gone already.
+        // The connection is closed already.
         return;
     }
     let service = service_fn(move |request: Request<Incoming>| {
@@ -72,14 +72,14 @@
     .await;
     let parts = connection.into_parts();
     let mut socket = parts.io.into_inner();
-    // A head that never came whole is answered too; an idle connection just ends.
+    // An incomplete head is answered with 408; an idle connection is closed without an answer.
     if served.is_err_and(|error| error.is_timeout()) && !parts.read_buf.is_empty() {
         let _ = socket.write_all(&head_timeout_response()).await;
     }
     let _ = socket.shutdown().await;
 }
 
-/// Answers one request through the routes.
+/// Answers one request with the router.
 async fn answer(router: Router, request: Request<Incoming>) -> axum::response::Response {
     match router.oneshot(request.map(Body::new)).await {
         Ok(response) => response,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes the answer to a head that did not come in time.
+/// Returns the raw response to a head that did not arrive in time.
 fn head_timeout_response() -> Vec<u8> {
     let error = RequestError {
         status: StatusCode::REQUEST_TIMEOUT,
--- a/crates/hollyspoke-daemon/src/input.rs
+++ b/crates/hollyspoke-daemon/src/input.rs
@@ -1,5 +1,5 @@
-//! What comes to the loop around the reducer, and the way in. The tasks of the daemon know this and
-//! not the loop itself.
+//! The input queue of the event loop. The daemon's tasks depend on this module and not on the
+//! loop itself.
 
 use hollyspoke::address;
 use hollyspoke::effect::CallerReply;
@@ -8,63 +8,63 @@
 use hollyspoke::status::Status;
 use tokio::sync::{mpsc, oneshot};
 
-/// What comes to the loop.
+/// An input of the event loop.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the reducer.
     Event(Event),
-    /// A caller's request, with the way back to the caller.
+    /// A caller's request, with the channel for its replies.
     Arrive {
-        /// The connection.
+        /// The number of the call.
         call: CallId,
         /// The request.
         arrival: Box<Arrival>,
-        /// Where its replies go.
+        /// The channel for the replies.
         replies: mpsc::UnboundedSender<CallerReply>,
     },
-    /// A question about the box's state.
+    /// A query of the box's state.
     Query(Query),
 }
 
-/// A question about the box's state, with the way back for its answer.
+/// A query of the box's state, with the channel for its answer.
 #[derive(Debug)]
 pub enum Query {
-    /// The state for operators.
+    /// The status for operators.
     Status(oneshot::Sender<Status>),
     /// The addresses for a caller.
     Addresses {
         /// The caller's name.
         caller: String,
-        /// The caller's data centre, where it said one.
+        /// The caller's data centre, if the request names one.
         data_centre: Option<String>,
-        /// Where the answer goes.
+        /// The channel for the answer.
         answer: oneshot::Sender<address::Answer>,
     },
     /// The site in force.
     Site(oneshot::Sender<Site>),
-    /// Whether callers may be sent here.
+    /// Whether the box is ready for callers.
     Ready(oneshot::Sender<bool>),
-    /// The metrics as text.
+    /// The metrics in Prometheus' text format.
     Metrics(oneshot::Sender<String>),
 }
 
-/// The way into the loop.
+/// The sender of the event loop's input queue.
 #[derive(Debug, Clone)]
 pub struct InputSender(mpsc::UnboundedSender<Input>);
 
 impl InputSender {
-    /// Makes the way in and its other end.
+    /// Creates the queue.
     pub fn new() -> (InputSender, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (InputSender(sender), receiver)
     }
 
-    /// Puts something in. Nothing happens when the loop has ended.
+    /// Queues an input. Does nothing when the loop has ended.
     pub fn send(&self, input: Input) {
         let _ = self.0.send(input);
     }
 
-    /// Puts an event in.
+    /// Queues an event for the reducer.
     pub fn send_event(&self, event: Event) {
         self.send(Input::Event(event));
     }
--- a/crates/hollyspoke-daemon/src/lib.rs
+++ b/crates/hollyspoke-daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The daemon of every box: a shell around the reducer, which turns sockets, timers and store
-//! answers into events, and effects into calls. Nothing here decides.
+//! The daemon of every box: runs the reducer, and turns sockets, timers and store answers into
+//! events, and effects into calls. All decisions are made by the reducer.
 
 pub mod callers;
 pub mod connection;
--- a/crates/hollyspoke-daemon/src/main.rs
+++ b/crates/hollyspoke-daemon/src/main.rs
@@ -10,10 +10,10 @@
 use slog::info;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for a setting that is wrong.
+/// The exit code for an invalid setting.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Reads the settings, runs the box, and sees it through its planned stop.
+/// Reads the settings and runs the box until its planned stop, which a signal starts.
 #[tokio::main]
 async fn main() -> eyre::Result<ExitCode> {
     let mut arguments = Arguments::from_env();
--- a/crates/hollyspoke-daemon/src/metrics.rs
+++ b/crates/hollyspoke-daemon/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics by `opentelemetry`, read by Prometheus: histograms for each service, tenant and class,
-//! and counters for goodput, waste and outcomes.
+//! OpenTelemetry metrics in Prometheus' format: histograms by service, tenant and class, and
+//! counters of goodput, wasted tokens and outcomes.
 
 use std::collections::BTreeSet;
 
@@ -9,49 +9,49 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
-/// The bounds of histograms of seconds.
+/// The bucket boundaries of the histograms.
 const BUCKETS_S: [f64; 14] =
     [0.005, 0.01, 0.02, 0.035, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0];
 
-/// The highest class with a label of its own.
+/// The highest class with its own label; higher classes share it.
 const MAX_LABELLED_CLASS: u8 = 3;
 
-/// The label of tenants that the site's file does not name, so that labels stay few.
+/// The label of tenants that the site does not name, which bounds the number of labels.
 const OTHER_TENANT: &str = "other";
 
 /// A daemon's metrics.
 #[derive(Debug)]
 pub struct Metrics {
-    /// What Prometheus reads.
+    /// The exporter that Prometheus scrapes.
     exporter: Exporter,
-    /// From arrival to the first token.
+    /// The time from arrival to the first token.
     first_token: Histogram<f64>,
     /// The mean time between tokens.
     between_tokens: Histogram<f64>,
-    /// From arrival to grant.
+    /// The time from arrival to grant.
     queued: Histogram<f64>,
-    /// From grant to prefill result.
+    /// The time from grant to prefill result.
     prefill: Histogram<f64>,
-    /// From prefill result to import.
+    /// The time from prefill result to import.
     transfer: Histogram<f64>,
-    /// From arrival to end.
+    /// The time from arrival to end.
     total: Histogram<f64>,
     /// Requests by outcome.
     requests: Counter<u64>,
-    /// Requests that met both targets.
+    /// Requests that met both latency targets.
     good: Counter<u64>,
     /// Tokens generated.
     tokens: Counter<u64>,
-    /// Prompt tokens computed whose result was thrown away.
+    /// Prefilled prompt tokens whose result was discarded.
     wasted: Counter<u64>,
     /// Attempts beyond the first.
     retries: Counter<u64>,
-    /// The tenants with a label of their own.
+    /// The tenants with their own label.
     tenants: BTreeSet<String>,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates the instruments and their exporter.
     ///
     /// # Errors
     ///
@@ -77,12 +77,12 @@
         })
     }
 
-    /// Takes the tenants that get labels from a site.
+    /// Sets the tenants that have their own label to those of a site.
     pub fn configure(&mut self, site: &Site) {
         self.tenants = site.tenants.iter().map(|it| it.name.clone()).collect();
     }
 
-    /// Counts one request.
+    /// Records one finished request.
     pub fn record(&self, record: &Record) {
         let tenant =
             if self.tenants.contains(&record.tenant) { &record.tenant } else { OTHER_TENANT };
@@ -113,7 +113,7 @@
         self.requests.add(1, &[service, tenant, class, outcome]);
     }
 
-    /// Writes all metrics in Prometheus' text form.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> String {
         self.exporter.prometheus_text()
     }
--- a/crates/hollyspoke-daemon/src/openai.rs
+++ b/crates/hollyspoke-daemon/src/openai.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-style interface: what callers' existing clients send, and what they get.
+//! The OpenAI-compatible interface: parses requests and formats answers.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 
 use crate::problem::RequestError;
 
-/// The tokens generated when a request does not say how many.
+/// The default of `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The most tokens that a request may ask for.
+/// The largest `max_tokens` of a request.
 const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
-/// About how many bytes a token has.
+/// The approximate number of bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The most leading blocks of a prompt that are digested.
+/// The largest number of a prompt's leading blocks that are digested.
 const MAX_DIGESTED_BLOCKS_COUNT: usize = 32;
 
-/// Which of the two calls a request is.
+/// The kind of completion, by path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
     /// `/v1/chat/completions`.
@@ -31,18 +31,18 @@
     Text,
 }
 
-/// A request, read.
+/// A parsed request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// What is asked for.
+    /// The work for the reducer.
     pub work: Generate,
-    /// Whether the answer is to come token by token.
+    /// Whether the answer is streamed token by token.
     pub stream: bool,
-    /// The form.
+    /// The kind of completion, which decides the format of the answer.
     pub form: Form,
 }
 
-/// The fields of both forms that count here; others are passed over.
+/// The fields of both forms that the router reads; others are ignored.
 #[derive(Debug, Deserialize)]
 struct Body {
     /// The model.
@@ -53,13 +53,13 @@
     /// The prompt of a text.
     #[serde(default)]
     prompt: Option<Prompt>,
-    /// The most tokens.
+    /// The largest number of tokens to generate.
     #[serde(default)]
     max_tokens: Option<u32>,
-    /// The most tokens, by its newer name.
+    /// The newer name of `max_tokens`, which takes precedence.
     #[serde(default)]
     max_completion_tokens: Option<u32>,
-    /// Whether the answer is to come token by token.
+    /// Whether the answer is streamed token by token.
     #[serde(default)]
     stream: bool,
 }
@@ -67,45 +67,45 @@
 /// One message of a chat.
 #[derive(Debug, Deserialize)]
 struct Message {
-    /// Who speaks.
+    /// The role of the author.
     role: String,
-    /// What is said.
+    /// The content of the message.
     content: Content,
 }
 
-/// What is said, in one of its two shapes.
+/// The content of a message, in one of its two formats.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Content {
     /// One text.
     Text(String),
-    /// Several parts.
+    /// Several parts, which are concatenated.
     Parts(Vec<Part>),
 }
 
 /// A part of a message.
 #[derive(Debug, Deserialize)]
 struct Part {
-    /// The text, in parts that are text.
+    /// The text; empty in parts of another type.
     #[serde(default)]
     text: String,
 }
 
-/// A prompt, in one of its two shapes.
+/// A prompt, in one of its two formats.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Prompt {
     /// One text.
     One(String),
-    /// Several texts, taken as one.
+    /// Several texts, which are concatenated.
     Many(Vec<String>),
 }
 
-/// Reads a request's body.
+/// Parses a request's body.
 ///
 /// # Errors
 ///
-/// When it is not the JSON that the form asks for.
+/// When it is not the JSON that the form requires, or `max_tokens` is out of range.
 pub fn read(form: Form, body: &[u8]) -> Result<Request, RequestError> {
     let body: Body = serde_json::from_slice(body).map_err(|error| {
         RequestError::malformed(format!("the body is not the JSON expected: {error}"))
@@ -130,7 +130,7 @@
     Ok(Request { work, stream: body.stream, form })
 }
 
-/// Makes one text of a chat.
+/// Returns the prompt of a chat: a line with role and content for each message.
 fn chat_prompt(messages: Option<Vec<Message>>) -> Result<String, RequestError> {
     let messages = messages.filter(|it| !it.is_empty());
     let Some(messages) = messages else {
@@ -149,7 +149,7 @@
     Ok(prompt)
 }
 
-/// Makes one text of a prompt.
+/// Returns the prompt of a text completion.
 fn text_prompt(prompt: Option<Prompt>) -> Result<String, RequestError> {
     match prompt {
         Some(Prompt::One(text)) => Ok(text),
@@ -158,7 +158,7 @@
     }
 }
 
-/// Digests a prompt's leading blocks, each together with all before it.
+/// Returns the digests of a prompt's leading blocks. Each covers the prompt up to its block's end.
 fn prefix(prompt: &str) -> Vec<u64> {
     let block = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
     let mut digest = 0;
@@ -173,26 +173,26 @@
         .collect()
 }
 
-/// Counts of an answer.
+/// The token counts of an answer.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Usage {
     /// The prompt's length, in tokens.
     pub prompt_tokens: u32,
     /// The answer's length, in tokens.
     pub completion_tokens: u32,
-    /// Both together.
+    /// The sum of both, in tokens.
     pub total_tokens: u32,
 }
 
 impl Usage {
-    /// Makes the counts.
+    /// Creates the counts and their sum.
     pub fn new(prompt_tokens: u32, completion_tokens: u32) -> Usage {
         let total_tokens = prompt_tokens + completion_tokens;
         Usage { prompt_tokens, completion_tokens, total_tokens }
     }
 }
 
-/// Makes a whole answer.
+/// Returns the body of a complete answer.
 pub fn completion(request: &Request, id: &str, text: &str, reason: &str, usage: Usage) -> Value {
     let (object, choice) = match request.form {
         Form::Chat => {
@@ -207,7 +207,7 @@
     json!({ "id": id, "object": object, "model": model, "choices": [choice], "usage": usage })
 }
 
-/// Makes one chunk of a streamed answer; the last one has the reason and no text.
+/// Returns one chunk of a streamed answer; the last one has the reason and no text.
 pub fn chunk(request: &Request, id: &str, text: &str, reason: Option<&str>) -> Value {
     let (object, choice) = match request.form {
         Form::Chat => {
@@ -222,7 +222,7 @@
     json!({ "id": id, "object": object, "model": request.work.model, "choices": [choice] })
 }
 
-/// Makes the list of models.
+/// Returns the body of the list of models.
 pub fn models<'a>(names: impl Iterator<Item = &'a str>) -> Value {
     let data: Vec<Value> =
         names.map(|it| json!({ "id": it, "object": "model", "owned_by": "hollyspoke" })).collect();
--- a/crates/hollyspoke-daemon/src/peers.rs
+++ b/crates/hollyspoke-daemon/src/peers.rs
@@ -11,49 +11,49 @@
 
 use crate::input::InputSender;
 
-/// The messages to one box that may wait; more are dropped, as the reducer expects.
+/// The queue length of one box. Further messages are dropped, which the reducer allows for.
 const MAX_QUEUED_COUNT: usize = 1024;
 
-/// The most messages in one call.
+/// The largest number of queued items that one call delivers.
 const MAX_BATCH_COUNT: usize = 64;
 
-/// What waits for one box.
+/// An item in the queue of one box.
 #[derive(Debug)]
 enum Outgoing {
-    /// A message.
+    /// A message to one incarnation of the box.
     Message(Incarnation, Message),
-    /// A greeting.
+    /// A greeting with this box's member entry.
     Greeting(Entry),
 }
 
 /// All connections to other boxes.
 #[derive(Debug)]
 pub struct Peers {
-    /// This box.
+    /// The incarnation of this box, the sender of all messages.
     own_incarnation: Incarnation,
-    /// Where answers go.
+    /// The event queue of the reducer, for answers and failures.
     inputs: InputSender,
-    /// The queue of each address.
+    /// The queue of each address. It closes when its delivery task ends.
     queues: HashMap<String, mpsc::Sender<Outgoing>>,
 }
 
 impl Peers {
-    /// Makes it without connections.
+    /// Creates the set without connections.
     pub fn new(own_incarnation: Incarnation, inputs: InputSender) -> Peers {
         Peers { own_incarnation, inputs, queues: HashMap::new() }
     }
 
-    /// Sends a message; it is dropped when too many wait.
+    /// Queues a message, or drops it when the queue is full.
     pub fn send(&mut self, to: Incarnation, address: String, message: Message) {
         self.enqueue(address, Outgoing::Message(to, message));
     }
 
-    /// Greets the box at an address.
+    /// Queues a greeting to the box at an address.
     pub fn greet(&mut self, address: String, entry: Entry) {
         self.enqueue(address, Outgoing::Greeting(entry));
     }
 
-    /// Puts something into an address's queue.
+    /// Queues an item and starts the delivery task of an address that has none.
     fn enqueue(&mut self, address: String, outgoing: Outgoing) {
         self.queues.retain(|_, queue| !queue.is_closed());
         let (own_incarnation, inputs) = (self.own_incarnation, self.inputs.clone());
@@ -62,12 +62,12 @@
             tokio::spawn(deliver_queue(own_incarnation, inputs, address.clone(), receiver));
             queue
         });
-        // A full queue drops the message: the other box does not keep up or is gone.
+        // A full queue drops the item: the other box is too slow or unreachable.
         let _ = queue.try_send(outgoing);
     }
 }
 
-/// Delivers what waits for one address. What waits when the box can't be reached is dropped.
+/// Delivers the queue of one address. Drops all queued items when the box is unreachable.
 async fn deliver_queue(
     own_incarnation: Incarnation,
     inputs: InputSender,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Tells the reducer that the boxes for which a batch was meant can't be reached.
+/// Reports the receivers of a batch as unreachable to the reducer.
 fn report_unreachable(inputs: &InputSender, batch: &[Outgoing]) {
     let mut last = None;
     for outgoing in batch {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Delivers a batch; false when the connection has failed.
+/// Delivers a batch. Returns false when the connection has failed.
 async fn deliver(
     own_incarnation: Incarnation,
     inputs: &InputSender,
@@ -131,7 +131,7 @@
     for (to, group) in messages {
         match connection.deliver(own_incarnation, to, group).await {
             Ok(true) => {}
-            // Another incarnation has dropped them: the one they were meant for is gone.
+            // Another incarnation runs at the address and has dropped the messages.
             Ok(false) => inputs.send_event(Event::Unreachable(to)),
             Err(_) => return false,
         }
--- a/crates/hollyspoke-daemon/src/problem.rs
+++ b/crates/hollyspoke-daemon/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problems as callers get them: `application/problem+json` with a stable type.
+//! Problems in the format for callers: `application/problem+json` with a stable type.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 use hollyspoke::outcome::{self, ProblemKind, Refusal};
 use hollyspoke_wire::caller;
 
-/// A request that could not be read.
+/// A request that could not be read or parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestError {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The last part of the stable type.
+    /// The last part of the problem's type URN.
     pub slug: &'static str,
-    /// What is wrong.
+    /// The description of the error.
     pub detail: String,
 }
 
 impl RequestError {
-    /// Makes a problem of the status 400.
+    /// Creates an error with status 400.
     pub fn malformed(detail: impl Into<String>) -> RequestError {
         RequestError { status: StatusCode::BAD_REQUEST, slug: "malformed", detail: detail.into() }
     }
 
-    /// Gives the problem as it is sent.
+    /// Returns the problem in the wire format.
     pub fn wire(&self) -> caller::Problem {
         caller::Problem {
             kind: format!("{}{}", caller::PROBLEM_BASE, self.slug),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Gives a reducer's problem as it is sent.
+/// Returns a problem of the reducer in the wire format.
 pub fn wire(problem: &outcome::Problem) -> caller::Problem {
     let (status, title, ran) = match &problem.kind {
         ProblemKind::NotRun(_, refusal) => {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Gives a refusal's status and words.
+/// Returns the HTTP status and the title of a refusal.
 fn status_and_title(refusal: Refusal) -> (StatusCode, &'static str) {
     match refusal {
         Refusal::TooLate => (StatusCode::SERVICE_UNAVAILABLE, "the answer would come too late"),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Makes the response of a problem.
+/// Returns the HTTP response for a problem; `Retry-After` is rounded up to whole seconds.
 pub fn response(problem: &caller::Problem) -> Response<Body> {
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(Body::from(body));
--- a/crates/hollyspoke-daemon/src/run.rs
+++ b/crates/hollyspoke-daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts one box and sees it through to its planned stop.
+//! Starts one box and runs it until its planned stop is complete.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,21 +25,21 @@
 use crate::shell::{self, Shell};
 use crate::store::{self, SiteObject};
 
-/// How long connections get to close once the planned stop is complete.
+/// The time that connections have to close once the planned stop is complete.
 const CLOSE_GRACE: Duration = Duration::from_millis(500);
 
-/// A box that runs.
+/// A running box; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct Running {
-    /// The address for callers.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// The address for other boxes.
+    /// The address that other boxes connect to.
     pub peers: SocketAddr,
-    /// The way to the reducer.
+    /// The event queue of the reducer.
     inputs: InputSender,
-    /// The reducer's loop.
+    /// The task of the event loop.
     shell: JoinHandle<()>,
-    /// Tells connections to close.
+    /// The stop signal for connections.
     stopping: watch::Sender<bool>,
     /// The tasks that end with the box.
     tasks: Vec<JoinHandle<()>>,
@@ -53,7 +53,7 @@
 
     /// Waits until the planned stop is complete.
     pub async fn wait(mut self) {
-        // A loop that panicked is over too; the process then ends.
+        // A loop that panicked has ended as well, and the process exits.
         let _ = (&mut self.shell).await;
         self.stopping.send_replace(true);
         tokio::time::sleep(CLOSE_GRACE).await;
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// When a socket can't be had.
+/// When an address can't be listened on or the metrics can't be set up.
 pub async fn start(settings: Settings, log: Logger) -> eyre::Result<Running> {
     let callers = listen(settings.listen, "callers").await?;
     let peers = listen(settings.listen_peers, "other boxes").await?;
@@ -115,8 +115,8 @@
     let inbox = Inbox::new(entry_receiver, received_sender);
     let tasks = vec![
         tokio::spawn(async move {
-            // The listener ends with the box; without it no other box reaches this one, which
-            // the members' view shows.
+            // The task ends with the box. If it fails earlier, other boxes can't reach this one,
+            // which their member lists show.
             let _ = inbox.serve(peers).await;
         }),
         tokio::spawn(shell::forward_received(received, inputs.clone())),
@@ -127,7 +127,7 @@
     Ok(Running { callers: callers_address, peers: peers_address, inputs, shell, stopping, tasks })
 }
 
-/// Listens on an address.
+/// Listens on an address; an error names the clients that it is for.
 async fn listen(address: SocketAddr, clients: &str) -> eyre::Result<TcpListener> {
     let listening = TcpListener::bind(address).await;
     listening.wrap_err_with(|| format!("can't listen for {clients} on {address}"))
--- a/crates/hollyspoke-daemon/src/settings.rs
+++ b/crates/hollyspoke-daemon/src/settings.rs
@@ -1,11 +1,11 @@
-//! A daemon's settings, from flags and environment variables, checked all together.
+//! The daemon's settings, from flags and environment variables. All errors are reported together.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use pico_args::Arguments;
 
-/// The help text.
+/// The text that `--help` prints.
 pub const HELP: &str = "\
 hollyspoked: the daemon of every box
 
@@ -41,36 +41,36 @@
 pub struct Settings {
     /// The box's name.
     pub name: String,
-    /// The data centre it stands in.
+    /// The data centre that the box is in.
     pub data_centre: String,
-    /// The site it serves.
+    /// The name of the site that the box serves.
     pub site: String,
-    /// The platform's address.
+    /// The address of the platform's object interface.
     pub platform: SocketAddr,
-    /// Where callers connect.
+    /// The address to listen on for callers.
     pub listen: SocketAddr,
-    /// Where other boxes connect.
+    /// The address to listen on for other boxes.
     pub listen_peers: SocketAddr,
-    /// What callers are told, where it differs.
+    /// The address announced to callers, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// What other boxes are told, where it differs.
+    /// The address announced to other boxes, if it differs from `listen_peers`.
     pub advertise_peers: Option<SocketAddr>,
-    /// Other boxes to greet.
+    /// The addresses of other boxes to greet at the start.
     pub seeds: Vec<SocketAddr>,
     /// The largest request body, in bytes.
     pub body_limit: usize,
-    /// The form of the log.
+    /// The format of the log.
     pub log: LogForm,
 }
 
 pub use hollyspoke_log::Format as LogForm;
 
-/// One setting that is wrong.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The flag.
+    /// The flag of the setting.
     pub flag: String,
-    /// What is wrong.
+    /// The description of the error.
     pub message: String,
 }
 
@@ -80,13 +80,13 @@
     }
 }
 
-/// What is read, with the findings so far.
+/// Reads settings and collects findings.
 struct Reader<'a> {
-    /// The command line.
+    /// The arguments that have not been read yet.
     arguments: Arguments,
-    /// The environment.
+    /// Returns an environment variable.
     variable: &'a dyn Fn(&str) -> Option<String>,
-    /// The findings.
+    /// The findings so far.
     findings: Vec<Finding>,
 }
 
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// Every setting that is wrong.
+    /// Returns a finding for each invalid setting.
     pub fn read(
         arguments: Arguments,
         variable: &dyn Fn(&str) -> Option<String>,
@@ -137,7 +137,7 @@
 }
 
 impl Reader<'_> {
-    /// Reads a setting that may be left out.
+    /// Reads an optional setting; the flag takes precedence over the variable.
     fn optional(&mut self, flag: &'static str) -> Option<String> {
         match self.arguments.opt_value_from_str::<_, String>(flag) {
             Ok(Some(value)) => Some(value),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Reads a setting that must be there.
+    /// Reads a required setting.
     fn required(&mut self, flag: &'static str) -> Option<String> {
         let value = self.optional(flag);
         if value.is_none() {
@@ -159,13 +159,13 @@
         value
     }
 
-    /// Reads an address, or takes a default.
+    /// Reads an address, or returns a default.
     fn address_or(&mut self, flag: &'static str, default: SocketAddr) -> SocketAddr {
         let Some(value) = self.optional(flag) else { return default };
         self.address(flag, &value).unwrap_or(default)
     }
 
-    /// Takes a text as an address.
+    /// Parses an address.
     fn address(&mut self, flag: &str, value: &str) -> Option<SocketAddr> {
         let address = value.parse().ok();
         if address.is_none() {
@@ -175,7 +175,7 @@
         address
     }
 
-    /// Reads an address to tell others; it is needed where one listens on all addresses.
+    /// Reads an address to announce, which is required when the box listens on all addresses.
     fn advertised(&mut self, flag: &'static str, listen: SocketAddr) -> Option<SocketAddr> {
         let value = self.optional(flag);
         if value.is_none() && listen.ip().is_unspecified() {
@@ -185,14 +185,14 @@
         self.address(flag, &value?)
     }
 
-    /// Reads the seeds.
+    /// Reads the comma-separated addresses of seeds.
     fn seeds(&mut self) -> Vec<SocketAddr> {
         let Some(value) = self.optional("--seeds") else { return Vec::new() };
         let parts = value.split(',').map(str::trim).filter(|it| !it.is_empty());
         parts.filter_map(|it| self.address("--seeds", it)).collect()
     }
 
-    /// Reads the largest body.
+    /// Reads the largest size of a body, in bytes.
     fn body_limit(&mut self) -> usize {
         let Some(value) = self.optional("--body-limit") else { return DEFAULT_BODY_LIMIT_BYTES };
         match value.parse() {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Reads the form of the log.
+    /// Reads the format of the log.
     fn log(&mut self) -> LogForm {
         match self.optional("--log").as_deref() {
             None | Some("json") => LogForm::Json,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Ends the reading: what is left on the command line is not known.
+    /// Returns all findings, with one for each unknown argument that remains.
     fn finish(mut self) -> Vec<Finding> {
         let unknown = std::mem::replace(&mut self.arguments, Arguments::from_vec(Vec::new()));
         for argument in unknown.finish() {
@@ -228,13 +228,13 @@
         self.findings
     }
 
-    /// Adds a finding.
+    /// Adds a finding on a flag.
     fn add_finding(&mut self, flag: &str, message: String) {
         self.findings.push(Finding { flag: flag.to_owned(), message });
     }
 }
 
-/// Gives the environment variable of a flag.
+/// Returns the name of a flag's environment variable.
 fn variable_name(flag: &str) -> String {
     let name = flag.trim_start_matches('-').replace('-', "_").to_uppercase();
     format!("HOLLYSPOKE_{name}")
--- a/crates/hollyspoke-daemon/src/shell.rs
+++ b/crates/hollyspoke-daemon/src/shell.rs
@@ -1,4 +1,4 @@
-//! The loop around the reducer: one task that feeds it events and carries out its effects.
+//! The event loop of the reducer: one task that feeds it events and executes its effects.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,42 +23,42 @@
 use crate::store::SiteObject;
 use crate::upstream::{self, PlainCall};
 
-/// How often the reducer is told that time has passed.
+/// The interval between the reducer's tick events.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the loop holds.
+/// The state of the event loop.
 #[derive(Debug)]
 pub struct Shell {
     /// The reducer.
     node: Node,
-    /// Its clock.
+    /// The clock that gives the reducer its time.
     clock: Clock,
-    /// The way in, for tasks.
+    /// The sender of the loop's input queue, for tasks.
     inputs: InputSender,
-    /// The client for engines and services.
+    /// The HTTP client for engines and plain services.
     client: Client,
     /// The connections to other boxes.
     peers: Peers,
     /// The site's object in the store.
     site: SiteObject,
-    /// This box's entry, for greetings.
+    /// Publishes this box's member entry, which answers greetings.
     entry: watch::Sender<Entry>,
-    /// The callers' connections.
+    /// The reply channel of each open call.
     callers: HashMap<CallId, mpsc::UnboundedSender<CallerReply>>,
-    /// The tasks of attempts under way.
+    /// The task of each running attempt.
     attempts: HashMap<Ticket, AbortHandle>,
-    /// The task that holds the watch.
+    /// The task that watches the site, while the reducer wants one.
     watch: Option<JoinHandle<()>>,
     /// The metrics.
     metrics: Metrics,
-    /// The version for which the metrics have their labels.
+    /// The site version from which the metrics took their labels.
     labelled_version: u64,
     /// The log.
     log: Logger,
 }
 
 impl Shell {
-    /// Makes the loop's state.
+    /// Creates the loop's state.
     pub fn new(
         node: Node,
         inputs: InputSender,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes an input; tells whether the box may exit.
+    /// Handles an input. Returns whether the box may exit.
     fn handle_input(&mut self, input: Input) -> bool {
         match input {
             Input::Event(event) => self.step(event),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Feeds the reducer one event; tells whether the box may exit.
+    /// Feeds the reducer one event and executes the effects. Returns whether the box may exit.
     fn step(&mut self, event: Event) -> bool {
         if let Event::Gone(call) = event {
             self.callers.remove(&call);
@@ -128,7 +128,8 @@
         {
             self.attempts.remove(ticket);
         }
-        // The reducer takes a gap for a pause, after which what it held may be another box's.
+        // The reducer treats a gap in time as a pause, after which another box may own what this
+        // box held.
         if let Some(span) = self.clock.take_suspension() {
             self.clock.add_suspension(span);
         }
@@ -148,7 +149,7 @@
         exit
     }
 
-    /// Carries out one effect; tells whether the box may exit.
+    /// Executes one effect. Returns whether the box may exit.
     fn execute(&mut self, effect: Effect) -> bool {
         let client = self.client.clone();
         let inputs = self.inputs.clone();
@@ -215,24 +216,24 @@
         false
     }
 
-    /// Begins a task of an attempt, in place of the one before.
+    /// Starts a task of an attempt and forgets the attempt's previous task.
     fn start_attempt(&mut self, ticket: Ticket, task: impl Future<Output = ()> + Send + 'static) {
         let task = tokio::spawn(task);
         self.attempts.insert(ticket, task.abort_handle());
     }
 
-    /// Ends the task of an attempt, which closes its connection.
+    /// Aborts the task of an attempt, which closes its connection.
     fn abort_attempt(&mut self, ticket: Ticket) {
         if let Some(task) = self.attempts.remove(&ticket) {
             task.abort();
         }
     }
 
-    /// Passes a reply to its caller.
+    /// Sends a reply to its caller and ends the call unless it was a token.
     fn reply(&mut self, call: CallId, reply: CallerReply) {
         let more = matches!(reply, CallerReply::Token(_));
         if let Some(replies) = self.callers.get(&call) {
-            // A caller that is gone says so by itself.
+            // A caller that has disconnected reports it with its own event.
             let _ = replies.send(reply);
         }
         if !more {
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Writes a request's record to the log and the metrics.
+    /// Writes the record of a finished request to the log and the metrics.
     fn record(&mut self, record: &Record) {
         let current = self.node.site();
         if self.labelled_version != current.version {
@@ -268,7 +269,7 @@
         );
     }
 
-    /// Answers a question. A questioner that is gone needs no answer.
+    /// Answers a query. The answer is dropped if the receiver has gone.
     fn answer_query(&mut self, query: Query) {
         match query {
             Query::Status(answer) => drop(answer.send(self.node.status())),
@@ -282,7 +283,7 @@
     }
 }
 
-/// Passes what other boxes send on to the loop, until either end is gone.
+/// Forwards greetings and messages of other boxes to the event loop until the channel closes.
 pub async fn forward_received(
     mut received: mpsc::UnboundedReceiver<Received>,
     inputs: InputSender,
--- a/crates/hollyspoke-daemon/src/store.rs
+++ b/crates/hollyspoke-daemon/src/store.rs
@@ -1,4 +1,4 @@
-//! The daemon's standing calls to the platform: the watch on the site, and the list of boxes.
+//! The daemon's continuous calls to the platform: the watch on the site and the list of boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 
 use crate::input::InputSender;
 
-/// How long to wait after a failed watch, at least.
+/// The shortest delay after a failed watch, and the shortest time between the starts of watches
+/// that return no new version.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How much longer at most, by chance, so that boxes don't come back together.
+/// The largest random addition to an interval, so that boxes don't retry at the same time.
 const MAX_JITTER_MS: u64 = 400;
 
-/// How often the list of boxes is read.
+/// The shortest interval between two reads of the list of boxes.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The site that a daemon serves, in the platform's store.
+/// The object of the daemon's site in the platform's store.
 #[derive(Debug, Clone)]
 pub struct SiteObject {
-    /// The platform.
+    /// The client of the platform's store.
     pub platform: Platform,
     /// The site's name.
     pub site: String,
-    /// Where events go.
+    /// The event queue of the reducer.
     pub inputs: InputSender,
     /// The log.
     pub log: Logger,
 }
 
 impl SiteObject {
-    /// Reads the site once.
+    /// Reads the site once and reports it to the reducer.
     pub async fn fetch(self) {
         let answer = self.platform.get(SITE_KIND, &self.site).await;
         self.handle_answer(answer, &mut 0);
     }
 
-    /// Holds the watch until the task is dropped.
+    /// Watches the site until the task is aborted.
     pub async fn watch(self) {
         let mut after = 0;
         loop {
@@ -49,21 +50,21 @@
             let answer = self.platform.watch(SITE_KIND, &self.site, after).await;
             let is_new_version = matches!(&answer, Ok(Some(object)) if object.version > after);
             if !self.handle_answer(answer, &mut after) {
-                // The next watch answers at once with what is there, which shows that the
-                // platform is back without waiting for a change.
+                // From version 0 the next watch returns the current object immediately, which
+                // shows that the platform is reachable again without waiting for a change.
                 after = 0;
                 let jitter = rand::rng().random_range(0..MAX_JITTER_MS);
                 tokio::time::sleep(MIN_RETRY_INTERVAL + Duration::from_millis(jitter)).await;
             }
-            // A platform that answers at once without news is not asked without end. After news
-            // the watch is held again at once: the store may go away right after a write.
+            // Prevents a busy loop when the platform answers immediately without a new version.
+            // A new version is followed by a watch without delay: the store may fail after a write.
             if !is_new_version {
                 tokio::time::sleep_until(started_at + MIN_RETRY_INTERVAL).await;
             }
         }
     }
 
-    /// Takes an answer; false when the platform did not give one.
+    /// Reports an answer to the reducer. Returns false when the call failed.
     fn handle_answer(&self, answer: Result<Option<Object>, CallError>, after: &mut u64) -> bool {
         let object = match answer {
             Ok(object) => object,
@@ -79,7 +80,7 @@
         match object.site() {
             Ok(versioned) => self.inputs.send_event(Event::Site(Arc::new(versioned))),
             Err(error) => {
-                // Only `hollyspoke apply` writes sites, and it checks them first.
+                // Only `hollyspoke apply` writes sites, and it validates them first.
                 let error = format!("{error:?}");
                 warn!(self.log, "a site in the store can't be read"; "error" => error);
             }
@@ -88,7 +89,7 @@
     }
 }
 
-/// Reads the list of boxes now and then, until the task is dropped.
+/// Reads the list of boxes periodically until the task is aborted.
 pub async fn poll_boxes(platform: Platform, inputs: InputSender) {
     loop {
         if let Ok(listed) = platform.boxes().await {
--- a/crates/hollyspoke-daemon/src/upstream.rs
+++ b/crates/hollyspoke-daemon/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The calls to engines and plain services that the reducer asks for.
+//! The calls to engines and plain services that the reducer requests.
 
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
 
 use crate::input::{Input, InputSender};
 
-/// How long a cancel may take.
+/// The time limit of one attempt to cancel a stream.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often a cancel is tried; the shard's owner sweeps up what is left.
+/// The largest number of cancel attempts; the shard's owner cancels streams that remain.
 const MAX_CANCEL_ATTEMPTS: u32 = 3;
 
-/// How long a report may take.
+/// The time limit of reading an engine's report.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Headers of one connection alone, which are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -42,12 +42,12 @@
     "content-length",
 ];
 
-/// Tells whether a header is passed on.
+/// Returns whether a header is forwarded.
 pub fn is_end_to_end(name: &str) -> bool {
     !CONNECTION_HEADERS.contains(&name) && name != "host"
 }
 
-/// Has an engine compute a prompt.
+/// Prefills a prompt at an engine.
 pub async fn prefill(
     client: Client,
     inputs: InputSender,
@@ -71,7 +71,7 @@
     inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Has a decode engine fetch a prefill result.
+/// Makes a decode engine fetch a prefill result.
 pub async fn import(
     client: Client,
     inputs: InputSender,
@@ -87,7 +87,7 @@
     inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Has an engine generate, and passes on each token.
+/// Decodes at an engine and forwards each token to the reducer.
 pub async fn decode(
     client: Client,
     inputs: InputSender,
@@ -118,7 +118,7 @@
     inputs.send_event(Event::Upstream { ticket, reply: failure_reply(&error) });
 }
 
-/// Has an engine free what it holds for an attempt.
+/// Frees an engine's memory of an attempt, with retries.
 pub async fn cancel(client: Client, ticket: Ticket, address: String) {
     let url = format!("http://{address}/v1/cancel");
     let body = Cancel { stream: ticket.to_string() };
@@ -131,7 +131,7 @@
     }
 }
 
-/// Gives an engine an order. Whether it was carried out shows in the engine's next report.
+/// Sends an engine an order. The engine's next report shows whether the order was executed.
 pub async fn order(client: Client, log: Logger, address: String, token: u64, order: Order) {
     let url = format!("http://{address}/v1/orders");
     let body = FencedOrder { token, role: order.role, load: order.load };
@@ -143,7 +143,7 @@
     }
 }
 
-/// Asks an engine for its report.
+/// Reads an engine's report; none if it fails or takes too long.
 pub async fn poll(client: &Client, address: &str) -> Option<Report> {
     let url = format!("http://{address}/v1/report");
     let call = client.get::<Load>(&url);
@@ -154,21 +154,21 @@
 /// One call of a plain service.
 #[derive(Debug)]
 pub struct PlainCall {
-    /// The attempt.
+    /// The ticket of the attempt.
     pub ticket: Ticket,
-    /// The request's key.
+    /// The key of the request, which is sent along in a header.
     pub key: Key,
     /// The upstream's address.
     pub address: String,
-    /// The call.
+    /// The method, path, headers and body to send.
     pub call: Call,
-    /// How long it may take.
+    /// The time limit of the call.
     pub timeout: Duration,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once; otherwise it uses a new connection.
     pub repeatable: bool,
 }
 
-/// Calls a plain service.
+/// Calls a plain service and reports the answer to the reducer.
 pub async fn call(client: Client, inputs: InputSender, plain: PlainCall) {
     let ticket = plain.ticket;
     let timeout = plain.timeout;
@@ -180,7 +180,7 @@
     inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Sends one call and reads its whole answer.
+/// Sends a call and reads the complete answer.
 async fn call_once(client: Client, plain: PlainCall) -> Result<Answer, CallError> {
     let uri = format!("http://{}{}", plain.address, plain.call.path);
     let mut request = Request::builder().method(plain.call.method.as_str()).uri(uri);
@@ -201,13 +201,13 @@
     Ok(Answer { status, headers, body: body.as_ref().into() })
 }
 
-/// Gives a header as it is passed on, if it is.
+/// Returns a header's name and value if it is forwarded and its value is text.
 pub fn forwarded_header((name, value): (&HeaderName, &HeaderValue)) -> Option<(String, String)> {
     let value = value.to_str().ok()?;
     is_end_to_end(name.as_str()).then(|| (name.to_string(), value.to_owned()))
 }
 
-/// Makes the reply for a call that failed.
+/// Returns the reply for a failed call.
 fn failure_reply(error: &CallError) -> Reply {
     if error.status() == Some(engine::STATUS_FULL) {
         return Reply::Full;
@@ -219,7 +219,7 @@
     Reply::Failed { detail: error.to_string(), trace }
 }
 
-/// Gives the input that reports a poll.
+/// Polls an engine and returns the input with the report for the event loop.
 pub async fn poll_event(
     client: Client,
     engine: hollyspoke::site::UpstreamId,
--- a/crates/hollyspoke-standin/src/engine.rs
+++ b/crates/hollyspoke-standin/src/engine.rs
@@ -1,9 +1,9 @@
-//! A stand-in for a model engine: it computes prompts one after another, keeps each result a few
-//! seconds, takes results over from other engines, and generates a text that follows from the
+//! A stand-in for a model engine: it prefills prompts one at a time, keeps each result for a few
+//! seconds, imports results from other engines, and decodes an answer that is determined by the
 //! prompt.
 //!
-//! It frees a stream's memory when the answer is whole or the stream is cancelled, and not when a
-//! connection closes, so that a router which forgets to cancel is found out.
+//! It frees a stream's memory when the answer is complete or the stream is cancelled, but not when
+//! a connection closes, so that tests detect a router that forgets to cancel.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,18 +27,18 @@
 
 use crate::answer;
 
-/// What an engine can do.
+/// The capacity of an engine.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The KV cache it can hold, in tokens.
+    /// The size of the KV cache, in tokens.
     pub memory_tokens: u64,
-    /// How fast it computes prompts, in tokens a second.
+    /// The prefill rate, in tokens per second.
     pub prefill_rate: u64,
-    /// How long a token takes.
+    /// The time to decode one token.
     pub token_time: Duration,
-    /// How long a prefill result is kept.
+    /// The time after which a prefill result expires.
     pub result_ttl: Duration,
-    /// Whether it takes orders, and then whether it compares their tokens.
+    /// Whether it checks the fencing tokens of orders; none if it accepts no orders.
     pub orders: Option<bool>,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What goes wrong at the engine.
+/// The faults to inject.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
@@ -64,80 +64,80 @@
     pub stall_prefill: bool,
     /// Imports never end.
     pub stall_import: bool,
-    /// Streams break off after so many tokens of a call.
+    /// Streams fail after this number of tokens in one call.
     pub break_after: Option<u32>,
-    /// Streams fall silent after so many tokens of a call.
+    /// Streams stall after this number of tokens in one call.
     pub stall_after: Option<u32>,
-    /// Everything takes so many times as long; zero counts as one.
+    /// The factor by which all work is slowed; zero counts as one.
     pub slow: u32,
-    /// It says that it is leaving.
+    /// Its report says that it is shutting down.
     pub leaving: bool,
 }
 
-/// What has happened to the engine.
+/// The record of what happened at the engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Prefills begun.
+    /// The number of prefills started.
     pub prefills: u64,
-    /// Prefill results thrown away because nobody fetched them in time.
+    /// The number of prefill results that expired before they were fetched.
     pub expired: u64,
-    /// Prompt tokens computed.
+    /// The number of prompt tokens prefilled.
     pub prefill_tokens: u64,
-    /// Decodes begun.
+    /// The number of decodes started.
     pub decodes: u64,
-    /// Decodes that came to their end.
+    /// The number of decodes completed.
     pub finished: u64,
-    /// Streams cancelled while something was held for them.
+    /// The number of streams cancelled while they used memory.
     pub cancelled: u64,
-    /// The KV cache in use now, in tokens.
+    /// The current use of the KV cache, in tokens.
     pub used_tokens: u64,
-    /// The streams held now.
+    /// The streams that use memory now.
     pub streams: Vec<String>,
-    /// How often each prompt's decode was begun, by the prompt's text.
+    /// The number of decodes started, by prompt.
     pub decodes_of: BTreeMap<String, u64>,
-    /// Milliseconds since the last prefill or import began, if any did.
+    /// The time since the last prefill or import started, in milliseconds; none before the first.
     pub idle_ms: Option<u64>,
-    /// The tokens of the orders carried out, in order.
+    /// The fencing tokens of the executed orders, in order of arrival.
     pub orders: Vec<u64>,
-    /// The tokens of the orders refused.
+    /// The fencing tokens of the rejected orders.
     pub orders_refused: Vec<u64>,
-    /// What it has loaded.
+    /// The model and adapters that the last order named.
     pub loaded: Vec<String>,
 }
 
-/// What an engine holds for a stream.
+/// The memory of a stream.
 #[derive(Debug, Clone)]
 struct Held {
-    /// The prompt.
+    /// The text of the prompt.
     prompt: String,
-    /// The memory in use, in tokens.
+    /// The KV cache in use, in tokens.
     tokens: u64,
-    /// When the result is thrown away, while nobody has fetched it.
+    /// The time when an unfetched prefill result expires; none during a prefill and for imports.
     expires: Option<Instant>,
 }
 
 /// The engine's state.
 #[derive(Debug, Default)]
 struct Inner {
-    /// The streams.
+    /// The memory of each stream, by the stream's name.
     held: BTreeMap<String, Held>,
-    /// What goes wrong.
+    /// The injected faults.
     faults: Faults,
-    /// What has happened.
+    /// The record so far.
     ledger: Ledger,
-    /// When the last prefill or import began.
+    /// The start of the last prefill or import.
     last_work: Option<Instant>,
-    /// Its role by the last order; it works in any role all the same.
+    /// The role of the last order, which is reported but doesn't restrict the engine.
     role: Option<Role>,
 }
 
 impl Inner {
-    /// Gives the memory in use, in tokens.
+    /// Returns the KV cache in use, in tokens.
     fn used(&self) -> u64 {
         self.held.values().map(|it| it.tokens).sum()
     }
 
-    /// Throws away the results that nobody has fetched in time.
+    /// Discards expired prefill results.
     fn expire(&mut self) {
         let now = Instant::now();
         let before = self.held.len();
@@ -146,21 +146,21 @@
     }
 }
 
-/// A handle on an engine.
+/// A handle to an engine; clones share the state.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// What it can do.
+    /// The capacity.
     settings: Settings,
-    /// Its state.
+    /// The shared state.
     inner: Arc<Mutex<Inner>>,
-    /// Prompts are computed one at a time.
+    /// Limits prefills to one at a time.
     compute: Arc<Semaphore>,
-    /// The client for fetching results.
+    /// The client for fetching prefill results of other engines.
     client: Client,
 }
 
 impl Engine {
-    /// Makes an engine that holds nothing.
+    /// Creates an engine with an empty KV cache.
     pub fn new(settings: Settings) -> Engine {
         Engine {
             settings,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Makes the engine's routes.
+    /// Returns the engine's router.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/v1/prefill", post(prefill))
@@ -186,12 +186,12 @@
             .with_state(self.clone())
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Gives what has happened so far.
+    /// Returns the record so far.
     pub fn ledger(&self) -> Ledger {
         let mut inner = self.lock();
         inner.expire();
@@ -202,23 +202,23 @@
         ledger
     }
 
-    /// Locks the state; a panic elsewhere leaves it usable, since each change is whole.
+    /// Locks the state. A poisoned lock is usable, since each change is complete by itself.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the faults of this moment.
+    /// Returns the current faults.
     fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Gives a time as the slowness of this moment makes it.
+    /// Multiplies a duration by the current slowness.
     fn slowed(&self, time: Duration) -> Duration {
         time * self.faults().slow.max(1)
     }
 }
 
-/// Computes a prompt.
+/// Prefills a prompt.
 async fn prefill(
     State(engine): State<Engine>,
     Json(wanted): Json<Prefill>,
@@ -254,14 +254,14 @@
     Ok(Json(Prefilled { cached_tokens: 0 }))
 }
 
-/// A prefill result on its way to another engine.
+/// A prefill result that is sent to another engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Exported {
     /// The prompt; a real engine sends its KV cache.
     prompt: String,
 }
 
-/// Gives a prefill result away.
+/// Hands a prefill result to another engine and frees its memory.
 async fn export(
     State(engine): State<Engine>,
     Json(wanted): Json<Cancel>,
@@ -276,7 +276,7 @@
     held.map(|it| Json(Exported { prompt: it.prompt })).ok_or(StatusCode::GONE.into_response())
 }
 
-/// Takes a prefill result over.
+/// Imports a prefill result from another engine.
 async fn import(
     State(engine): State<Engine>,
     Json(wanted): Json<Import>,
@@ -310,28 +310,28 @@
     Ok(Json(Empty {}))
 }
 
-/// A stream that is being generated.
+/// A stream that is being decoded.
 struct Generation {
     /// The engine.
     engine: Engine,
     /// The stream's name.
     stream: String,
-    /// The prompt.
+    /// The text of the prompt.
     prompt: String,
-    /// The place of the next token.
+    /// The sequence number of the next token.
     seq: u32,
     /// The answer's length, in tokens.
     length: u32,
-    /// Why it ends there.
+    /// The finish reason.
     reason: &'static str,
-    /// Tokens given in this call.
+    /// The number of tokens sent in this call.
     sent_count: u32,
-    /// Whether the end was said.
+    /// Whether the last line was sent.
     is_ended: bool,
 }
 
 impl Generation {
-    /// Gives the next line; nothing after the end, and an error when the stream breaks off.
+    /// Returns the next line, none after the last, or an error when the stream fails.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
         if self.is_ended {
             return None;
@@ -363,14 +363,14 @@
     }
 }
 
-/// Writes one line.
+/// Formats a line as JSON with a line feed.
 fn line(line: &Line) -> Bytes {
     let mut bytes = serde_json::to_vec(line).unwrap_or_default();
     bytes.push(b'\n');
     Bytes::from(bytes)
 }
 
-/// Generates.
+/// Decodes a stream from the requested token on.
 async fn decode(State(engine): State<Engine>, Json(wanted): Json<Decode>) -> Response {
     let prompt = {
         let mut inner = engine.lock();
@@ -400,7 +400,7 @@
     Body::from_stream(lines).into_response()
 }
 
-/// Frees all that is held for a stream.
+/// Frees the memory of a stream.
 async fn cancel(State(engine): State<Engine>, Json(wanted): Json<Cancel>) -> Json<Empty> {
     let mut inner = engine.lock();
     if inner.held.remove(&wanted.stream).is_some() {
@@ -409,7 +409,7 @@
     Json(Empty {})
 }
 
-/// Says how the engine does.
+/// Returns the engine's load report.
 async fn report(State(engine): State<Engine>) -> Json<Load> {
     let ledger = engine.ledger();
     let leaving = engine.faults().leaving;
@@ -418,7 +418,7 @@
     Json(Load { used_tokens, streams, leaving, role, loaded })
 }
 
-/// Takes an order.
+/// Executes an order, or rejects it if its fencing token is older than the newest one.
 async fn accept_order(
     State(engine): State<Engine>,
     Json(order): Json<FencedOrder>,
@@ -438,13 +438,13 @@
     Ok(Json(Empty {}))
 }
 
-/// Sets what goes wrong.
+/// Handles a request to replace the injected faults.
 async fn set_faults(State(engine): State<Engine>, Json(faults): Json<Faults>) -> Json<Empty> {
     engine.set_faults(faults);
     Json(Empty {})
 }
 
-/// Gives what has happened so far.
+/// Handles a request for the record.
 async fn ledger(State(engine): State<Engine>) -> Json<Ledger> {
     Json(engine.ledger())
 }
--- a/crates/hollyspoke-standin/src/lib.rs
+++ b/crates/hollyspoke-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the router meets outside itself: the platform's store, model engines and
-//! plain services. They keep ledgers of what really happened to them, and fail when told to.
+//! Stand-ins for the services that the router depends on: the platform's store, model engines and
+//! plain services. They keep ledgers of the calls they received, and inject faults on request.
 
 pub mod answer;
 pub mod engine;
--- a/crates/hollyspoke-standin/src/main.rs
+++ b/crates/hollyspoke-standin/src/main.rs
@@ -1,6 +1,6 @@
 //! Runs one stand-in as a process: `hollyspoke-standin platform|engine|service`.
 //!
-//! It prints one line of JSON, `{"listening":"<address>"}`, and serves until it is stopped.
+//! It prints one line of JSON, `{"listening":"<address>"}`, and serves until the process ends.
 
 #![expect(clippy::print_stdout, clippy::print_stderr, reason = "the address, help and mistakes")]
 
@@ -15,10 +15,10 @@
 use pico_args::Arguments;
 use tokio::net::TcpListener;
 
-/// The exit code for arguments that are wrong.
+/// The exit code for invalid arguments.
 const EXIT_USAGE: u8 = 2;
 
-/// What `--help` prints.
+/// The text that `--help` prints.
 const HELP: &str = "\
 hollyspoke-standin: stands in for the platform, an engine or a plain service
 
@@ -32,7 +32,7 @@
   -h, --help                       prints this text
 ";
 
-/// Serves the stand-in that the arguments name.
+/// Prints the help, or runs a stand-in and reports its error.
 #[tokio::main]
 async fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Serves the stand-in that the arguments name until it is stopped.
+/// Serves the stand-in that the arguments select.
 async fn serve(mut arguments: Arguments) -> eyre::Result<()> {
     let kind = arguments.subcommand()?;
     let listen: Option<String> = arguments.opt_value_from_str("--listen")?;
@@ -70,7 +70,7 @@
     axum::serve(listener, router).await.wrap_err("the server stopped")
 }
 
-/// Makes an engine of the arguments.
+/// Returns the router of an engine with the settings from the arguments.
 fn engine(arguments: &mut Arguments) -> eyre::Result<Router> {
     let mut settings = Settings::default();
     if let Some(tokens) = arguments.opt_value_from_str("--memory-tokens")? {
--- a/crates/hollyspoke-standin/src/platform.rs
+++ b/crates/hollyspoke-standin/src/platform.rs
@@ -16,60 +16,60 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// The largest value, in bytes.
+/// The largest value of an object.
 const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// How long a lost answer stays away before its connection is closed.
+/// The delay of a lost answer, after which its request fails.
 const LOST_ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What goes wrong at the platform.
+/// The faults to inject.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Every call is rejected.
     pub down: bool,
-    /// Every call is answered so much later, in milliseconds.
+    /// The delay of every answer, in milliseconds.
     pub delay_ms: u64,
     /// Writes take effect, but their answers are lost.
     pub lose_answers: bool,
-    /// Writes give no answer and take effect so much later, in milliseconds.
+    /// The delay before a write takes effect, in milliseconds; a delayed write is not answered.
     pub late_ms: u64,
 }
 
-/// What was asked of the platform.
+/// The record of calls to the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Reads.
+    /// The number of reads.
     pub reads: u64,
-    /// Writes, taken or not.
+    /// The number of writes, including failed ones.
     pub writes: u64,
-    /// Watches.
+    /// The number of watches.
     pub watches: u64,
-    /// Writes that took effect, by `<kind>/<name>`.
+    /// The number of writes that took effect, by `<kind>/<name>`.
     pub taken: BTreeMap<String, u64>,
 }
 
 /// The platform's state.
 #[derive(Debug, Default)]
 struct Inner {
-    /// The objects.
+    /// The objects, by kind and name.
     objects: BTreeMap<(String, String), Object>,
-    /// The last version given.
+    /// The version of the last write.
     version: u64,
     /// The list of boxes.
     boxes: Vec<Listed>,
-    /// What goes wrong.
+    /// The injected faults.
     faults: Faults,
-    /// What was asked.
+    /// The record so far.
     ledger: Ledger,
 }
 
-/// A handle on the platform's state.
+/// A handle to the platform; clones share the state.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    /// The state.
+    /// The shared state.
     inner: Arc<Mutex<Inner>>,
-    /// Advances with each write.
+    /// Publishes the version of the last write to watches.
     changed: Arc<watch::Sender<u64>>,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Platform {
-    /// Makes the platform's routes.
+    /// Returns the platform's router.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/v1/objects/{kind}/{name}", get(read).put(write))
@@ -92,22 +92,22 @@
             .with_state(self.clone())
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Gives what was asked so far.
+    /// Returns the record so far.
     pub fn ledger(&self) -> Ledger {
         self.lock().ledger.clone()
     }
 
-    /// Locks the state; a panic elsewhere leaves it usable, since each change is whole.
+    /// Locks the state. A poisoned lock is usable, since each change is complete by itself.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes an object if its version is the one expected.
+    /// Writes an object if its version is the expected one and the value is not too large.
     fn put(&self, kind: String, name: String, put: Put) -> Option<Written> {
         let mut inner = self.lock();
         let found = inner.objects.get(&(kind.clone(), name.clone())).map_or(0, |it| it.version);
@@ -123,12 +123,12 @@
         Some(Written { version })
     }
 
-    /// Reads an object.
+    /// Returns an object, if it exists.
     fn get(&self, kind: &str, name: &str) -> Option<Object> {
         self.lock().objects.get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 
-    /// Does what the faults say before any answer.
+    /// Applies the delay and the outage, and returns the faults.
     async fn apply_faults(&self) -> Result<Faults, Response> {
         let faults = self.lock().faults.clone();
         if faults.delay_ms > 0 {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Reads an object.
+/// Handles a read of an object.
 async fn read(
     State(platform): State<Platform>,
     Path((kind, name)): Path<(String, String)>,
@@ -151,7 +151,7 @@
     platform.get(&kind, &name).map(Json).ok_or(StatusCode::NOT_FOUND.into_response())
 }
 
-/// Writes an object.
+/// Handles a conditional write of an object.
 async fn write(
     State(platform): State<Platform>,
     Path((kind, name)): Path<(String, String)>,
@@ -176,16 +176,16 @@
     written.map(Json).ok_or(StatusCode::CONFLICT.into_response())
 }
 
-/// What a watch waits for.
+/// The parameters of a watch.
 #[derive(Debug, Deserialize)]
 struct Wait {
-    /// The version already known.
+    /// The version that the caller has.
     after: u64,
-    /// How long to wait, in milliseconds.
+    /// The time limit, in milliseconds.
     wait_ms: u64,
 }
 
-/// Waits until an object has a version above the one known.
+/// Waits until an object has a newer version than the caller's.
 async fn watch_object(
     State(platform): State<Platform>,
     Path((kind, name)): Path<(String, String)>,
@@ -203,13 +203,13 @@
         tokio::select! {
             () = &mut limit => return Err(StatusCode::NOT_FOUND.into_response()),
             _ = changed.changed() => {}
-            // An outage that begins while the watch waits ends the watch.
+            // The faults are checked regularly, so that an outage ends a waiting watch.
             () = tokio::time::sleep(Duration::from_millis(100)) => {}
         }
     }
 }
 
-/// Gives the list of boxes.
+/// Handles a read of the list of boxes.
 async fn boxes(State(platform): State<Platform>) -> Result<Json<Vec<Listed>>, Response> {
     platform.lock().ledger.reads += 1;
     platform.apply_faults().await?;
@@ -217,7 +217,7 @@
     Ok(Json(boxes))
 }
 
-/// Sets the list of boxes.
+/// Handles a request to replace the list of boxes.
 async fn set_boxes(
     State(platform): State<Platform>,
     Json(boxes): Json<Vec<Listed>>,
@@ -226,13 +226,13 @@
     Json(Empty {})
 }
 
-/// Sets what goes wrong.
+/// Handles a request to replace the injected faults.
 async fn set_faults(State(platform): State<Platform>, Json(faults): Json<Faults>) -> Json<Empty> {
     platform.set_faults(faults);
     Json(Empty {})
 }
 
-/// Gives what was asked so far.
+/// Handles a request for the record.
 async fn ledger(State(platform): State<Platform>) -> Json<Ledger> {
     Json(platform.ledger())
 }
--- a/crates/hollyspoke-standin/src/server.rs
+++ b/crates/hollyspoke-standin/src/server.rs
@@ -1,4 +1,4 @@
-//! How a stand-in is served: in this process on a free port, or as a process of its own.
+//! Serves a stand-in in the current process, on a free port.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// A stand-in that runs in this process; it stops when dropped.
+/// A stand-in that runs in the current process and stops when dropped.
 #[derive(Debug)]
 pub struct Running {
-    /// Its address.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// The task that serves it.
     task: JoinHandle<()>,
@@ -20,13 +20,13 @@
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// When no port is available.
     pub async fn start(router: Router) -> std::io::Result<Running> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let task = tokio::spawn(async move {
-            // The task ends with its handle; an error of the socket ends it early, and callers
-            // then see a closed port.
+            // The task is aborted with its handle. A socket error ends it early, and callers then
+            // see a closed port.
             let _ = axum::serve(listener, router).await;
         });
         Ok(Running { address, task })
--- a/crates/hollyspoke-standin/src/service.rs
+++ b/crates/hollyspoke-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service's upstream: it counts how often each key ran.
+//! A stand-in for a plain service's upstream: it counts how often each request ran, by its body.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,65 +13,65 @@
 use hollyspoke_wire::engine::Empty;
 use serde::{Deserialize, Serialize};
 
-/// The largest body, in bytes.
+/// The largest size of a body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// What goes wrong at the service.
+/// The faults to inject.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every answer comes so much later, in milliseconds, after the call has run.
+    /// The delay of every answer after the call has run, in milliseconds.
     pub delay_ms: u64,
-    /// Calls run, but their answers never come.
+    /// Calls run, but are never answered.
     pub lose_answers: bool,
-    /// Calls are answered with an error, and don't run.
+    /// Calls fail with an error and don't run.
     pub fail: bool,
 }
 
-/// What has happened to the service.
+/// The record of what happened at the service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// How often each request ran, by its body.
+    /// The number of runs of each request, by its body.
     pub runs: BTreeMap<String, u64>,
-    /// Milliseconds since the last call came, if any did.
+    /// The time since the last call arrived, in milliseconds; none before the first.
     pub idle_ms: Option<u64>,
 }
 
-/// The answer of a call.
+/// The answer to a call: what was received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
     /// The method.
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The request's key.
+    /// The request's key; empty if it has none.
     pub key: String,
     /// The body.
     pub body: String,
-    /// How often a request with this body has run, this one included.
+    /// The number of runs with this body, including this one.
     pub run: u64,
 }
 
 /// The service's state.
 #[derive(Debug, Default)]
 struct Inner {
-    /// What goes wrong.
+    /// The injected faults.
     faults: Faults,
-    /// What has happened.
+    /// The record so far.
     ledger: Ledger,
-    /// When the last call came.
+    /// The arrival time of the last call.
     last: Option<tokio::time::Instant>,
 }
 
-/// A handle on a service.
+/// A handle to a service; clones share the state.
 #[derive(Debug, Clone, Default)]
 pub struct Service {
-    /// The state.
+    /// The shared state.
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Service {
-    /// Makes the service's routes.
+    /// Returns the service's router; other paths are calls.
     pub fn router(&self) -> Router {
         Router::new()
             .route("/standin/faults", post(set_faults))
@@ -80,25 +80,25 @@
             .with_state(self.clone())
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Gives what has happened so far.
+    /// Returns the record so far.
     pub fn ledger(&self) -> Ledger {
         let inner = self.lock();
         let idle_ms = inner.last.map(|it| it.elapsed().as_millis() as u64);
         Ledger { idle_ms, ..inner.ledger.clone() }
     }
 
-    /// Locks the state; a panic elsewhere leaves it usable, since each change is whole.
+    /// Locks the state. A poisoned lock is usable, since each change is complete by itself.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Runs a call.
+/// Handles a call: counts it and returns what was received.
 async fn run(State(service): State<Service>, request: Request) -> Response {
     let method = request.method().to_string();
     let path = request.uri().to_string();
@@ -128,13 +128,13 @@
     Json(CallRecord { method, path, key, body, run }).into_response()
 }
 
-/// Sets what goes wrong.
+/// Handles a request to replace the injected faults.
 async fn set_faults(State(service): State<Service>, Json(faults): Json<Faults>) -> Json<Empty> {
     service.set_faults(faults);
     Json(Empty {})
 }
 
-/// Gives what has happened so far.
+/// Handles a request for the record.
 async fn ledger(State(service): State<Service>) -> Json<Ledger> {
     Json(service.ledger())
 }
