--- a/crates/hollyspoke-daemon/src/callers.rs
+++ b/crates/hollyspoke-daemon/src/callers.rs
@@ -243,11 +243,11 @@
 async fn generate(callers: Callers, form: Form, request: Request) -> Response {
     let read = async {
         let (original, headers) = callers.read(request).await?;
-        let wanted = openai::read(form, &original.body)?;
-        let arrival = arrival(&headers, Work::Generate(wanted.work.clone()))?;
-        Ok::<_, RequestError>((original, wanted, arrival))
+        let parsed = openai::read(form, &original.body)?;
+        let arrival = arrival(&headers, Work::Generate(parsed.work.clone()))?;
+        Ok::<_, RequestError>((original, parsed, arrival))
     };
-    let (original, wanted, arrival) = match read.await {
+    let (original, parsed, arrival) = match read.await {
         Ok(read) => read,
         Err(error) => return problem::response(&error.wire()),
     };
@@ -259,16 +259,16 @@
         Ok(started) => started,
         Err(response) => return response,
     };
-    if wanted.stream {
-        streamed_response(wanted, id, started)
+    if parsed.stream {
+        streamed_response(parsed, id, started)
     } else {
-        complete_response(wanted, id, started).await
+        complete_response(parsed, id, started).await
     }
 }
 
 /// Collects all tokens and returns the complete answer.
 async fn complete_response(
-    wanted: openai::Request,
+    parsed: openai::Request,
     id: String,
     mut started: StartedCall,
 ) -> Response {
@@ -279,7 +279,7 @@
             Some(CallerReply::Token(token)) => text.push_str(&token),
             Some(CallerReply::Finished { reason, prompt_tokens, tokens }) => {
                 let usage = Usage::new(prompt_tokens, tokens);
-                return Json(openai::completion(&wanted, &id, &text, &reason, usage))
+                return Json(openai::completion(&parsed, &id, &text, &reason, usage))
                     .into_response();
             }
             Some(CallerReply::Problem(problem)) => {
@@ -294,20 +294,20 @@
 }
 
 /// Returns an answer token by token, as server-sent events.
-fn streamed_response(wanted: openai::Request, id: String, started: StartedCall) -> Response {
+fn streamed_response(parsed: openai::Request, id: String, started: StartedCall) -> Response {
     let StartedCall { handle, first } = started;
     if let CallerReply::Problem(problem) = &first {
         return problem::response(&problem::wire(problem));
     }
     let events = stream::unfold(Some((handle, Some(first))), move |state| {
-        let (wanted, id) = (wanted.clone(), id.clone());
+        let (parsed, id) = (parsed.clone(), id.clone());
         async move {
             let (mut handle, first) = state?;
             let reply = match first {
                 Some(first) => Some(first),
                 None => handle.next().await,
             };
-            let (event, more) = server_sent_event(&wanted, &id, reply?);
+            let (event, more) = server_sent_event(&parsed, &id, reply?);
             Some((Ok::<_, Infallible>(event), more.then_some((handle, None))))
         }
     });
@@ -319,14 +319,14 @@
 }
 
 /// Formats a reply as server-sent events. Returns also whether more replies may follow.
-fn server_sent_event(wanted: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
+fn server_sent_event(parsed: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
     match reply {
         CallerReply::Token(token) => {
-            let chunk = openai::chunk(wanted, id, &token, None);
+            let chunk = openai::chunk(parsed, id, &token, None);
             (Bytes::from(format!("data: {chunk}\n\n")), true)
         }
         CallerReply::Finished { reason, .. } => {
-            let chunk = openai::chunk(wanted, id, "", Some(&reason));
+            let chunk = openai::chunk(parsed, id, "", Some(&reason));
             (Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n")), false)
         }
         CallerReply::Problem(problem) => {
--- a/crates/hollyspoke-daemon/src/openai.rs
+++ b/crates/hollyspoke-daemon/src/openai.rs
@@ -114,8 +114,9 @@
         Form::Chat => chat_prompt(body.messages)?,
         Form::Text => text_prompt(body.prompt)?,
     };
-    let wanted = body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
-    if !(1..=MAX_OUTPUT_TOKENS).contains(&wanted) {
+    let output_tokens =
+        body.max_completion_tokens.or(body.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
+    if !(1..=MAX_OUTPUT_TOKENS).contains(&output_tokens) {
         let detail = format!("`max_tokens` must be from 1 to {MAX_OUTPUT_TOKENS}");
         return Err(RequestError::malformed(detail));
     }
@@ -125,7 +126,7 @@
         prefix: prefix(&prompt),
         prompt: Arc::from(prompt),
         prompt_tokens,
-        max_tokens: wanted,
+        max_tokens: output_tokens,
     };
     Ok(Request { work, stream: body.stream, form })
 }
--- a/crates/hollyspoke-daemon/src/peers.rs
+++ b/crates/hollyspoke-daemon/src/peers.rs
@@ -80,13 +80,13 @@
         if connection.is_none() {
             connection = Connection::open(&address).await.ok();
         }
-        let Some(open) = &connection else {
+        let Some(established) = &connection else {
             batch.extend(std::iter::from_fn(|| receiver.try_recv().ok()));
             report_unreachable(&inputs, &batch);
             batch.clear();
             continue;
         };
-        if !deliver(own_incarnation, &inputs, open, &batch).await {
+        if !deliver(own_incarnation, &inputs, established, &batch).await {
             connection = None;
             report_unreachable(&inputs, &batch);
         }
--- a/crates/hollyspoke-standin/src/engine.rs
+++ b/crates/hollyspoke-standin/src/engine.rs
@@ -107,7 +107,7 @@
 
 /// The memory of a stream.
 #[derive(Debug, Clone)]
-struct Held {
+struct StreamMemory {
     /// The text of the prompt.
     prompt: String,
     /// The KV cache in use, in tokens.
@@ -120,7 +120,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// The memory of each stream, by the stream's name.
-    held: BTreeMap<String, Held>,
+    held: BTreeMap<String, StreamMemory>,
     /// The injected faults.
     faults: Faults,
     /// The record so far.
@@ -154,7 +154,7 @@
     /// The shared state.
     inner: Arc<Mutex<Inner>>,
     /// Limits prefills to one at a time.
-    compute: Arc<Semaphore>,
+    prefill_permits: Arc<Semaphore>,
     /// The client for fetching prefill results of other engines.
     client: Client,
 }
@@ -165,7 +165,7 @@
         Engine {
             settings,
             inner: Arc::default(),
-            compute: Arc::new(Semaphore::new(1)),
+            prefill_permits: Arc::new(Semaphore::new(1)),
             client: Client::new(),
         }
     }
@@ -213,7 +213,7 @@
     }
 
     /// Multiplies a duration by the current slowness.
-    fn slowed(&self, time: Duration) -> Duration {
+    fn apply_slowness(&self, time: Duration) -> Duration {
         time * self.faults().slow.max(1)
     }
 }
@@ -221,33 +221,33 @@
 /// Prefills a prompt.
 async fn prefill(
     State(engine): State<Engine>,
-    Json(wanted): Json<Prefill>,
+    Json(request): Json<Prefill>,
 ) -> Result<Json<Prefilled>, Response> {
     let faults = engine.faults();
     if faults.fail_prefill {
         return Err(StatusCode::INTERNAL_SERVER_ERROR.into_response());
     }
-    let tokens = u64::from(wanted.prompt_tokens);
+    let tokens = u64::from(request.prompt_tokens);
     {
         let mut inner = engine.lock();
         inner.expire();
         inner.ledger.prefills += 1;
         inner.last_work = Some(Instant::now());
-        let held = Held { prompt: wanted.prompt, tokens, expires: None };
-        inner.held.insert(wanted.stream.clone(), held);
+        let held = StreamMemory { prompt: request.prompt, tokens, expires: None };
+        inner.held.insert(request.stream.clone(), held);
     }
-    let Ok(permit) = engine.compute.acquire().await else {
+    let Ok(permit) = engine.prefill_permits.acquire().await else {
         return Err(StatusCode::INTERNAL_SERVER_ERROR.into_response());
     };
     if faults.stall_prefill {
         std::future::pending::<()>().await;
     }
     let time = Duration::from_secs_f64(tokens as f64 / engine.settings.prefill_rate as f64);
-    tokio::time::sleep(engine.slowed(time)).await;
+    tokio::time::sleep(engine.apply_slowness(time)).await;
     drop(permit);
     let mut inner = engine.lock();
     inner.ledger.prefill_tokens += tokens;
-    let Some(held) = inner.held.get_mut(&wanted.stream) else {
+    let Some(held) = inner.held.get_mut(&request.stream) else {
         return Err(StatusCode::GONE.into_response());
     };
     held.expires = Some(Instant::now() + engine.settings.result_ttl);
@@ -264,46 +264,46 @@
 /// Hands a prefill result to another engine and frees its memory.
 async fn export(
     State(engine): State<Engine>,
-    Json(wanted): Json<Cancel>,
+    Json(request): Json<Cancel>,
 ) -> Result<Json<Exported>, Response> {
     let mut inner = engine.lock();
     inner.expire();
-    let ready = inner.held.get(&wanted.stream).is_some_and(|it| it.expires.is_some());
+    let ready = inner.held.get(&request.stream).is_some_and(|it| it.expires.is_some());
     if !ready {
         return Err(StatusCode::GONE.into_response());
     }
-    let held = inner.held.remove(&wanted.stream);
+    let held = inner.held.remove(&request.stream);
     held.map(|it| Json(Exported { prompt: it.prompt })).ok_or(StatusCode::GONE.into_response())
 }
 
 /// Imports a prefill result from another engine.
 async fn import(
     State(engine): State<Engine>,
-    Json(wanted): Json<Import>,
+    Json(request): Json<Import>,
 ) -> Result<Json<Empty>, Response> {
     {
         let mut inner = engine.lock();
         inner.expire();
         inner.last_work = Some(Instant::now());
-        let tokens = u64::from(wanted.tokens);
+        let tokens = u64::from(request.tokens);
         if inner.used() + tokens > engine.settings.memory_tokens {
             return Err(StatusCode::CONFLICT.into_response());
         }
-        let held = Held { prompt: String::new(), tokens, expires: None };
-        inner.held.insert(wanted.stream.clone(), held);
+        let held = StreamMemory { prompt: String::new(), tokens, expires: None };
+        inner.held.insert(request.stream.clone(), held);
     }
     if engine.faults().stall_import {
         std::future::pending::<()>().await;
     }
-    let url = format!("http://{}/v1/export", wanted.from);
-    let export = Cancel { stream: wanted.stream.clone() };
+    let url = format!("http://{}/v1/export", request.from);
+    let export = Cancel { stream: request.stream.clone() };
     let exported = engine.client.post::<Exported>(&url, &export).await;
     let mut inner = engine.lock();
     let Ok(exported) = exported else {
-        inner.held.remove(&wanted.stream);
+        inner.held.remove(&request.stream);
         return Err(StatusCode::BAD_GATEWAY.into_response());
     };
-    let Some(held) = inner.held.get_mut(&wanted.stream) else {
+    let Some(held) = inner.held.get_mut(&request.stream) else {
         return Err(StatusCode::GONE.into_response());
     };
     held.prompt = exported.prompt;
@@ -350,7 +350,7 @@
             inner.ledger.finished += 1;
             return Some(Ok(line(&Line::Finished { finished: self.reason.to_owned() })));
         }
-        tokio::time::sleep(self.engine.slowed(self.engine.settings.token_time)).await;
+        tokio::time::sleep(self.engine.apply_slowness(self.engine.settings.token_time)).await;
         if !self.engine.lock().held.contains_key(&self.stream) {
             // It was cancelled.
             return Some(Err(std::io::Error::other("the stream was cancelled")));
@@ -371,10 +371,10 @@
 }
 
 /// Decodes a stream from the requested token on.
-async fn decode(State(engine): State<Engine>, Json(wanted): Json<Decode>) -> Response {
+async fn decode(State(engine): State<Engine>, Json(request): Json<Decode>) -> Response {
     let prompt = {
         let mut inner = engine.lock();
-        let Some(held) = inner.held.get(&wanted.stream) else {
+        let Some(held) = inner.held.get(&request.stream) else {
             return StatusCode::GONE.into_response();
         };
         let prompt = held.prompt.clone();
@@ -382,12 +382,12 @@
         *inner.ledger.decodes_of.entry(prompt.clone()).or_default() += 1;
         prompt
     };
-    let (length, reason) = answer::length(&prompt, wanted.max_tokens);
+    let (length, reason) = answer::length(&prompt, request.max_tokens);
     let generation = Generation {
         engine,
-        stream: wanted.stream,
+        stream: request.stream,
         prompt,
-        seq: wanted.from_seq,
+        seq: request.from_seq,
         length,
         reason,
         sent_count: 0,
@@ -401,9 +401,9 @@
 }
 
 /// Frees the memory of a stream.
-async fn cancel(State(engine): State<Engine>, Json(wanted): Json<Cancel>) -> Json<Empty> {
+async fn cancel(State(engine): State<Engine>, Json(request): Json<Cancel>) -> Json<Empty> {
     let mut inner = engine.lock();
-    if inner.held.remove(&wanted.stream).is_some() {
+    if inner.held.remove(&request.stream).is_some() {
         inner.ledger.cancelled += 1;
     }
     Json(Empty {})
--- a/crates/hollyspoke-standin/src/platform.rs
+++ b/crates/hollyspoke-standin/src/platform.rs
@@ -178,7 +178,7 @@
 
 /// The parameters of a watch.
 #[derive(Debug, Deserialize)]
-struct Wait {
+struct WatchParameters {
     /// The version that the caller has.
     after: u64,
     /// The time limit, in milliseconds.
@@ -189,15 +189,16 @@
 async fn watch_object(
     State(platform): State<Platform>,
     Path((kind, name)): Path<(String, String)>,
-    Query(wait): Query<Wait>,
+    Query(parameters): Query<WatchParameters>,
 ) -> Result<Json<Object>, Response> {
     platform.lock().ledger.watches += 1;
     let mut changed = platform.changed.subscribe();
-    let limit = tokio::time::sleep(Duration::from_millis(wait.wait_ms));
+    let limit = tokio::time::sleep(Duration::from_millis(parameters.wait_ms));
     tokio::pin!(limit);
     loop {
         platform.apply_faults().await?;
-        if let Some(object) = platform.get(&kind, &name).filter(|it| it.version > wait.after) {
+        if let Some(object) = platform.get(&kind, &name).filter(|it| it.version > parameters.after)
+        {
             return Ok(Json(object));
         }
         tokio::select! {
--- a/crates/hollyspoke-standin/src/service.rs
+++ b/crates/hollyspoke-standin/src/service.rs
@@ -60,7 +60,7 @@
     /// The record so far.
     ledger: Ledger,
     /// The arrival time of the last call.
-    last: Option<tokio::time::Instant>,
+    last_call: Option<tokio::time::Instant>,
 }
 
 /// A handle to a service; clones share the state.
@@ -88,7 +88,7 @@
     /// Returns the record so far.
     pub fn ledger(&self) -> Ledger {
         let inner = self.lock();
-        let idle_ms = inner.last.map(|it| it.elapsed().as_millis() as u64);
+        let idle_ms = inner.last_call.map(|it| it.elapsed().as_millis() as u64);
         Ledger { idle_ms, ..inner.ledger.clone() }
     }
 
@@ -110,7 +110,7 @@
     let body = String::from_utf8_lossy(&body).into_owned();
     let (faults, run) = {
         let mut inner = service.lock();
-        inner.last = Some(tokio::time::Instant::now());
+        inner.last_call = Some(tokio::time::Instant::now());
         let faults = inner.faults.clone();
         if faults.fail {
             return StatusCode::INTERNAL_SERVER_ERROR.into_response();
