--- a/crates/hollyspoke-daemon/src/callers.rs
+++ b/crates/hollyspoke-daemon/src/callers.rs
@@ -24,78 +24,78 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::input::{Input, Inputs, Query};
+use crate::input::{Input, InputSender, Query};
 use crate::openai::{self, Form, Usage};
-use crate::problem::{self, Unreadable};
+use crate::problem::{self, RequestError};
 use crate::upstream;
 
-/// How long a caller may take to send a request's body.
-pub const BODY_TIME: Duration = Duration::from_secs(15);
+/// The time limit for receiving a request's body.
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The highest class.
-const MOST_CLASS: u8 = 9;
+/// The highest class that a caller may request.
+const MAX_CLASS: u8 = 9;
 
-/// The longest name of a tenant or an idempotency key, in bytes.
-const MOST_NAME: usize = 256;
+/// The longest value of a header with a short text, such as a tenant or an idempotency key.
+const MAX_NAME_BYTES: usize = 256;
 
-/// What all routes share.
+/// The state that all routes share.
 #[derive(Debug, Clone)]
 pub struct Callers {
-    /// The way to the reducer.
-    inputs: Inputs,
-    /// The client for passing requests on to other boxes.
+    /// The input queue of the reducer's loop.
+    inputs: InputSender,
+    /// The client for relaying requests to other boxes.
     client: Client,
-    /// The number of the last connection.
+    /// The number of the last call.
     last_call: Arc<AtomicU64>,
     /// The largest body, in bytes.
     body_limit: usize,
 }
 
-/// A request's connection to the reducer; when it is dropped early, the caller is gone.
+/// A call at the reducer. Dropping it reports that the caller has disconnected.
 #[derive(Debug)]
-struct Open {
-    /// The connection's number.
+struct CallHandle {
+    /// The number of the call.
     call: CallId,
-    /// The way to the reducer.
-    inputs: Inputs,
-    /// The replies.
+    /// The input queue of the reducer's loop.
+    inputs: InputSender,
+    /// The channel of the reducer's replies.
     replies: mpsc::UnboundedReceiver<CallerReply>,
 }
 
-impl Drop for Open {
+impl Drop for CallHandle {
     fn drop(&mut self) {
-        // The reducer passes over connections that it has answered already.
-        self.inputs.event(Event::Gone(self.call));
+        // The reducer ignores this event for a call that it has answered.
+        self.inputs.send_event(Event::Gone(self.call));
     }
 }
 
-impl Open {
-    /// Waits for the next reply.
+impl CallHandle {
+    /// Waits for the next reply; none after the last.
     async fn next(&mut self) -> Option<CallerReply> {
         self.replies.recv().await
     }
 }
 
-/// A request as it came, for passing it on to another box.
+/// A request as received, for relaying it to another box.
 #[derive(Debug, Clone)]
-struct Original {
+struct OriginalRequest {
     /// The method.
     method: String,
     /// The path with its query.
     path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     headers: Vec<(String, String)>,
     /// The body.
     body: Bytes,
 }
 
 impl Callers {
-    /// Makes the state of the routes.
-    pub fn new(inputs: Inputs, body_limit: usize) -> Callers {
+    /// Creates the state of the routes.
+    pub fn new(inputs: InputSender, body_limit: usize) -> Callers {
         Callers { inputs, client: Client::new(), last_call: Arc::default(), body_limit }
     }
 
-    /// Makes the routes.
+    /// Returns the router; other paths are calls of plain services.
     pub fn router(self) -> Router {
         Router::new()
             .route("/v1/chat/completions", post(chat))
@@ -111,57 +111,57 @@
             .with_state(self)
     }
 
-    /// Gives a request to the reducer.
-    fn open(&self, arrival: Arrival) -> Open {
+    /// Submits a request to the reducer.
+    fn submit(&self, arrival: Arrival) -> CallHandle {
         let call = CallId(self.last_call.fetch_add(1, Ordering::Relaxed) + 1);
         let (sender, replies) = mpsc::unbounded_channel();
         let arrival = Box::new(arrival);
-        self.inputs.put(Input::Arrive { call, arrival, replies: sender });
-        Open { call, inputs: self.inputs.clone(), replies }
+        self.inputs.send(Input::Arrive { call, arrival, replies: sender });
+        CallHandle { call, inputs: self.inputs.clone(), replies }
     }
 
-    /// Asks the reducer's loop a question.
+    /// Sends a query to the event loop and waits for the answer.
     async fn query<T>(
         &self,
         query: impl FnOnce(oneshot::Sender<T>) -> Query,
     ) -> Result<T, Response> {
         let (sender, answer) = oneshot::channel();
-        self.inputs.put(Input::Query(query(sender)));
+        self.inputs.send(Input::Query(query(sender)));
         answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE.into_response())
     }
 
-    /// Reads a request whole.
-    async fn read(&self, request: Request) -> Result<(Original, HeaderMap), Unreadable> {
+    /// Reads a complete request, within the limits on the body's size and time.
+    async fn read(&self, request: Request) -> Result<(OriginalRequest, HeaderMap), RequestError> {
         let (parts, body) = request.into_parts();
         let collected = Limited::new(body, self.body_limit).collect();
-        let body = match tokio::time::timeout(BODY_TIME, collected).await {
+        let body = match tokio::time::timeout(BODY_TIMEOUT, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
-                return Err(Unreadable {
+                return Err(RequestError {
                     status: StatusCode::PAYLOAD_TOO_LARGE,
                     slug: "too-large",
                     detail: format!("the body has more than {} bytes", self.body_limit),
                 });
             }
-            Ok(Err(error)) => return Err(Unreadable::malformed(format!("the body: {error}"))),
+            Ok(Err(error)) => return Err(RequestError::malformed(format!("the body: {error}"))),
             Err(_) => {
-                return Err(Unreadable {
+                return Err(RequestError {
                     status: StatusCode::REQUEST_TIMEOUT,
                     slug: "slow-sender",
-                    detail: format!("the body did not come within {} s", BODY_TIME.as_secs()),
+                    detail: format!("the body did not come within {} s", BODY_TIMEOUT.as_secs()),
                 });
             }
         };
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str()).to_owned();
-        let headers = parts.headers.iter().filter_map(upstream::passed_on).collect();
-        let original = Original { method: parts.method.to_string(), path, headers, body };
+        let headers = parts.headers.iter().filter_map(upstream::forwarded_header).collect();
+        let original = OriginalRequest { method: parts.method.to_string(), path, headers, body };
         Ok((original, parts.headers))
     }
 
-    /// Passes a request on to its home.
+    /// Relays a request to its home box.
     async fn relay(
         &self,
-        original: &Original,
+        original: &OriginalRequest,
         address: &str,
         key: Key,
         repeatable: bool,
@@ -187,25 +187,29 @@
         Ok(response.map(Body::new))
     }
 
-    /// Gives a request to the reducer and follows it to its home if that is another box; gives
-    /// the first reply that is of use here.
-    async fn first(&self, original: &Original, arrival: Arrival) -> Result<Begun, Response> {
-        let mut open = self.open(arrival.clone());
-        let Some(reply) = open.next().await else {
+    /// Submits a request to the reducer, and relays it if its home is another box. Returns the
+    /// first local reply, or the response if the request was answered elsewhere or failed.
+    async fn submit_and_relay(
+        &self,
+        original: &OriginalRequest,
+        arrival: Arrival,
+    ) -> Result<StartedCall, Response> {
+        let mut handle = self.submit(arrival.clone());
+        let Some(reply) = handle.next().await else {
             return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
         };
         let CallerReply::Relay { address, key, repeatable } = reply else {
-            return Ok(Begun { open, first: reply });
+            return Ok(StartedCall { handle, first: reply });
         };
         match self.relay(original, &address, key, repeatable).await {
             Ok(response) => Err(response),
             Err(_) if repeatable => {
-                let again = Arrival { key: None, claim: None, ..arrival };
-                let mut open = self.open(again);
-                let Some(first) = open.next().await else {
+                let retry = Arrival { key: None, claim: None, ..arrival };
+                let mut handle = self.submit(retry);
+                let Some(first) = handle.next().await else {
                     return Err(StatusCode::SERVICE_UNAVAILABLE.into_response());
                 };
-                Ok(Begun { open, first })
+                Ok(StartedCall { handle, first })
             }
             Err(_) => {
                 let detail = "the box that has this request can't be reached; it may have run";
@@ -217,57 +221,66 @@
     }
 }
 
-/// A request to which there is a first reply.
-struct Begun {
-    /// The connection to the reducer.
-    open: Open,
+/// A call whose first reply has arrived.
+struct StartedCall {
+    /// The call at the reducer, for further replies.
+    handle: CallHandle,
     /// The first reply.
     first: CallerReply,
 }
 
-/// Takes a chat.
+/// Handles a chat completion.
 async fn chat(State(callers): State<Callers>, request: Request) -> Response {
     generate(callers, Form::Chat, request).await
 }
 
-/// Takes a text to complete.
+/// Handles a text completion.
 async fn text(State(callers): State<Callers>, request: Request) -> Response {
     generate(callers, Form::Text, request).await
 }
 
-/// Takes a request for tokens.
+/// Handles a completion of either form.
 async fn generate(callers: Callers, form: Form, request: Request) -> Response {
     let read = async {
         let (original, headers) = callers.read(request).await?;
-        let wanted = openai::read(form, &original.body)?;
-        let arrival = arrival(&headers, Work::Generate(wanted.work.clone()))?;
-        Ok::<_, Unreadable>((original, wanted, arrival))
+        let parsed = openai::read(form, &original.body)?;
+        let arrival = arrival(&headers, Work::Generate(parsed.work.clone()))?;
+        Ok::<_, RequestError>((original, parsed, arrival))
     };
-    let (original, wanted, arrival) = match read.await {
+    let (original, parsed, arrival) = match read.await {
         Ok(read) => read,
-        Err(unreadable) => return problem::response(&unreadable.wire()),
+        Err(error) => return problem::response(&error.wire()),
     };
     let id = match arrival.key {
         Some(key) => format!("cmpl-{key}"),
         None => format!("cmpl-{}", callers.last_call.load(Ordering::Relaxed) + 1),
     };
-    let begun = match callers.first(&original, arrival).await {
-        Ok(begun) => begun,
+    let started = match callers.submit_and_relay(&original, arrival).await {
+        Ok(started) => started,
         Err(response) => return response,
     };
-    if wanted.stream { streamed(wanted, id, begun) } else { whole(wanted, id, begun).await }
+    if parsed.stream {
+        streamed_response(parsed, id, started)
+    } else {
+        complete_response(parsed, id, started).await
+    }
 }
 
-/// Collects an answer and gives it whole.
-async fn whole(wanted: openai::Request, id: String, mut begun: Begun) -> Response {
+/// Collects all tokens and returns the complete answer.
+async fn complete_response(
+    parsed: openai::Request,
+    id: String,
+    mut started: StartedCall,
+) -> Response {
     let mut text = String::new();
-    let mut reply = Some(begun.first);
+    let mut reply = Some(started.first);
     loop {
         match reply {
             Some(CallerReply::Token(token)) => text.push_str(&token),
             Some(CallerReply::Finished { reason, prompt_tokens, tokens }) => {
                 let usage = Usage::new(prompt_tokens, tokens);
-                return Json(openai::whole(&wanted, &id, &text, &reason, usage)).into_response();
+                return Json(openai::completion(&parsed, &id, &text, &reason, usage))
+                    .into_response();
             }
             Some(CallerReply::Problem(problem)) => {
                 return problem::response(&problem::wire(&problem));
@@ -276,26 +289,26 @@
                 return StatusCode::SERVICE_UNAVAILABLE.into_response();
             }
         }
-        reply = begun.open.next().await;
+        reply = started.handle.next().await;
     }
 }
 
-/// Gives an answer token by token, as server-sent events.
-fn streamed(wanted: openai::Request, id: String, begun: Begun) -> Response {
-    let Begun { open, first } = begun;
+/// Returns an answer token by token, as server-sent events.
+fn streamed_response(parsed: openai::Request, id: String, started: StartedCall) -> Response {
+    let StartedCall { handle, first } = started;
     if let CallerReply::Problem(problem) = &first {
         return problem::response(&problem::wire(problem));
     }
-    let events = stream::unfold(Some((open, Some(first))), move |state| {
-        let (wanted, id) = (wanted.clone(), id.clone());
+    let events = stream::unfold(Some((handle, Some(first))), move |state| {
+        let (parsed, id) = (parsed.clone(), id.clone());
         async move {
-            let (mut open, first) = state?;
+            let (mut handle, first) = state?;
             let reply = match first {
                 Some(first) => Some(first),
-                None => open.next().await,
+                None => handle.next().await,
             };
-            let (event, more) = sse(&wanted, &id, reply?);
-            Some((Ok::<_, Infallible>(event), more.then_some((open, None))))
+            let (event, more) = server_sent_event(&parsed, &id, reply?);
+            Some((Ok::<_, Infallible>(event), more.then_some((handle, None))))
         }
     });
     let mut response = Body::from_stream(events).into_response();
@@ -305,15 +318,15 @@
     response
 }
 
-/// Writes a reply as server-sent events; tells whether more may come.
-fn sse(wanted: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
+/// Formats a reply as server-sent events. Returns also whether more replies may follow.
+fn server_sent_event(parsed: &openai::Request, id: &str, reply: CallerReply) -> (Bytes, bool) {
     match reply {
         CallerReply::Token(token) => {
-            let chunk = openai::chunk(wanted, id, &token, None);
+            let chunk = openai::chunk(parsed, id, &token, None);
             (Bytes::from(format!("data: {chunk}\n\n")), true)
         }
         CallerReply::Finished { reason, .. } => {
-            let chunk = openai::chunk(wanted, id, "", Some(&reason));
+            let chunk = openai::chunk(parsed, id, "", Some(&reason));
             (Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n")), false)
         }
         CallerReply::Problem(problem) => {
@@ -324,7 +337,7 @@
     }
 }
 
-/// Takes a call of a plain service.
+/// Handles a call of a plain service.
 async fn plain(State(callers): State<Callers>, request: Request) -> Response {
     let read = async {
         let (original, headers) = callers.read(request).await?;
@@ -337,18 +350,18 @@
             body: original.body.as_ref().into(),
         };
         let arrival = arrival(&headers, Work::Call(call))?;
-        Ok::<_, Unreadable>((original, arrival))
+        Ok::<_, RequestError>((original, arrival))
     };
     let (original, arrival) = match read.await {
         Ok(read) => read,
-        Err(unreadable) => return problem::response(&unreadable.wire()),
+        Err(error) => return problem::response(&error.wire()),
     };
-    let begun = match callers.first(&original, arrival).await {
-        Ok(begun) => begun,
+    let started = match callers.submit_and_relay(&original, arrival).await {
+        Ok(started) => started,
         Err(response) => return response,
     };
-    match begun.first {
-        CallerReply::Answer(answer) => passed_back(answer),
+    match started.first {
+        CallerReply::Answer(answer) => service_response(answer),
         CallerReply::Problem(problem) => problem::response(&problem::wire(&problem)),
         CallerReply::Token(_) | CallerReply::Finished { .. } | CallerReply::Relay { .. } => {
             StatusCode::SERVICE_UNAVAILABLE.into_response()
@@ -356,8 +369,8 @@
     }
 }
 
-/// Makes the response of a plain service's answer.
-fn passed_back(answer: Answer) -> Response {
+/// Returns the response for a plain service's answer.
+fn service_response(answer: Answer) -> Response {
     let mut response = Response::new(Body::from(Bytes::copy_from_slice(&answer.body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
@@ -369,57 +382,58 @@
     response
 }
 
-/// Makes an arrival of what the headers say.
-fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, Unreadable> {
-    let key = match text_of(headers, caller::KEY)? {
+/// Creates an arrival from a request's headers.
+fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, RequestError> {
+    let key = match text_header(headers, caller::KEY)? {
         Some(text) => Some(text.parse::<Key>().map_err(|error| {
-            Unreadable::malformed(format!("the header `{}`: {error}", caller::KEY))
+            RequestError::malformed(format!("the header `{}`: {error}", caller::KEY))
         })?),
         None => None,
     };
-    let class = match text_of(headers, caller::CLASS)? {
+    let class = match text_header(headers, caller::CLASS)? {
         None => 0,
-        Some(text) => text.parse().ok().filter(|it| *it <= MOST_CLASS).ok_or_else(|| {
-            let detail = format!("the header `{}` must be from 0 to {MOST_CLASS}", caller::CLASS);
-            Unreadable::malformed(detail)
+        Some(text) => text.parse().ok().filter(|it| *it <= MAX_CLASS).ok_or_else(|| {
+            let detail = format!("the header `{}` must be from 0 to {MAX_CLASS}", caller::CLASS);
+            RequestError::malformed(detail)
         })?,
     };
     Ok(Arrival {
         key,
-        claim: text_of(headers, caller::IDEMPOTENCY_KEY)?.map(str::to_owned),
-        relayed: flag_of(headers, caller::RELAYED)?,
-        repeatable: !flag_of(headers, caller::ONCE)?,
-        tenant: text_of(headers, caller::TENANT)?.unwrap_or_default().to_owned(),
+        claim: text_header(headers, caller::IDEMPOTENCY_KEY)?.map(str::to_owned),
+        relayed: bool_header(headers, caller::RELAYED)?,
+        repeatable: !bool_header(headers, caller::ONCE)?,
+        tenant: text_header(headers, caller::TENANT)?.unwrap_or_default().to_owned(),
         class,
         work,
     })
 }
 
-/// Reads a header that is a short text.
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Unreadable> {
+/// Reads a header with a short text; none if the header is absent.
+fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MOST_NAME => Ok(Some(text)),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => Ok(Some(text)),
         Ok(_) | Err(_) => {
-            let detail = format!("the header `{name}` must be a text of 1 to {MOST_NAME} bytes");
-            Err(Unreadable::malformed(detail))
+            let detail =
+                format!("the header `{name}` must be a text of 1 to {MAX_NAME_BYTES} bytes");
+            Err(RequestError::malformed(detail))
         }
     }
 }
 
-/// Reads a header that is `true` or `false`.
-fn flag_of(headers: &HeaderMap, name: &str) -> Result<bool, Unreadable> {
-    match text_of(headers, name)? {
+/// Reads a header that is `true` or `false`; an absent one is false.
+fn bool_header(headers: &HeaderMap, name: &str) -> Result<bool, RequestError> {
+    match text_header(headers, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(_) => {
             let detail = format!("the header `{name}` must be `true` or `false`");
-            Err(Unreadable::malformed(detail))
+            Err(RequestError::malformed(detail))
         }
     }
 }
 
-/// Lists the models.
+/// Returns the models and adapters of the site.
 async fn models(State(callers): State<Callers>) -> Result<Json<serde_json::Value>, Response> {
     let site = callers.query(Query::Site).await?;
     let names = site.services.iter().flat_map(|service| match &service.kind {
@@ -431,7 +445,7 @@
     Ok(Json(openai::models(names)))
 }
 
-/// Names the boxes for a caller.
+/// Returns the addresses of the boxes for a caller.
 async fn addresses(
     State(callers): State<Callers>,
     QueryString(mut query): QueryString<HashMap<String, String>>,
@@ -442,24 +456,24 @@
     callers.query(question).await.map(Json)
 }
 
-/// Gives the box's state.
+/// Returns the box's status.
 async fn status(
     State(callers): State<Callers>,
 ) -> Result<Json<hollyspoke::status::Status>, Response> {
     callers.query(Query::Status).await.map(Json)
 }
 
-/// Gives the site in force.
+/// Returns the site in force.
 async fn site(State(callers): State<Callers>) -> Result<Json<Site>, Response> {
     callers.query(Query::Site).await.map(Json)
 }
 
-/// Gives the metrics.
+/// Returns the metrics in Prometheus' text format.
 async fn metrics(State(callers): State<Callers>) -> Result<String, Response> {
     callers.query(Query::Metrics).await
 }
 
-/// Tells whether callers may be sent here.
+/// Returns whether the box is ready for callers.
 async fn ready(State(callers): State<Callers>) -> Result<&'static str, Response> {
     match callers.query(Query::Ready).await? {
         true => Ok("ready\n"),
--- a/crates/hollyspoke-daemon/src/connection.rs
+++ b/crates/hollyspoke-daemon/src/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accept, serve, answer what can't be read, and close at the planned stop.
+//! Callers' connections: accepts and serves them, and closes them at the planned stop.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -16,18 +16,18 @@
 use tokio::sync::watch;
 use tower::ServiceExt;
 
-use crate::problem::Unreadable;
+use crate::problem::RequestError;
 
-/// How long a caller may take to send a request's head.
-pub const HEAD_LIMIT: Duration = Duration::from_secs(10);
+/// The time limit for receiving a request's head.
+pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest head of a request, in bytes.
-const MOST_HEAD: usize = 64 * 1024;
+/// The largest size of a request's head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// The most headers of a request.
-const MOST_HEADERS: usize = 100;
+/// The largest number of headers of a request.
+const MAX_HEADERS_COUNT: usize = 100;
 
-/// Accepts connections until told to stop.
+/// Accepts connections until the stop signal is set.
 pub async fn accept(listener: TcpListener, router: Router, mut stopping: watch::Receiver<bool>) {
     loop {
         let accepted = tokio::select! {
@@ -38,16 +38,16 @@
             Ok((socket, _)) => {
                 tokio::spawn(serve(socket, router.clone(), stopping.clone()));
             }
-            // Too many open files or a connection that broke at once: try again a little later.
+            // Too many open files, or the connection was reset: retries after a short delay.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
-/// Serves one connection.
+/// Serves one connection; the stop signal lets its current request finish.
 async fn serve(socket: TcpStream, router: Router, mut stopping: watch::Receiver<bool>) {
     if socket.set_nodelay(true).is_err() {
-        // The connection is gone already.
+        // The connection is closed already.
         return;
     }
     let service = service_fn(move |request: Request<Incoming>| {
@@ -56,15 +56,15 @@
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT)
-        .max_buf_size(MOST_HEAD)
-        .max_headers(MOST_HEADERS)
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS_COUNT)
         .serve_connection(TokioIo::new(socket), service);
-    let mut told = false;
+    let mut is_closing = false;
     let mut stop = std::pin::pin!(async move { drop(stopping.wait_for(|it| *it).await) });
     let served = std::future::poll_fn(|cx| {
-        if !told && stop.as_mut().poll(cx).is_ready() {
-            told = true;
+        if !is_closing && stop.as_mut().poll(cx).is_ready() {
+            is_closing = true;
             Pin::new(&mut connection).graceful_shutdown();
         }
         connection.poll_without_shutdown(cx)
@@ -72,14 +72,14 @@
     .await;
     let parts = connection.into_parts();
     let mut socket = parts.io.into_inner();
-    // A head that never came whole is answered too; an idle connection just ends.
+    // An incomplete head is answered with 408; an idle connection is closed without an answer.
     if served.is_err_and(|error| error.is_timeout()) && !parts.read_buf.is_empty() {
-        let _ = socket.write_all(&late_head()).await;
+        let _ = socket.write_all(&head_timeout_response()).await;
     }
     let _ = socket.shutdown().await;
 }
 
-/// Answers one request through the routes.
+/// Answers one request with the router.
 async fn answer(router: Router, request: Request<Incoming>) -> axum::response::Response {
     match router.oneshot(request.map(Body::new)).await {
         Ok(response) => response,
@@ -87,14 +87,14 @@
     }
 }
 
-/// Writes the answer to a head that did not come in time.
-fn late_head() -> Vec<u8> {
-    let unreadable = Unreadable {
+/// Returns the raw response to a head that did not arrive in time.
+fn head_timeout_response() -> Vec<u8> {
+    let error = RequestError {
         status: StatusCode::REQUEST_TIMEOUT,
         slug: "slow-sender",
-        detail: format!("the request's head did not come within {} s", HEAD_LIMIT.as_secs()),
+        detail: format!("the request's head did not come within {} s", HEAD_TIMEOUT.as_secs()),
     };
-    let body = serde_json::to_string(&unreadable.wire()).unwrap_or_default();
+    let body = serde_json::to_string(&error.wire()).unwrap_or_default();
     format!(
         "HTTP/1.1 408 Request Timeout\r\ncontent-type: {}\r\ncontent-length: {}\r\n\
          connection: close\r\n\r\n{body}",
--- a/crates/hollyspoke-daemon/src/peers.rs
+++ b/crates/hollyspoke-daemon/src/peers.rs
@@ -9,125 +9,130 @@
 use hollyspoke_wire::peer::Connection;
 use tokio::sync::mpsc;
 
-use crate::input::Inputs;
+use crate::input::InputSender;
 
-/// The messages to one box that may wait; more are dropped, as the reducer expects.
-const WAITING: usize = 1024;
+/// The queue length of one box. Further messages are dropped, which the reducer allows for.
+const MAX_QUEUED_COUNT: usize = 1024;
 
-/// The most messages in one call.
-const BATCH: usize = 64;
+/// The largest number of queued items that one call delivers.
+const MAX_BATCH_COUNT: usize = 64;
 
-/// What waits for one box.
+/// An item in the queue of one box.
 #[derive(Debug)]
 enum Outgoing {
-    /// A message.
+    /// A message to one incarnation of the box.
     Message(Incarnation, Message),
-    /// A greeting.
+    /// A greeting with this box's member entry.
     Greeting(Entry),
 }
 
 /// All connections to other boxes.
 #[derive(Debug)]
 pub struct Peers {
-    /// This box.
-    me: Incarnation,
-    /// Where answers go.
-    inputs: Inputs,
-    /// The queue of each address.
+    /// The incarnation of this box, the sender of all messages.
+    own_incarnation: Incarnation,
+    /// The event queue of the reducer, for answers and failures.
+    inputs: InputSender,
+    /// The queue of each address. It closes when its delivery task ends.
     queues: HashMap<String, mpsc::Sender<Outgoing>>,
 }
 
 impl Peers {
-    /// Makes it without connections.
-    pub fn new(me: Incarnation, inputs: Inputs) -> Peers {
-        Peers { me, inputs, queues: HashMap::new() }
+    /// Creates the set without connections.
+    pub fn new(own_incarnation: Incarnation, inputs: InputSender) -> Peers {
+        Peers { own_incarnation, inputs, queues: HashMap::new() }
     }
 
-    /// Sends a message; it is dropped when too many wait.
+    /// Queues a message, or drops it when the queue is full.
     pub fn send(&mut self, to: Incarnation, address: String, message: Message) {
-        self.put(address, Outgoing::Message(to, message));
+        self.enqueue(address, Outgoing::Message(to, message));
     }
 
-    /// Greets the box at an address.
+    /// Queues a greeting to the box at an address.
     pub fn greet(&mut self, address: String, entry: Entry) {
-        self.put(address, Outgoing::Greeting(entry));
+        self.enqueue(address, Outgoing::Greeting(entry));
     }
 
-    /// Puts something into an address's queue.
-    fn put(&mut self, address: String, outgoing: Outgoing) {
+    /// Queues an item and starts the delivery task of an address that has none.
+    fn enqueue(&mut self, address: String, outgoing: Outgoing) {
         self.queues.retain(|_, queue| !queue.is_closed());
-        let (me, inputs) = (self.me, self.inputs.clone());
+        let (own_incarnation, inputs) = (self.own_incarnation, self.inputs.clone());
         let queue = self.queues.entry(address).or_insert_with_key(|address| {
-            let (queue, waiting) = mpsc::channel(WAITING);
-            tokio::spawn(serve(me, inputs, address.clone(), waiting));
+            let (queue, receiver) = mpsc::channel(MAX_QUEUED_COUNT);
+            tokio::spawn(deliver_queue(own_incarnation, inputs, address.clone(), receiver));
             queue
         });
-        // A full queue drops the message: the other box does not keep up or is gone.
+        // A full queue drops the item: the other box is too slow or unreachable.
         let _ = queue.try_send(outgoing);
     }
 }
 
-/// Delivers what waits for one address. What waits when the box can't be reached is dropped.
-async fn serve(
-    me: Incarnation,
-    inputs: Inputs,
+/// Delivers the queue of one address. Drops all queued items when the box is unreachable.
+async fn deliver_queue(
+    own_incarnation: Incarnation,
+    inputs: InputSender,
     address: String,
-    mut waiting: mpsc::Receiver<Outgoing>,
+    mut receiver: mpsc::Receiver<Outgoing>,
 ) {
-    let mut link: Option<Connection> = None;
+    let mut connection: Option<Connection> = None;
     let mut batch = Vec::new();
-    while waiting.recv_many(&mut batch, BATCH).await > 0 {
-        if link.is_none() {
-            link = Connection::open(&address).await.ok();
+    while receiver.recv_many(&mut batch, MAX_BATCH_COUNT).await > 0 {
+        if connection.is_none() {
+            connection = Connection::open(&address).await.ok();
         }
-        let Some(open) = &link else {
-            batch.extend(std::iter::from_fn(|| waiting.try_recv().ok()));
+        let Some(established) = &connection else {
+            batch.extend(std::iter::from_fn(|| receiver.try_recv().ok()));
             report_unreachable(&inputs, &batch);
             batch.clear();
             continue;
         };
-        if !deliver(me, &inputs, open, &batch).await {
-            link = None;
+        if !deliver(own_incarnation, &inputs, established, &batch).await {
+            connection = None;
             report_unreachable(&inputs, &batch);
         }
         batch.clear();
     }
 }
 
-/// Tells the reducer that the boxes for which a batch was meant can't be reached.
-fn report_unreachable(inputs: &Inputs, batch: &[Outgoing]) {
+/// Reports the receivers of a batch as unreachable to the reducer.
+fn report_unreachable(inputs: &InputSender, batch: &[Outgoing]) {
     let mut last = None;
     for outgoing in batch {
         let Outgoing::Message(to, _) = outgoing else { continue };
         if last != Some(*to) {
-            inputs.event(Event::Unreachable(*to));
+            inputs.send_event(Event::Unreachable(*to));
             last = Some(*to);
         }
     }
 }
 
-/// Delivers a batch; false when the connection has failed.
-async fn deliver(me: Incarnation, inputs: &Inputs, link: &Connection, batch: &[Outgoing]) -> bool {
+/// Delivers a batch. Returns false when the connection has failed.
+async fn deliver(
+    own_incarnation: Incarnation,
+    inputs: &InputSender,
+    connection: &Connection,
+    batch: &[Outgoing],
+) -> bool {
     let mut messages: Vec<(Incarnation, Vec<Message>)> = Vec::new();
     let mut greeting = None;
     for outgoing in batch {
         match outgoing {
             Outgoing::Greeting(entry) => greeting = Some(entry.clone()),
             Outgoing::Message(to, message) => match messages.last_mut() {
-                Some((last, run)) if last == to => run.push(message.clone()),
+                Some((last, group)) if last == to => group.push(message.clone()),
                 Some(_) | None => messages.push((*to, vec![message.clone()])),
             },
         }
     }
     if let Some(entry) = greeting {
-        let Ok(seen) = link.greet(entry).await else { return false };
-        inputs.event(Event::Seen(seen));
+        let Ok(seen) = connection.greet(entry).await else { return false };
+        inputs.send_event(Event::Seen(seen));
     }
-    for (to, run) in messages {
-        match link.deliver(me, to, run).await {
+    for (to, group) in messages {
+        match connection.deliver(own_incarnation, to, group).await {
             Ok(true) => {}
-            // Another incarnation has dropped them: the one they were meant for is gone.
-            Ok(false) => inputs.event(Event::Unreachable(to)),
+            // Another incarnation runs at the address and has dropped the messages.
+            Ok(false) => inputs.send_event(Event::Unreachable(to)),
             Err(_) => return false,
         }
     }
--- a/crates/hollyspoke-daemon/src/run.rs
+++ b/crates/hollyspoke-daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts one box and sees it through to its planned stop.
+//! Starts one box and runs it until its planned stop is complete.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,27 +19,27 @@
 
 use crate::callers::Callers;
 use crate::connection;
-use crate::input::Inputs;
+use crate::input::InputSender;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::shell::{self, Shell};
 use crate::store::{self, SiteObject};
 
-/// How long connections get to close once the planned stop is complete.
-const CLOSING: Duration = Duration::from_millis(500);
+/// The time that connections have to close once the planned stop is complete.
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
 
-/// A box that runs.
+/// A running box; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct Running {
-    /// The address for callers.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// The address for other boxes.
+    /// The address that other boxes connect to.
     pub peers: SocketAddr,
-    /// The way to the reducer.
-    inputs: Inputs,
-    /// The reducer's loop.
+    /// The event queue of the reducer.
+    inputs: InputSender,
+    /// The task of the event loop.
     shell: JoinHandle<()>,
-    /// Tells connections to close.
+    /// The stop signal for connections.
     stopping: watch::Sender<bool>,
     /// The tasks that end with the box.
     tasks: Vec<JoinHandle<()>>,
@@ -48,15 +48,15 @@
 impl Running {
     /// Begins the planned stop.
     pub fn leave(&self) {
-        self.inputs.event(Event::Leave);
+        self.inputs.send_event(Event::Leave);
     }
 
     /// Waits until the planned stop is complete.
     pub async fn wait(mut self) {
-        // A loop that panicked is over too; the process then ends.
+        // A loop that panicked has ended as well, and the process exits.
         let _ = (&mut self.shell).await;
         self.stopping.send_replace(true);
-        tokio::time::sleep(CLOSING).await;
+        tokio::time::sleep(CLOSE_GRACE).await;
     }
 }
 
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// When a socket can't be had.
+/// When an address can't be listened on or the metrics can't be set up.
 pub async fn start(settings: Settings, log: Logger) -> eyre::Result<Running> {
     let callers = listen(settings.listen, "callers").await?;
     let peers = listen(settings.listen_peers, "other boxes").await?;
@@ -99,10 +99,10 @@
         "data_centre" => &settings.data_centre,
         "site" => &settings.site,
     );
-    let (inputs, receiver) = Inputs::new();
-    let (entry, entry_seen) = watch::channel(node.entry().clone());
-    let (arrived_sender, arrived) = mpsc::unbounded_channel();
-    let (stopping, stopping_seen) = watch::channel(false);
+    let (inputs, receiver) = InputSender::new();
+    let (entry, entry_receiver) = watch::channel(node.entry().clone());
+    let (received_sender, received) = mpsc::unbounded_channel();
+    let (stopping, stopping_receiver) = watch::channel(false);
     let platform = Platform::new(Client::new(), settings.platform.to_string());
     let site = SiteObject {
         platform: platform.clone(),
@@ -112,23 +112,23 @@
     };
     let router = Callers::new(inputs.clone(), settings.body_limit).router();
     let shell = Shell::new(node, inputs.clone(), site, entry, Metrics::new()?, log);
-    let inbox = Inbox::new(entry_seen, arrived_sender);
+    let inbox = Inbox::new(entry_receiver, received_sender);
     let tasks = vec![
         tokio::spawn(async move {
-            // The listener ends with the box; without it no other box reaches this one, which
-            // the members' view shows.
+            // The task ends with the box. If it fails earlier, other boxes can't reach this one,
+            // which their member lists show.
             let _ = inbox.serve(peers).await;
         }),
-        tokio::spawn(shell::pass_on(arrived, inputs.clone())),
-        tokio::spawn(store::list_boxes(platform, inputs.clone())),
-        tokio::spawn(connection::accept(callers, router, stopping_seen)),
+        tokio::spawn(shell::forward_received(received, inputs.clone())),
+        tokio::spawn(store::poll_boxes(platform, inputs.clone())),
+        tokio::spawn(connection::accept(callers, router, stopping_receiver)),
     ];
     let shell = tokio::spawn(shell.run(receiver));
     Ok(Running { callers: callers_address, peers: peers_address, inputs, shell, stopping, tasks })
 }
 
-/// Listens on an address.
-async fn listen(address: SocketAddr, whom: &str) -> eyre::Result<TcpListener> {
+/// Listens on an address; an error names the clients that it is for.
+async fn listen(address: SocketAddr, clients: &str) -> eyre::Result<TcpListener> {
     let listening = TcpListener::bind(address).await;
-    listening.wrap_err_with(|| format!("can't listen for {whom} on {address}"))
+    listening.wrap_err_with(|| format!("can't listen for {clients} on {address}"))
 }
--- a/crates/hollyspoke-daemon/src/upstream.rs
+++ b/crates/hollyspoke-daemon/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The calls to engines and plain services that the reducer asks for.
+//! The calls to engines and plain services that the reducer requests.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
 use http_body_util::Full;
 use slog::{Logger, warn};
 
-use crate::input::{Input, Inputs};
+use crate::input::{Input, InputSender};
 
-/// How long a cancel may take.
-const CANCEL_LIMIT: Duration = Duration::from_secs(1);
+/// The time limit of one attempt to cancel a stream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often a cancel is tried; the shard's owner sweeps up what is left.
-const CANCEL_TRIES: u32 = 3;
+/// The largest number of cancel attempts; the shard's owner cancels streams that remain.
+const MAX_CANCEL_ATTEMPTS: u32 = 3;
 
-/// How long a report may take.
-const POLL_LIMIT: Duration = Duration::from_millis(800);
+/// The time limit of reading an engine's report.
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Headers of one connection alone, which are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -42,15 +42,15 @@
     "content-length",
 ];
 
-/// Tells whether a header is passed on.
-pub fn is_passed_on(name: &str) -> bool {
+/// Returns whether a header is forwarded.
+pub fn is_end_to_end(name: &str) -> bool {
     !CONNECTION_HEADERS.contains(&name) && name != "host"
 }
 
-/// Has an engine compute a prompt.
+/// Prefills a prompt at an engine.
 pub async fn prefill(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     work: Generate,
@@ -66,15 +66,15 @@
     let url = format!("http://{address}/v1/prefill");
     let reply = match client.post::<Prefilled>(&url, &prefill).await {
         Ok(_) => Reply::Prefilled,
-        Err(error) => failure(&error),
+        Err(error) => failure_reply(&error),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Has a decode engine fetch a prefill result.
+/// Makes a decode engine fetch a prefill result.
 pub async fn import(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     import: Import,
@@ -82,15 +82,15 @@
     let url = format!("http://{address}/v1/import");
     let reply = match client.post::<Empty>(&url, &import).await {
         Ok(Empty {}) => Reply::Imported,
-        Err(error) => failure(&error),
+        Err(error) => failure_reply(&error),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Has an engine generate, and passes on each token.
+/// Decodes at an engine and forwards each token to the reducer.
 pub async fn decode(
     client: Client,
-    inputs: Inputs,
+    inputs: InputSender,
     ticket: Ticket,
     address: String,
     decode: Decode,
@@ -98,40 +98,40 @@
     let lines = match engine::decode(&client, &address, &decode).await {
         Ok(lines) => lines,
         Err(error) => {
-            inputs.event(Event::Upstream { ticket, reply: failure(&error) });
+            inputs.send_event(Event::Upstream { ticket, reply: failure_reply(&error) });
             return;
         }
     };
     let mut lines = std::pin::pin!(lines);
     while let Some(line) = lines.next().await {
-        let (reply, last) = match line {
+        let (reply, is_last) = match line {
             Ok(Line::Token { seq, text }) => (Reply::Token { seq, text: text.into() }, false),
             Ok(Line::Finished { finished }) => (Reply::Finished { reason: finished.into() }, true),
-            Err(error) => (failure(&error), true),
+            Err(error) => (failure_reply(&error), true),
         };
-        inputs.event(Event::Upstream { ticket, reply });
-        if last {
+        inputs.send_event(Event::Upstream { ticket, reply });
+        if is_last {
             return;
         }
     }
     let error = CallError::Sent("the stream ended without its end".to_owned());
-    inputs.event(Event::Upstream { ticket, reply: failure(&error) });
+    inputs.send_event(Event::Upstream { ticket, reply: failure_reply(&error) });
 }
 
-/// Has an engine free what it holds for an attempt.
+/// Frees an engine's memory of an attempt, with retries.
 pub async fn cancel(client: Client, ticket: Ticket, address: String) {
     let url = format!("http://{address}/v1/cancel");
     let body = Cancel { stream: ticket.to_string() };
-    for attempt in 0..CANCEL_TRIES {
+    for attempt in 0..MAX_CANCEL_ATTEMPTS {
         let call = client.post::<Empty>(&url, &body);
-        if let Ok(Ok(Empty {})) = tokio::time::timeout(CANCEL_LIMIT, call).await {
+        if let Ok(Ok(Empty {})) = tokio::time::timeout(CANCEL_TIMEOUT, call).await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100 << attempt)).await;
     }
 }
 
-/// Gives an engine an order. Whether it was carried out shows in the engine's next report.
+/// Sends an engine an order. The engine's next report shows whether the order was executed.
 pub async fn order(client: Client, log: Logger, address: String, token: u64, order: Order) {
     let url = format!("http://{address}/v1/orders");
     let body = FencedOrder { token, role: order.role, load: order.load };
@@ -143,44 +143,44 @@
     }
 }
 
-/// Asks an engine for its report.
+/// Reads an engine's report; none if it fails or takes too long.
 pub async fn poll(client: &Client, address: &str) -> Option<Report> {
     let url = format!("http://{address}/v1/report");
     let call = client.get::<Load>(&url);
-    let load = tokio::time::timeout(POLL_LIMIT, call).await.ok()?.ok()?;
+    let load = tokio::time::timeout(POLL_TIMEOUT, call).await.ok()?.ok()?;
     Some(load.report())
 }
 
 /// One call of a plain service.
 #[derive(Debug)]
 pub struct PlainCall {
-    /// The attempt.
+    /// The ticket of the attempt.
     pub ticket: Ticket,
-    /// The request's key.
+    /// The key of the request, which is sent along in a header.
     pub key: Key,
     /// The upstream's address.
     pub address: String,
-    /// The call.
+    /// The method, path, headers and body to send.
     pub call: Call,
-    /// How long it may take.
+    /// The time limit of the call.
     pub timeout: Duration,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once; otherwise it uses a new connection.
     pub repeatable: bool,
 }
 
-/// Calls a plain service.
-pub async fn call(client: Client, inputs: Inputs, plain: PlainCall) {
+/// Calls a plain service and reports the answer to the reducer.
+pub async fn call(client: Client, inputs: InputSender, plain: PlainCall) {
     let ticket = plain.ticket;
-    let limit = plain.timeout;
-    let reply = match tokio::time::timeout(limit, call_once(client, plain)).await {
+    let timeout = plain.timeout;
+    let reply = match tokio::time::timeout(timeout, call_once(client, plain)).await {
         Ok(Ok(answer)) => Reply::Answered(answer),
-        Ok(Err(error)) => failure(&error),
-        Err(_) => failure(&CallError::Sent("the upstream did not answer in time".to_owned())),
+        Ok(Err(error)) => failure_reply(&error),
+        Err(_) => failure_reply(&CallError::Sent("the upstream did not answer in time".to_owned())),
     };
-    inputs.event(Event::Upstream { ticket, reply });
+    inputs.send_event(Event::Upstream { ticket, reply });
 }
 
-/// Sends one call and reads its whole answer.
+/// Sends a call and reads the complete answer.
 async fn call_once(client: Client, plain: PlainCall) -> Result<Answer, CallError> {
     let uri = format!("http://{}{}", plain.address, plain.call.path);
     let mut request = Request::builder().method(plain.call.method.as_str()).uri(uri);
@@ -196,19 +196,19 @@
         false => client.send_unpooled(request).await?,
     };
     let status = response.status().as_u16();
-    let headers = response.headers().iter().filter_map(passed_on).collect();
+    let headers = response.headers().iter().filter_map(forwarded_header).collect();
     let body = read_whole(response).await?;
     Ok(Answer { status, headers, body: body.as_ref().into() })
 }
 
-/// Gives a header as it is passed on, if it is.
-pub fn passed_on((name, value): (&HeaderName, &HeaderValue)) -> Option<(String, String)> {
+/// Returns a header's name and value if it is forwarded and its value is text.
+pub fn forwarded_header((name, value): (&HeaderName, &HeaderValue)) -> Option<(String, String)> {
     let value = value.to_str().ok()?;
-    is_passed_on(name.as_str()).then(|| (name.to_string(), value.to_owned()))
+    is_end_to_end(name.as_str()).then(|| (name.to_string(), value.to_owned()))
 }
 
-/// Makes the reply for a call that failed.
-fn failure(error: &CallError) -> Reply {
+/// Returns the reply for a failed call.
+fn failure_reply(error: &CallError) -> Reply {
     if error.status() == Some(engine::STATUS_FULL) {
         return Reply::Full;
     }
@@ -219,8 +219,8 @@
     Reply::Failed { detail: error.to_string(), trace }
 }
 
-/// Gives the input that reports a poll.
-pub async fn polled(
+/// Polls an engine and returns the input with the report for the event loop.
+pub async fn poll_event(
     client: Client,
     engine: hollyspoke::site::UpstreamId,
     address: String,
