--- a/tests/soak/src/client.rs
+++ b/tests/soak/src/client.rs
@@ -79,7 +79,7 @@
     /// Where observations go.
     pub sink: Sink,
     /// Whether clients go on.
-    pub goes_on: Cell<bool>,
+    pub is_running: Cell<bool>,
     /// Gives the newest version of the configuration that was acknowledged.
     pub version: Rc<Cell<u64>>,
     /// Whether all requests are safe ones.
@@ -149,7 +149,7 @@
 /// Runs a client until clients are told to end.
 pub async fn run(shared: Rc<Shared>, number: usize) {
     let mut client = Client::new(shared, number);
-    while client.shared.goes_on.get() {
+    while client.shared.is_running.get() {
         let wanted = client.draw();
         client.serve(wanted).await;
         let pause = client.random.random_range(PAUSE_MS.0..=PAUSE_MS.1);
--- a/tests/soak/src/harmful.rs
+++ b/tests/soak/src/harmful.rs
@@ -34,7 +34,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(shared.seed ^ 0x4A12);
     let mut client = Client::new(shared.clone(), CLIENT);
     tokio::time::sleep(WARM_UP).await;
-    while shared.goes_on.get() {
+    while shared.is_running.get() {
         for kind in KINDS {
             let nonce: u64 = random.random();
             let varies = mutant == Some(Mutant::VariesHarm);
--- a/tests/soak/src/judge.rs
+++ b/tests/soak/src/judge.rs
@@ -151,13 +151,13 @@
 const RECOVERY_COUNTED: Micros = 3 * SECOND;
 
 /// The fewest requests by which recovery is judged.
-const LEAST_COUNTED: usize = 8;
+const MIN_RECOVERY_REQUEST_COUNT: usize = 8;
 
 /// The fewest runs that go on for nobody by which that is judged: a few may be crossed by the news.
-const LEAST_LEFT: usize = 3;
+const MIN_LATE_RUN_COUNT: usize = 3;
 
 /// The statuses that promise that a request has not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Judges what was seen, in any order; gives what is broken, the earliest first.
 pub fn judge(observations: &[Observation], bounds: &Bounds) -> Vec<Finding> {
@@ -262,7 +262,7 @@
     for attempt in records.attempts.values().filter(|it| it.kind.runs_once()) {
         let Some(answer) = &attempt.answer else { continue };
         let run = attempt.runs.iter().find(|it| !it.is_reading);
-        if PROMISES.contains(&answer.status)
+        if NOT_RUN_STATUSES.contains(&answer.status)
             && let Some(run) = run
         {
             let what = format!("{}: {} though {} ran it", attempt.id, answer.status, run.engine);
@@ -379,8 +379,8 @@
         let lacks = probe.version == newest_due && newest == newest_due && probe.status == 404;
         let keeps = probe.version < newest_due && probe.status == 200;
         if lacks || keeps {
-            let how = if lacks { "lacks" } else { "still serves" };
-            let what = format!("box {} {how} version {}", probe.node, probe.version);
+            let problem = if lacks { "lacks" } else { "still serves" };
+            let what = format!("box {} {problem} version {}", probe.node, probe.version);
             findings.push(finding(Promise::NewestVersion, probe.at, what));
         }
     }
@@ -417,7 +417,7 @@
             }
         }
     }
-    if late.len() >= LEAST_LEFT && late.len() * 4 > left {
+    if late.len() >= MIN_LATE_RUN_COUNT && late.len() * 4 > left {
         let (at, first) = &late[0];
         let what =
             format!("{} of {left} runs went on for clients that had left: {first}", late.len());
@@ -460,7 +460,7 @@
         let sent: Vec<_> =
             requests.clone().filter(|it| it.sent >= from && it.sent < until).collect();
         let served = sent.iter().filter(|it| it.is_served()).count();
-        if sent.len() >= LEAST_COUNTED && served * 4 < sent.len() {
+        if sent.len() >= MIN_RECOVERY_REQUEST_COUNT && served * 4 < sent.len() {
             let what = format!("{served} of {} requests served", sent.len());
             findings.push(finding(Promise::Recovers, until, what));
         }
@@ -565,7 +565,8 @@
 impl Second {
     /// Counts a request. One whose client left on purpose does not count.
     fn count(&mut self, attempt: &Attempt) {
-        let refused = attempt.answer.as_ref().is_some_and(|it| PROMISES.contains(&it.status));
+        let refused =
+            attempt.answer.as_ref().is_some_and(|it| NOT_RUN_STATUSES.contains(&it.status));
         match &attempt.answer {
             Some(answer) if attempt.is_served() && answer.at < attempt.sent + SECOND => {
                 self.served += 1;
--- a/tests/soak/src/judge/harm.rs
+++ b/tests/soak/src/judge/harm.rs
@@ -38,9 +38,9 @@
     let third = third_crash(attempts)?;
     let is_late = |attempt: &&Attempt, run: &Run| {
         let from = run.began.saturating_sub(bounds.contact + MARGIN);
-        let is_free = records.is_disturbed(attempt.node, from, run.began)
+        let is_excused = records.is_disturbed(attempt.node, from, run.began)
             || records.is_store_disturbed(from, run.began);
-        run.began > third + bounds.contact + MARGIN && !is_free
+        run.began > third + bounds.contact + MARGIN && !is_excused
     };
     let mut late: Vec<Micros> = attempts
         .iter()
--- a/tests/soak/src/judge/intake.rs
+++ b/tests/soak/src/judge/intake.rs
@@ -57,10 +57,10 @@
         let answered = if is_early { Some(run.began) } else { run.end.map(|it| it.at) };
         (run.engine.as_str(), Arrival { at: run.began, node, answered })
     });
-    let turned_away = attempt.turned_away.iter().zip(&attempt.turned_away_by);
-    let turned_away = turned_away
-        .map(|(&at, engine)| (engine.as_str(), Arrival { at, node, answered: Some(at) }));
-    runs.chain(turned_away).collect()
+    let rejections = attempt.rejections.iter().zip(&attempt.rejected_by);
+    let rejections =
+        rejections.map(|(&at, engine)| (engine.as_str(), Arrival { at, node, answered: Some(at) }));
+    runs.chain(rejections).collect()
 }
 
 /// Checks what came to one upstream.
@@ -73,7 +73,7 @@
 ) -> Option<Finding> {
     arrivals.sort_by_key(|it| it.at);
     for (begun, until) in spans(named) {
-        let told = told_at(&arrivals, begun, until);
+        let told = first_answers(&arrivals, begun, until);
         let counts = |it: &&Arrival| {
             let is_told = told.get(&it.node).is_some_and(|told| it.at >= told + COUNTS_AFTER);
             let from = it.at.saturating_sub(bounds.contact);
@@ -82,7 +82,7 @@
         let counted: Vec<Micros> = arrivals.iter().filter(counts).map(|it| it.at).collect();
         for &end in counted.iter().filter(|it| **it >= begun + bounds.contact) {
             let within = counted.iter().filter(|it| **it <= end && **it + WINDOW > end).count();
-            let rate = most_named(named, end) as f64 / 1e3;
+            let rate = max_limit_milli(named, end) as f64 / 1e3;
             let allowed = rate * (WINDOW / SECOND) as f64 * OVERRUN + SLACK;
             if within as f64 > allowed {
                 let what = format!("{engine} takes {rate} a second and got {within} in 4 s");
@@ -112,7 +112,7 @@
 }
 
 /// Gives when each box had its first answer of a span.
-fn told_at(arrivals: &[Arrival], begun: Micros, until: Micros) -> BTreeMap<usize, Micros> {
+fn first_answers(arrivals: &[Arrival], begun: Micros, until: Micros) -> BTreeMap<usize, Micros> {
     let mut told = BTreeMap::new();
     for arrival in arrivals.iter().filter(|it| it.at >= begun && it.at < until) {
         if let Some(answered) = arrival.answered {
@@ -124,7 +124,7 @@
 }
 
 /// Gives the highest limit that was named in the window that ends at a time.
-fn most_named(named: &[(Micros, u64)], end: Micros) -> u64 {
+fn max_limit_milli(named: &[(Micros, u64)], end: Micros) -> u64 {
     let begun = end.saturating_sub(WINDOW);
     let ends = named.iter().skip(1).map(|it| it.0).chain([Micros::MAX]);
     let in_window = named.iter().zip(ends).filter(|(it, until)| it.0 <= end && *until > begun);
--- a/tests/soak/src/judge/records.rs
+++ b/tests/soak/src/judge/records.rs
@@ -85,9 +85,9 @@
     /// Its runs, in order.
     pub(super) runs: Vec<Run>,
     /// When upstreams turned it away.
-    pub(super) turned_away: Vec<Micros>,
+    pub(super) rejections: Vec<Micros>,
     /// The upstreams that did, in the same order.
-    pub(super) turned_away_by: Vec<String>,
+    pub(super) rejected_by: Vec<String>,
 }
 
 impl Attempt {
@@ -103,7 +103,7 @@
             let runs = self.runs.iter().filter(move |it| it.is_reading == is_reading);
             runs.map(|it| it.began)
         };
-        let mut runs: Vec<_> = arrivals(false).chain(self.turned_away.iter().copied()).collect();
+        let mut runs: Vec<_> = arrivals(false).chain(self.rejections.iter().copied()).collect();
         runs.sort_unstable();
         let mut readings: Vec<_> = arrivals(true).collect();
         readings.sort_unstable();
@@ -216,17 +216,17 @@
         let mut records = Records::default();
         // Tries come first, since an upstream may have seen one before its client noted it.
         for it in &sorted {
-            records.take_sent(it);
+            records.apply_sent(it);
         }
         for it in sorted {
-            records.take(it);
+            records.apply(it);
             records.last = records.last.max(it.at);
         }
         records
     }
 
     /// Takes a try.
-    fn take_sent(&mut self, it: &Observation) {
+    fn apply_sent(&mut self, it: &Observation) {
         let What::Sent { attempt, kind, node, path, body, after, caller } = &it.what else {
             return;
         };
@@ -243,14 +243,14 @@
             cut: None,
             left: None,
             runs: Vec::new(),
-            turned_away: Vec::new(),
-            turned_away_by: Vec::new(),
+            rejections: Vec::new(),
+            rejected_by: Vec::new(),
         };
         self.attempts.insert(attempt.id.clone(), attempt);
     }
 
     /// Takes all else.
-    fn take(&mut self, it: &Observation) {
+    fn apply(&mut self, it: &Observation) {
         let at = it.at;
         match &it.what {
             What::Answered { attempt, status, stamp, body, events, is_own } => {
@@ -262,8 +262,8 @@
             What::Cut { attempt } => self.with(attempt, |it| it.cut = Some(at)),
             What::Left { attempt } => self.with(attempt, |it| it.left = Some(at)),
             What::TurnedAway { engine, attempt } => self.with(attempt, |it| {
-                it.turned_away.push(at);
-                it.turned_away_by.push(engine.clone());
+                it.rejections.push(at);
+                it.rejected_by.push(engine.clone());
             }),
             What::Limited { engine, milli } => {
                 self.limits.entry(engine.clone()).or_default().push((at, *milli));
--- a/tests/soak/src/judge/terms.rs
+++ b/tests/soak/src/judge/terms.rs
@@ -12,10 +12,10 @@
 
 /// The time within which a box that has a refusal goes on with the request. One that takes longer may
 /// have gone on without it.
-const GOES_ON_WITHIN: Micros = 300 * MILLISECOND;
+const CONTINUES_WITHIN: Micros = 300 * MILLISECOND;
 
 /// What may come from a box while an upstream rests.
-const MOST_WHILE_RESTING: usize = 2;
+const MAX_WHILE_BACKING_OFF: usize = 2;
 
 /// A rest that an upstream asked a box for.
 #[derive(Debug, Clone)]
@@ -122,8 +122,8 @@
 /// Gives when a try came to an upstream.
 fn arrivals_at<'a>(attempt: &'a Attempt, engine: &'a str) -> impl Iterator<Item = Micros> + 'a {
     let runs = attempt.runs.iter().filter(move |it| it.engine == engine).map(|it| it.began);
-    let turned_away = attempt.turned_away.iter().zip(&attempt.turned_away_by);
-    runs.chain(turned_away.filter(move |(_, by)| **by == engine).map(|(&at, _)| at))
+    let rejections = attempt.rejections.iter().zip(&attempt.rejected_by);
+    runs.chain(rejections.filter(move |(_, by)| **by == engine).map(|(&at, _)| at))
 }
 
 /// Checks that upstreams get no more than is allowed from a box that they have asked for rest, and that
@@ -138,10 +138,10 @@
 /// Checks one rest.
 fn check_rest(records: &Records, rest: &Rest) -> Option<Finding> {
     let asked = records.attempts.get(&rest.attempt)?;
-    let told = goes_on_at(asked, rest.at)?;
+    let continued = continued_at(asked, rest.at)?;
     let ended = records.engine_ends.get(&rest.engine).filter(|it| **it > rest.at);
     let until = (rest.at + rest.span).min(ended.copied().unwrap_or(Micros::MAX));
-    let from = told + COUNTS_AFTER;
+    let from = continued + COUNTS_AFTER;
     let of_box = records.attempts.values().filter(|it| it.node == asked.node);
     let mut arrivals: Vec<_> = of_box
         .flat_map(|it| arrivals_at(it, &rest.engine))
@@ -149,17 +149,17 @@
         .filter(|it| !records.is_disturbed(asked.node, rest.at, *it))
         .collect();
     arrivals.sort_unstable();
-    let third = *arrivals.get(MOST_WHILE_RESTING)?;
+    let third = *arrivals.get(MAX_WHILE_BACKING_OFF)?;
     let (engine, span, count) = (&rest.engine, rest.span / MILLISECOND, arrivals.len());
     let what = format!("{engine} had asked box {} for {span} ms and got {count}", asked.node);
     Some(finding(Promise::RestKept, third, what))
 }
 
 /// Gives when a box went on with a try that was turned away, which shows that it has the refusal.
-fn goes_on_at(attempt: &Attempt, at: Micros) -> Option<Micros> {
+fn continued_at(attempt: &Attempt, at: Micros) -> Option<Micros> {
     let runs = attempt.runs.iter().map(|it| it.began);
-    let turned_away = attempt.turned_away.iter().copied();
+    let rejections = attempt.rejections.iter().copied();
     let answered = attempt.answer.iter().map(|it| it.at);
-    let next = runs.chain(turned_away).chain(answered).filter(|it| *it > at).min()?;
-    (next < at + GOES_ON_WITHIN).then_some(next)
+    let next = runs.chain(rejections).chain(answered).filter(|it| *it > at).min()?;
+    (next < at + CONTINUES_WITHIN).then_some(next)
 }
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -32,7 +32,7 @@
 const SLOTS: u32 = 12;
 
 /// The most runs to find the faults that break a promise: some fifteen minutes of 30 s each.
-const MOST_SHRINKING_RUNS: usize = 24;
+const MAX_SHRINKING_RUNS: usize = 24;
 
 /// What `--help` prints.
 const HELP: &str = "\
@@ -60,7 +60,7 @@
 ";
 
 /// What the command line asks for.
-struct Asked {
+struct CommandLine {
     /// The run.
     plan: Plan,
     /// Whether the schedule is only printed.
@@ -103,7 +103,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Some(other) => bail!("`{other}` is no stand-in"),
-        None => soak(&asked(arguments)?),
+        None => soak(&parse_command_line(arguments)?),
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// Reads the command line.
-fn asked(mut arguments: Arguments) -> eyre::Result<Asked> {
+fn parse_command_line(mut arguments: Arguments) -> eyre::Result<CommandLine> {
     let seed = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
     let mutant = arguments.opt_value_from_fn("--mutant", str::parse::<Mutant>)?;
     let usual = if mutant.is_some() { MUTANT_SECONDS } else { 30 };
@@ -149,26 +149,26 @@
         faults.sort_by_key(|it| it.at);
     }
     let plan = Plan { seed, length, size, faults, mutant, folder, older };
-    Ok(Asked { plan, only_schedule, shrinks })
+    Ok(CommandLine { plan, only_schedule, shrinks })
 }
 
 /// Runs a plan and tells the verdict.
-fn soak(asked: &Asked) -> eyre::Result<ExitCode> {
-    let plan = &asked.plan;
-    if asked.only_schedule {
+fn soak(command_line: &CommandLine) -> eyre::Result<ExitCode> {
+    let plan = &command_line.plan;
+    if command_line.only_schedule {
         println!("{}", schedule_text(&plan.faults));
         return Ok(ExitCode::SUCCESS);
     }
-    let outcome = play(plan)?;
+    let outcome = run_and_record(plan)?;
     let code = verdict(plan, &outcome);
-    if let Some(first) = outcome.findings.first().filter(|_| asked.shrinks) {
+    if let Some(first) = outcome.findings.first().filter(|_| command_line.shrinks) {
         shrink_to(plan, first.promise)?;
     }
     Ok(code)
 }
 
 /// Plays a plan, and leaves its schedule, what was seen and the page in its folder.
-fn play(plan: &Plan) -> eyre::Result<Outcome> {
+fn run_and_record(plan: &Plan) -> eyre::Result<Outcome> {
     std::fs::create_dir_all(&plan.folder).wrap_err("no folder for the run")?;
     std::fs::write(plan.folder.join("schedule.txt"), schedule_text(&plan.faults))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -180,10 +180,10 @@
 /// Prints few faults of a plan that still break a promise.
 fn shrink_to(plan: &Plan, promise: Promise) -> eyre::Result<()> {
     let mut number = 0;
-    let shrunk = shrink(&plan.faults, MOST_SHRINKING_RUNS, |faults| {
+    let shrunk = shrink(&plan.faults, MAX_SHRINKING_RUNS, |faults| {
         number += 1;
         let folder = plan.folder.join(format!("shrink-{number}"));
-        let outcome = play(&Plan { faults: faults.to_vec(), folder, ..plan.clone() })?;
+        let outcome = run_and_record(&Plan { faults: faults.to_vec(), folder, ..plan.clone() })?;
         let still_fails = outcome.findings.iter().any(|it| it.promise == promise);
         println!(
             "  {} faults: {promise:?} {}",
--- a/tests/soak/src/run.rs
+++ b/tests/soak/src/run.rs
@@ -90,7 +90,7 @@
         ways: cluster.nodes.iter().map(|it| it.way).collect(),
         version: cluster.version.clone(),
         sink,
-        goes_on: Cell::new(true),
+        is_running: Cell::new(true),
         only_safe: plan.mutant == Some(Mutant::RepeatsFreely),
         seed: plan.seed,
     });
@@ -107,13 +107,13 @@
     }
     let mut observations = Vec::new();
     collect(&mut seen, &mut observations, plan.length, &cluster).await;
-    shared.goes_on.set(false);
+    shared.is_running.set(false);
     probing.abort();
     malformed.abort();
     harming.abort();
     collect(&mut seen, &mut observations, DRAINED_AFTER, &cluster).await;
-    look_for_runs(&cluster).await;
-    look_at_metrics(&cluster).await;
+    check_active_runs(&cluster).await;
+    check_metrics(&cluster).await;
     sampling.abort();
     stop_all(&cluster).await;
     watching.abort();
@@ -153,10 +153,10 @@
 async fn collect(
     seen: &mut mpsc::UnboundedReceiver<Observation>,
     observations: &mut Vec<Observation>,
-    span: Duration,
+    duration: Duration,
     cluster: &Rc<Cluster>,
 ) {
-    let end = Instant::now() + span;
+    let end = Instant::now() + duration;
     while let Ok(Some(observation)) = tokio::time::timeout_at(end, seen.recv()).await {
         if let What::Ordered { engine, stage, holder, .. } = &observation.what {
             cluster.holder.send_replace(holder.clone());
@@ -222,7 +222,7 @@
 }
 
 /// Asks the engines how many runs they have after the last client has gone.
-async fn look_for_runs(cluster: &Rc<Cluster>) {
+async fn check_active_runs(cluster: &Rc<Cluster>) {
     let upstreams = cluster.upstreams.borrow().clone();
     for upstream in upstreams {
         let asked = tokio::time::timeout(Duration::from_secs(2), active(&upstream)).await;
@@ -243,7 +243,7 @@
 }
 
 /// Looks for clients' keys in the metrics of all boxes.
-async fn look_at_metrics(cluster: &Rc<Cluster>) {
+async fn check_metrics(cluster: &Rc<Cluster>) {
     for (index, node) in cluster.nodes.iter().enumerate() {
         let asked = tokio::time::timeout(Duration::from_secs(2), client::read(node.metrics)).await;
         if let Ok(Some(text)) = asked
--- a/tests/soak/src/schedule.rs
+++ b/tests/soak/src/schedule.rs
@@ -356,7 +356,8 @@
 
 /// Draws one fault.
 fn draw_fault(random: &mut Pcg64Mcg) -> Fault {
-    let mut span = |least: u64, most: u64| Duration::from_millis(random.random_range(least..=most));
+    let mut span =
+        |min_ms: u64, max_ms: u64| Duration::from_millis(random.random_range(min_ms..=max_ms));
     let short = span(200, 1500);
     let long = span(800, 3500);
     let gap = span(200, 1200);
