--- a/tests/soak/src/judge.rs
+++ b/tests/soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! What must hold, checked against what was seen. Each promise is one function.
+//! Checks the promises of the system against the observations, with one function for each promise.
 
 mod customers;
 mod harm;
@@ -18,66 +18,66 @@
 pub enum Promise {
     /// A request that may not be repeated runs at most once.
     RunsOnce,
-    /// A client gets the whole answer to its own request.
+    /// A client receives the whole answer to its own request.
     WholeAnswer,
-    /// The events of a stream come in order, none missing or twice.
+    /// The events of a stream arrive in order, without gaps or duplicates.
     EventsInOrder,
-    /// A request that was refused as not run has not run and never does.
+    /// A request that was rejected as not run has not run and never will.
     RefusedIsNotRun,
-    /// Upstreams run what clients sent, unaltered, and nothing else.
+    /// Upstreams run only the requests that clients sent, unaltered.
     AsAsked,
-    /// Requests are repeated no more often than is allowed.
+    /// Retries stay within their budget.
     RepeatsBounded,
-    /// A planned stop cuts nothing and ends in time.
+    /// A planned stop cuts off no request and ends in time.
     StopCutsNothing,
     /// The newest configuration is in force in time, and no older one afterwards.
     NewestVersion,
-    /// Upstreams do not work on for clients that are gone.
+    /// Upstreams stop working for clients that have disconnected.
     MemoryFreed,
-    /// Orders to an engine come from one holder at a time, in the order of their tokens.
+    /// An engine accepts orders from one lease holder at a time, in the order of their tokens.
     OneHolder,
     /// After the loss of all boxes requests are served again in time.
     Recovers,
-    /// No process ends by itself.
+    /// No process ends unexpectedly.
     StaysAlive,
-    /// Memory and descriptors are bounded.
+    /// Resident memory and open descriptors of a box are bounded.
     Bounded,
-    /// A box is done in time with requests that break the rules or never end.
+    /// A box answers malformed or unfinished requests, or closes their connections, in time.
     FlawsEnd,
-    /// Nothing runs with a key that is not known, or was taken away some time ago.
+    /// No request runs with an unknown key, or with one that was removed some time ago.
     KnownKey,
-    /// A key that is known is not refused.
+    /// A known key is not rejected.
     KeyAccepted,
-    /// Clients' keys reach no upstream, log or metric.
+    /// Clients' keys are never in what upstreams receive, in logs or in metrics.
     KeyHidden,
-    /// Upstreams are told the customer whose key the client sent.
+    /// Upstreams receive the name of the customer whose key the client sent.
     RightCustomer,
-    /// A customer's sum over all boxes stays within its limit.
+    /// A customer's usage over all boxes stays within its limit.
     WithinLimit,
-    /// Only customers that have a limit are refused by it.
+    /// Only customers with a limit are rejected as over limit.
     LimitedOnly,
-    /// A request that crashes the upstreams that run it is held back after the third.
+    /// A request that crashes its upstreams is quarantined after the third crash.
     HarmHeldBack,
-    /// An upstream that names a limit gets no more than that from all boxes together.
+    /// An upstream that announces a rate limit receives no more than that from all boxes together.
     LimitKept,
-    /// An upstream that says that it leaves gets nothing more.
+    /// An upstream that announces its shutdown receives no more requests.
     LeavingKept,
-    /// An upstream whose entry says that it leaves gets nothing more.
+    /// An upstream whose entry in the store is marked as draining receives no more requests.
     EntryKept,
-    /// An upstream that asks a box for rest is left alone by it.
+    /// A box sends no requests to an upstream that asked it to back off.
     RestKept,
-    /// Boxes read what other boxes tell, also those of another version.
+    /// Boxes can decode the messages of other boxes, also of another version.
     Understood,
 }
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// When it was seen.
+    /// The time of the observation that shows it.
     pub at: Micros,
-    /// The promise.
+    /// The promise that is broken.
     pub promise: Promise,
-    /// What was seen.
+    /// A description for the verdict.
     pub what: String,
 }
 
@@ -87,30 +87,32 @@
     }
 }
 
-/// The figures of the promises, as the users' pages bound them where nothing else is said.
+/// The limits that the promises are checked with.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     pub repeat_ratio: f64,
-    /// Repeats allowed beside the ratio.
+    /// Retries allowed in addition to the ratio.
     pub repeat_allowance: f64,
-    /// The span over which both are counted.
+    /// The window in which retries and requests are counted.
     pub repeat_window: Micros,
-    /// How long a stopped process may take to end.
+    /// The time within which a stopped process must end.
     pub grace: Micros,
-    /// The time in which a configuration is in force everywhere.
+    /// The time within which a configuration must be applied everywhere.
     pub apply_within: Micros,
-    /// The time without disruption after which a box is bound by times.
+    /// The time without disruption after which deadlines apply to a box.
     pub contact: Micros,
-    /// The least time between orders of two holders to one engine.
+    /// The minimum time between orders of two holders to one engine.
     pub order_pause: Micros,
-    /// The time after the loss of all boxes in which requests are served again.
+    /// The time after the loss of all boxes within which requests must be served again.
     pub recover_within: Micros,
-    /// The most resident memory of a box, in bytes: the letter allows 64 MB.
+    /// The maximum resident memory of a box, in bytes; the requirement is 64 MB.
     pub resident: u64,
-    /// The most descriptors of a box: the users' machines have 4,100, and these clients are few.
+    /// The maximum number of open descriptors of a box. Production machines allow 4,100, but this
+    /// test has few clients.
     pub descriptors: u64,
-    /// Whether all boxes read what upstreams say of themselves: those of an older version do not.
+    /// Whether all boxes understand upstreams' limits, shutdowns and back-off; an older version
+    /// does not.
     pub reads_terms: bool,
 }
 
@@ -132,34 +134,35 @@
     }
 }
 
-/// The time in which an upstream must have stopped work for a client that left: half a second by the
-/// pages, and as much for a loaded machine.
+/// The time within which an upstream must stop working for a client that disconnected: the
+/// documented half second, and as much again for a loaded machine.
 const LEFT_WITHIN: Micros = SECOND;
 
-/// The time after a request's last byte in which a stopping box may close without an answer, with a
-/// margin for a loaded machine.
+/// The time after a request's last byte within which a stopping box may close the connection
+/// without an answer, with a margin for a loaded machine.
 const UNREAD_WITHIN: Micros = 600 * MILLISECOND;
 
-/// The time in which a box must be done with a request that has a flaw: the time for a head, 3 s in
-/// these configurations and 5 s at a box that has none yet, and a second for a loaded machine.
+/// The time within which a box must finish with a malformed request: the head timeout, which is 3 s
+/// in these configurations and 5 s at a box that has none yet, and a second for a loaded machine.
 const FLAW_WITHIN: Micros = 6 * SECOND;
 
-/// What a stopped process may take beyond its grace on a loaded machine.
+/// The margin on the grace period of a stopped process, for a loaded machine.
 const STOP_MARGIN: Micros = SECOND;
 
-/// How long after the bound for recovery requests are counted.
+/// How long requests are counted after the deadline for recovery.
 const RECOVERY_COUNTED: Micros = 3 * SECOND;
 
-/// The fewest requests by which recovery is judged.
+/// The minimum number of requests for a verdict on recovery.
 const MIN_RECOVERY_REQUEST_COUNT: usize = 8;
 
-/// The fewest runs that go on for nobody by which that is judged: a few may be crossed by the news.
+/// The minimum number of runs without a client for a finding. A few may begin before the
+/// disconnection reaches the upstream.
 const MIN_LATE_RUN_COUNT: usize = 3;
 
-/// The statuses that promise that a request has not run.
+/// The statuses by which a box states that a request has not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Judges what was seen, in any order; gives what is broken, the earliest first.
+/// Checks observations, given in any order, and returns the findings, earliest first.
 pub fn judge(observations: &[Observation], bounds: &Bounds) -> Vec<Finding> {
     let records = Records::of(observations);
     let checks = [
@@ -195,12 +198,12 @@
     findings
 }
 
-/// Makes a finding.
+/// Creates a finding.
 fn finding(promise: Promise, at: Micros, what: impl Into<String>) -> Finding {
     Finding { at, promise, what: what.into() }
 }
 
-/// Checks that what may not be repeated runs once.
+/// Checks that requests that must not be repeated run at most once.
 fn runs_once(records: &Records, _: &Bounds) -> Vec<Finding> {
     let once = records.attempts.values().filter(|it| it.kind.runs_once());
     let twice = once.filter_map(|attempt| {
@@ -213,7 +216,7 @@
     twice.collect()
 }
 
-/// Checks that plain answers are whole and their client's own.
+/// Checks that plain answers are complete and belong to their client's request.
 fn whole_answer(records: &Records, _: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for attempt in records.attempts.values() {
@@ -242,7 +245,7 @@
     findings
 }
 
-/// Checks that streams are whole and in order.
+/// Checks that streams are complete and in order.
 fn events_in_order(records: &Records, _: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for attempt in records.attempts.values().filter(|it| it.kind.is_stream()) {
@@ -256,7 +259,7 @@
     findings
 }
 
-/// Checks that what was refused as not run has not run.
+/// Checks that requests that were rejected as not run have not run.
 fn refused_is_not_run(records: &Records, _: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for attempt in records.attempts.values().filter(|it| it.kind.runs_once()) {
@@ -272,7 +275,7 @@
     findings
 }
 
-/// Checks that upstreams run what clients sent.
+/// Checks that upstreams run only what clients sent, unaltered.
 fn as_asked(records: &Records, _: &Bounds) -> Vec<Finding> {
     let unknown = records.unknown_runs.iter().map(|(id, run)| {
         finding(Promise::AsAsked, run.began, format!("{} ran {id}, which nobody sent", run.engine))
@@ -288,7 +291,7 @@
     unknown.chain(altered).collect()
 }
 
-/// Checks that requests are not repeated too often.
+/// Checks that retries stay within their budget.
 fn repeats_bounded(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for is_stream in [false, true] {
@@ -315,7 +318,7 @@
     findings
 }
 
-/// Checks that a planned stop cuts nothing and ends in time.
+/// Checks that a planned stop cuts off no request and ends in time.
 fn stop_cuts_nothing(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (&node, changes) in &records.nodes {
@@ -341,7 +344,7 @@
     findings
 }
 
-/// Tells whether a planned stop cut a request that the box had taken up.
+/// Returns whether a planned stop cut off a request that the box had accepted.
 fn is_cut_by_stop(
     records: &Records,
     attempt: &Attempt,
@@ -362,7 +365,7 @@
     was_taken && !is_upstreams
 }
 
-/// Checks that the newest configuration is in force in time.
+/// Checks that the newest configuration is applied in time, and that older ones are gone.
 fn newest_version(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for probe in &records.probes {
@@ -387,7 +390,7 @@
     findings
 }
 
-/// Checks that upstreams stop work for clients that are gone.
+/// Checks that upstreams stop working for clients that have disconnected.
 fn memory_freed(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings: Vec<_> = records
         .still_active
@@ -426,7 +429,7 @@
     findings
 }
 
-/// Checks that one holder at a time orders an engine.
+/// Checks that an engine accepts orders from one lease holder at a time, with rising tokens.
 fn one_holder(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (engine, orders) in &records.orders {
@@ -468,7 +471,7 @@
     findings
 }
 
-/// Checks that no process ends by itself.
+/// Checks that no process ends unexpectedly.
 fn stays_alive(records: &Records, _: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (&node, changes) in &records.nodes {
@@ -488,7 +491,7 @@
     findings
 }
 
-/// Checks that memory and descriptors are bounded.
+/// Checks the limits on memory and descriptors; reports the first excess of each box.
 fn bounded(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut worst: BTreeMap<usize, Finding> = BTreeMap::new();
     for usage in &records.usages {
@@ -501,7 +504,7 @@
     worst.into_values().collect()
 }
 
-/// Checks that boxes which nothing disturbs are done in time with requests that have a flaw.
+/// Checks that undisturbed boxes finish with malformed requests in time.
 fn flaws_end(records: &Records, _: &Bounds) -> Vec<Finding> {
     let late = records.flawed.iter().filter(|it| {
         let is_late = !it.is_done || it.span > FLAW_WITHIN;
@@ -515,7 +518,7 @@
     findings.collect()
 }
 
-/// Checks that boxes read what other boxes tell.
+/// Checks that boxes can decode what other boxes send.
 fn understood(records: &Records, _: &Bounds) -> Vec<Finding> {
     let not_read = records.not_read.iter();
     let findings = not_read.map(|&(at, node, lines)| {
@@ -526,15 +529,14 @@
 }
 
 impl Records {
-    /// Tells whether a run ended by its upstream's own doing.
+    /// Returns whether the upstream itself ended a run.
     fn broke_off(&self, run: &records::Run) -> bool {
         let is_broken = run.end.is_some_and(|it| it.how == RunEnd::Broken);
         is_broken || self.engine_ends.contains_key(&run.engine)
     }
 }
 
-/// Gives what became of each second's requests, for the report: those sent in it that were served,
-/// refused, and neither.
+/// Counts the requests that were sent in each second by their outcome, for the report.
 pub fn seconds(observations: &[Observation]) -> Vec<Second> {
     let records = Records::of(observations);
     let Some(first) = observations.iter().map(|it| it.at).min() else { return Vec::new() };
@@ -549,21 +551,21 @@
     seconds
 }
 
-/// The requests of one second, by what became of them.
+/// The requests that were sent in one second, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Second {
     /// Served within a second.
     pub served: u32,
-    /// Served later.
+    /// Served after more than a second.
     pub late: u32,
-    /// Refused as not run.
+    /// Rejected as not run.
     pub refused: u32,
-    /// Failed, cut, or never sent.
+    /// Failed, cut off, or never sent.
     pub broken: u32,
 }
 
 impl Second {
-    /// Counts a request. One whose client left on purpose does not count.
+    /// Counts a request, unless its client disconnected on purpose before it was served.
     fn count(&mut self, attempt: &Attempt) {
         let refused =
             attempt.answer.as_ref().is_some_and(|it| NOT_RUN_STATUSES.contains(&it.status));
@@ -579,7 +581,7 @@
     }
 }
 
-/// Gives the faults, for the report: when each began, how long it lasted, and its name.
+/// Returns the start, duration and name of each fault, for the report.
 pub fn faults(observations: &[Observation]) -> Vec<(Micros, Micros, String)> {
     let found = observations.iter().filter_map(|it| match &it.what {
         What::Fault { name, span } => Some((it.at, *span, name.clone())),
--- a/tests/soak/src/judge/customers.rs
+++ b/tests/soak/src/judge/customers.rs
@@ -1,17 +1,17 @@
-//! What must hold of customers: their keys, their names and their limits.
+//! Checks the promises about customers' keys, names and limits.
 
 use super::records::{Attempt, Records};
 use super::{Bounds, Finding, Promise, finding};
 use crate::keys::{HELD_FOR, LIMIT, TOLERANCE};
 use crate::observation::Micros;
 
-/// The status of a request whose key is not known.
+/// The status of a request with an unknown key.
 const UNAUTHORIZED: u16 = 401;
 
-/// The status of a request that is over its customer's limit.
+/// The status of a request that exceeds its customer's limit.
 const OVER_LIMIT: u16 = 429;
 
-/// Checks that nothing runs with a key that no version holds, or that was taken away.
+/// Checks that no request runs with a key that no version contains, or that was removed.
 pub(super) fn known_key(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for attempt in records.attempts.values() {
@@ -29,7 +29,7 @@
     findings
 }
 
-/// Tells whether a key had been taken away for so long when a try was sent that its box must have
+/// Returns whether a key had been removed so long before an attempt was sent that its box must have
 /// known.
 fn is_long_gone(records: &Records, attempt: &Attempt, key: u64, bounds: &Bounds) -> bool {
     let gone = records.versions.iter().filter(|it| it.1 >= key + HELD_FOR).map(|it| it.0).min();
@@ -37,14 +37,15 @@
     is_due && is_calm(records, attempt, bounds)
 }
 
-/// Tells whether neither a try's box nor the store was disturbed for long before it was answered.
+/// Returns whether neither the box nor the store was disturbed from some time before an attempt was
+/// sent until it was answered.
 fn is_calm(records: &Records, attempt: &Attempt, bounds: &Bounds) -> bool {
     let from = attempt.sent.saturating_sub(bounds.contact + bounds.apply_within);
     let until = attempt.answer.as_ref().map_or(attempt.sent, |it| it.at);
     !records.is_disturbed(attempt.node, from, until) && !records.is_store_disturbed(from, until)
 }
 
-/// Checks that a key which all versions hold that may be in force is taken.
+/// Checks that a key is accepted if all versions contain it that may be in force.
 pub(super) fn key_accepted(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let refused = records.attempts.values().filter_map(|attempt| {
         let answer = attempt.answer.as_ref().filter(|it| it.status == UNAUTHORIZED)?;
@@ -62,7 +63,7 @@
     refused.collect()
 }
 
-/// Checks that keys are nowhere but with clients, boxes and the store.
+/// Checks that keys are known only to clients, boxes and the store.
 pub(super) fn key_hidden(records: &Records, _: &Bounds) -> Vec<Finding> {
     let runs = records.attempts.values().flat_map(|it| &it.runs).filter(|it| it.has_key);
     let at_upstreams = runs.map(|it| (it.began, it.engine.clone()));
@@ -72,7 +73,7 @@
         .collect()
 }
 
-/// Checks that each run names the customer that sent the request.
+/// Checks that upstreams receive the name of the customer that sent the request.
 pub(super) fn right_customer(records: &Records, _: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for attempt in records.attempts.values() {
@@ -86,7 +87,7 @@
     findings
 }
 
-/// Checks that what runs for the limited customer stays within its limit in each window.
+/// Checks that the usage of the limited customer stays within its limit in each window.
 pub(super) fn within_limit(records: &Records, _: &Bounds) -> Vec<Finding> {
     let limited = records.attempts.values().filter(|it| it.caller.is_limited());
     let mut runs: Vec<(Micros, u64)> = limited
@@ -114,7 +115,7 @@
     Vec::new()
 }
 
-/// Checks that customers without a limit are not refused by one.
+/// Checks that customers without a limit are not rejected as over limit.
 pub(super) fn limited_only(records: &Records, _: &Bounds) -> Vec<Finding> {
     let free = records.attempts.values().filter(|it| !it.caller.is_limited());
     free.filter_map(|attempt| {
--- a/tests/soak/src/judge/harm.rs
+++ b/tests/soak/src/judge/harm.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them.
+//! Checks that requests that crash their upstreams are quarantined.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 use crate::observation::{MILLISECOND, Micros, SECOND};
 use crate::standin::engine::HARMFUL;
 
-/// The crashes after which such a request is to be held back.
+/// The number of crashes after which a request must be quarantined.
 const CRASHES: usize = 3;
 
-/// How often it may come to upstreams later than that.
+/// How many runs of a request may still begin after that.
 const LATE_RUNS: usize = 3;
 
-/// How long an upstream goes on that such a request crashes, with a margin: runs that begin there
-/// meanwhile crash it once.
+/// How long an upstream still runs after it began a harmful request, with a margin. Runs that begin
+/// there in this time count as one crash.
 const ONE_CRASH: Micros = 200 * MILLISECOND;
 
 /// The margin for a loaded machine.
 const MARGIN: Micros = SECOND;
 
-/// Checks that a request that crashes upstreams comes to few of them once it has crashed three, from
-/// boxes that were not disturbed and could reach the store.
+/// Checks that a request that has crashed three upstreams is sent to few more by boxes that were
+/// undisturbed and could reach the store.
 pub(super) fn held_back(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut harmful: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
     for attempt in records.attempts.values().filter(|it| it.path.ends_with(HARMFUL)) {
@@ -33,7 +33,7 @@
         .collect()
 }
 
-/// Checks one request.
+/// Checks all attempts of one harmful request.
 fn check(path: &str, attempts: &[&Attempt], records: &Records, bounds: &Bounds) -> Option<Finding> {
     let third = third_crash(attempts)?;
     let is_late = |attempt: &&Attempt, run: &Run| {
@@ -53,7 +53,7 @@
     Some(finding(Promise::HarmHeldBack, *first_beyond, what))
 }
 
-/// Gives when a request had crashed its third upstream.
+/// Returns the time of a request's third crash.
 fn third_crash(attempts: &[&Attempt]) -> Option<Micros> {
     let runs = attempts.iter().flat_map(|it| &it.runs).filter(|it| !it.is_reading);
     let mut runs: Vec<(Micros, &str)> = runs.map(|it| (it.began, it.engine.as_str())).collect();
--- a/tests/soak/src/judge/intake.rs
+++ b/tests/soak/src/judge/intake.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all boxes together.
+//! Checks the rate limits that upstreams announce for all boxes together.
 
 use std::collections::BTreeMap;
 
@@ -6,31 +6,31 @@
 use super::{Bounds, Finding, Promise, finding};
 use crate::observation::{MILLISECOND, Micros, SECOND};
 
-/// The span over which what comes to an upstream is counted.
+/// The window in which the requests to an upstream are counted.
 const WINDOW: Micros = 4 * SECOND;
 
-/// How long after a box was told what it sends counts, with a margin for a loaded machine.
+/// How long after a box learned of a limit its requests count, with a margin for a loaded machine.
 const COUNTS_AFTER: Micros = 700 * MILLISECOND;
 
-/// The times by which what a limit allows may be exceeded.
+/// The factor by which a limit may be exceeded.
 const OVERRUN: f64 = 1.5;
 
-/// The requests by which it may be exceeded beside that.
+/// The number of requests by which a limit may be exceeded in addition.
 const SLACK: f64 = 5.0;
 
-/// A request, or the reading of a prompt, that came to an upstream.
+/// The arrival of a request or of a prefill at an upstream.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
-    /// When it came.
+    /// When it arrived.
     at: Micros,
-    /// The box.
+    /// The box that sent it.
     node: usize,
-    /// When the box had the head of the answer.
+    /// When the box received the head of the answer.
     answered: Option<Micros>,
 }
 
-/// Checks that upstreams get no more than they take, from boxes that they have told and that were not
-/// disturbed.
+/// Checks that upstreams receive no more than their limit from undisturbed boxes that know the
+/// limit.
 pub(super) fn limit_kept(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     if !bounds.reads_terms || records.limits.is_empty() {
         return Vec::new();
@@ -48,8 +48,8 @@
     findings.collect()
 }
 
-/// Gives where and when a try came. A stream's head is taken for answered when it begins, a plain
-/// answer when its run ends.
+/// Returns the upstreams that an attempt was sent to, with its arrivals. A stream counts as
+/// answered when its run begins, a plain request when its run ends.
 fn arrivals_of(attempt: &Attempt) -> Vec<(&str, Arrival)> {
     let node = attempt.node;
     let runs = attempt.runs.iter().map(|run| {
@@ -63,7 +63,7 @@
     runs.chain(rejections).collect()
 }
 
-/// Checks what came to one upstream.
+/// Checks the arrivals at one upstream.
 fn check(
     engine: &str,
     named: &[(Micros, u64)],
@@ -93,7 +93,7 @@
     None
 }
 
-/// Gives the spans in which an upstream names limits, one after the other without a break.
+/// Returns the intervals in which an upstream announced limits without a break.
 fn spans(named: &[(Micros, u64)]) -> Vec<(Micros, Micros)> {
     let mut spans = Vec::new();
     let mut begun = None;
@@ -111,7 +111,7 @@
     spans
 }
 
-/// Gives when each box had its first answer of a span.
+/// Returns when each box received its first answer in an interval.
 fn first_answers(arrivals: &[Arrival], begun: Micros, until: Micros) -> BTreeMap<usize, Micros> {
     let mut told = BTreeMap::new();
     for arrival in arrivals.iter().filter(|it| it.at >= begun && it.at < until) {
@@ -123,7 +123,8 @@
     told
 }
 
-/// Gives the highest limit that was named in the window that ends at a time.
+/// Returns the highest limit in the window that ends at `end`, in thousandths of a request a
+/// second.
 fn max_limit_milli(named: &[(Micros, u64)], end: Micros) -> u64 {
     let begun = end.saturating_sub(WINDOW);
     let ends = named.iter().skip(1).map(|it| it.0).chain([Micros::MAX]);
--- a/tests/soak/src/judge/records.rs
+++ b/tests/soak/src/judge/records.rs
@@ -1,4 +1,4 @@
-//! What was seen, sorted by what it is about.
+//! The observations, grouped by subject for the checks.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 /// The end of a run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct End {
-    /// When.
+    /// When the run ended.
     pub(super) at: Micros,
-    /// How.
+    /// The outcome.
     pub(super) how: RunEnd,
-    /// The digest of the plain body.
+    /// The digest of the plain body that was sent.
     pub(super) body: u64,
 }
 
@@ -26,38 +26,38 @@
     pub(super) engine: String,
     /// When it began.
     pub(super) began: Micros,
-    /// The path that the upstream was given.
+    /// The path that the upstream received.
     pub(super) path: String,
-    /// The digest of the body that it was given.
+    /// The digest of the body that the upstream received.
     pub(super) body: u64,
-    /// Whether a prompt was read for another engine.
+    /// Whether the run is a prefill for another engine.
     pub(super) is_reading: bool,
-    /// The customer that the upstream was told.
+    /// The customer that the upstream received, if any.
     pub(super) customer: Option<String>,
-    /// Whether a client's key stood in what the upstream was sent.
+    /// Whether the request to the upstream contained a client's key.
     pub(super) has_key: bool,
-    /// Its end, if it was seen.
+    /// Its end, if observed.
     pub(super) end: Option<End>,
 }
 
-/// A client's answer.
+/// An answer that a client received.
 #[derive(Debug, Clone)]
 pub(super) struct Answer {
-    /// When it was whole.
+    /// When it was complete.
     pub(super) at: Micros,
     /// The status.
     pub(super) status: u16,
-    /// The signature.
+    /// The id of the upstream that signed it.
     pub(super) stamp: Option<String>,
     /// The digest of a plain body.
     pub(super) body: u64,
-    /// The events of a stream.
+    /// The numbers of a stream's events.
     pub(super) events: Vec<u64>,
-    /// Whether all of it names this try.
+    /// Whether all parts of it name this attempt.
     pub(super) is_own: bool,
 }
 
-/// A client's try.
+/// An attempt of a client to get an answer.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     /// Its id.
@@ -70,34 +70,34 @@
     pub(super) path: String,
     /// The digest of the body.
     pub(super) body: u64,
-    /// The events that the client had already.
+    /// The number of events that the client had already received.
     pub(super) after: u64,
-    /// Who sent it.
+    /// The customer and key that sent it.
     pub(super) caller: Caller,
     /// When it was sent.
     pub(super) sent: Micros,
     /// The answer.
     pub(super) answer: Option<Answer>,
-    /// When its connection ended without one.
+    /// When its connection ended without an answer.
     pub(super) cut: Option<Micros>,
-    /// When its client left on purpose.
+    /// When its client disconnected on purpose.
     pub(super) left: Option<Micros>,
     /// Its runs, in order.
     pub(super) runs: Vec<Run>,
-    /// When upstreams turned it away.
+    /// When upstreams rejected it.
     pub(super) rejections: Vec<Micros>,
-    /// The upstreams that did, in the same order.
+    /// The upstreams that rejected it, in the same order.
     pub(super) rejected_by: Vec<String>,
 }
 
 impl Attempt {
-    /// Tells whether it was served.
+    /// Returns whether it was answered with status 200.
     pub(super) fn is_served(&self) -> bool {
         self.answer.as_ref().is_some_and(|it| it.status == 200)
     }
 
-    /// Gives when it came to an upstream beyond its first time. The first reading of its prompt for
-    /// another engine does not count.
+    /// Returns its arrivals at upstreams after the first. The first prefill for another engine does
+    /// not count.
     pub(super) fn repeats(&self) -> Vec<Micros> {
         let arrivals = |is_reading: bool| {
             let runs = self.runs.iter().filter(move |it| it.is_reading == is_reading);
@@ -114,15 +114,15 @@
 /// An order to an engine.
 #[derive(Debug, Clone)]
 pub(super) struct Order {
-    /// When it was taken.
+    /// When it was accepted.
     pub(super) at: Micros,
-    /// Who gave it.
+    /// The lease holder that issued it.
     pub(super) holder: String,
     /// The fencing token.
     pub(super) token: u64,
 }
 
-/// A question for the route of one version.
+/// A request for the route of one version.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Probe {
     /// When it was answered.
@@ -137,10 +137,10 @@
     pub(super) status: u16,
 }
 
-/// A request with a flaw.
+/// A malformed request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Flawed {
-    /// When the box was done with it, or was waited for no longer.
+    /// When the box had finished with it, or the wait for the box ended.
     pub(super) at: Micros,
     /// The box.
     pub(super) node: usize,
@@ -148,14 +148,14 @@
     pub(super) flaw: Flaw,
     /// How long it took.
     pub(super) span: Micros,
-    /// Whether the box was done with it.
+    /// Whether the box had finished with it.
     pub(super) is_done: bool,
 }
 
-/// What a process uses.
+/// A sample of a process's resource usage.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Usage {
-    /// When.
+    /// When it was taken.
     pub(super) at: Micros,
     /// The box.
     pub(super) node: usize,
@@ -165,56 +165,56 @@
     pub(super) descriptors: u64,
 }
 
-/// All that was seen.
+/// All observations, grouped by subject.
 #[derive(Debug, Default)]
 pub(super) struct Records {
-    /// The tries by id.
+    /// The attempts by id.
     pub(super) attempts: BTreeMap<String, Attempt>,
     /// Runs of requests that nobody sent.
     pub(super) unknown_runs: Vec<(String, Run)>,
-    /// What became of each box, in order.
+    /// The changes of each box's process, in order.
     pub(super) nodes: BTreeMap<usize, Vec<(Micros, BoxChange)>>,
-    /// When the store was disturbed, from and until.
+    /// The start and end of each time in which the store was disturbed.
     pub(super) store_disturbed: Vec<(Micros, Micros)>,
-    /// When each version was acknowledged.
+    /// When the store acknowledged each version.
     pub(super) versions: Vec<(Micros, u64)>,
-    /// The questions for versions.
+    /// The requests for single versions' routes.
     pub(super) probes: Vec<Probe>,
     /// The orders to each engine.
     pub(super) orders: BTreeMap<String, Vec<Order>>,
-    /// The limits that upstreams named, in thousandths of a request a second, and when.
+    /// The limits that upstreams announced, in thousandths of a request a second, and when.
     pub(super) limits: BTreeMap<String, Vec<(Micros, u64)>>,
-    /// When each upstream said that it leaves, in each of its lives.
+    /// When each upstream announced its shutdown, in each of its incarnations.
     pub(super) leavings: BTreeMap<String, Vec<Leaving>>,
-    /// When each upstream's entry said that it leaves, in each of its lives.
+    /// When each upstream's entry was marked as draining, in each of its incarnations.
     pub(super) entry_leavings: BTreeMap<String, Vec<Leaving>>,
-    /// The rests that upstreams asked for.
+    /// The back-offs that upstreams asked for.
     pub(super) rests: Vec<Rest>,
-    /// Boxes that could not read what others told, and in how many lines they say so.
+    /// Boxes that could not decode datagrams of others, and the number of log lines that say so.
     pub(super) not_read: Vec<(Micros, usize, usize)>,
-    /// When upstreams' processes were gone.
+    /// When upstreams' processes ended.
     pub(super) engine_ends: BTreeMap<String, Micros>,
-    /// Runs after the last client had gone.
+    /// Active runs after the last client had disconnected.
     pub(super) still_active: Vec<(Micros, String, u64)>,
-    /// When all boxes had been started again after the loss of all.
+    /// When all boxes had been restarted after the loss of all.
     pub(super) restarts: Vec<Micros>,
-    /// Where clients' keys were found that may be nowhere.
+    /// Where clients' keys were found that must not be there.
     pub(super) keys_found: Vec<(Micros, String)>,
-    /// Requests with a flaw.
+    /// The malformed requests.
     pub(super) flawed: Vec<Flawed>,
-    /// What processes use.
+    /// The samples of processes' resource usage.
     pub(super) usages: Vec<Usage>,
     /// The time of the last observation.
     pub(super) last: Micros,
 }
 
 impl Records {
-    /// Sorts observations, which come in any order.
+    /// Groups observations, which may be in any order.
     pub(super) fn of(observations: &[Observation]) -> Records {
         let mut sorted: Vec<_> = observations.iter().collect();
         sorted.sort_by_key(|it| it.at);
         let mut records = Records::default();
-        // Tries come first, since an upstream may have seen one before its client noted it.
+        // Attempts are applied first, since an upstream may see one before its client records it.
         for it in &sorted {
             records.apply_sent(it);
         }
@@ -225,7 +225,7 @@
         records
     }
 
-    /// Takes a try.
+    /// Applies an observation of an attempt that was sent; ignores all others.
     fn apply_sent(&mut self, it: &Observation) {
         let What::Sent { attempt, kind, node, path, body, after, caller } = &it.what else {
             return;
@@ -249,7 +249,7 @@
         self.attempts.insert(attempt.id.clone(), attempt);
     }
 
-    /// Takes all else.
+    /// Applies all other observations.
     fn apply(&mut self, it: &Observation) {
         let at = it.at;
         match &it.what {
@@ -330,7 +330,7 @@
             }
             What::KeyFound { place } => self.keys_found.push((at, place.clone())),
             What::EngineGone { engine } => {
-                // A new life under the id begins without a limit, and does not leave.
+                // A new incarnation under the id starts without a limit and is not shutting down.
                 if let Some(limits) = self.limits.get_mut(engine) {
                     limits.push((at, 0));
                 }
@@ -345,14 +345,15 @@
         }
     }
 
-    /// Changes a try.
+    /// Changes an attempt, if its id is known.
     fn with(&mut self, attempt: &str, change: impl FnOnce(&mut Attempt)) {
         if let Some(attempt) = self.attempts.get_mut(attempt) {
             change(attempt);
         }
     }
 
-    /// Tells whether a box was disturbed at any time within a span. A planned stop is no disruption.
+    /// Returns whether a box was disturbed or down at any time in an interval. A planned stop does
+    /// not count.
     pub(super) fn is_disturbed(&self, node: usize, from: Micros, until: Micros) -> bool {
         let changes = self.nodes.get(&node).map(Vec::as_slice).unwrap_or_default();
         let mut is_down = true;
@@ -372,19 +373,19 @@
         is_down
     }
 
-    /// Tells whether a box was down or stood still at any time within a span.
+    /// Returns whether a box was down or paused at any time in an interval.
     pub(super) fn is_interrupted(&self, node: usize, from: Micros, until: Micros) -> bool {
         let mut changes = self.nodes.get(&node).into_iter().flatten();
         let is_cut = |it: BoxChange| matches!(it, BoxChange::Disturbed | BoxChange::Terminated);
         changes.any(|&(at, change)| at >= from && at <= until && !is_cut(change))
     }
 
-    /// Tells whether the store was disturbed at any time within a span.
+    /// Returns whether the store was disturbed at any time in an interval.
     pub(super) fn is_store_disturbed(&self, from: Micros, until: Micros) -> bool {
         self.store_disturbed.iter().any(|it| it.0 <= until && it.1 >= from)
     }
 
-    /// Tells whether any box was killed, paused or stopped after a time and before another.
+    /// Returns whether any box was killed, paused or disturbed between two times.
     pub(super) fn disruptions_within(&self, after: Micros, until: Micros) -> bool {
         let mut changes = self.nodes.values().flatten();
         let is_one = |change: BoxChange| {
@@ -394,7 +395,7 @@
     }
 }
 
-/// Notes the end of the last open run at an upstream.
+/// Records the end of the last open run at an upstream.
 fn end_run(runs: &mut [Run], engine: &str, end: End) {
     let mut open = runs.iter_mut().rev().filter(|it| it.engine == engine && it.end.is_none());
     if let Some(run) = open.next() {
--- a/tests/soak/src/judge/terms.rs
+++ b/tests/soak/src/judge/terms.rs
@@ -1,46 +1,47 @@
-//! Upstreams that say that they leave, or for how long they want nothing from the box that asked.
+//! Checks that boxes respect upstreams that are shutting down or ask a box to back off.
 
 use super::records::{Attempt, Records};
 use super::{Bounds, Finding, Promise, finding};
 use crate::observation::{MILLISECOND, Micros, SECOND};
 
-/// How long after a box has passed on that an upstream leaves clients' requests may go there.
+/// How long requests may be sent to an upstream after a box has learned that it is shutting down.
 const DRAIN: Micros = 2 * SECOND;
 
-/// How long after a box was told of a rest what it sends counts, with a margin for a loaded machine.
+/// How long after a box was asked to back off its requests count, with a margin for a loaded
+/// machine.
 const COUNTS_AFTER: Micros = 700 * MILLISECOND;
 
-/// The time within which a box that has a refusal goes on with the request. One that takes longer may
-/// have gone on without it.
+/// The time within which a box continues with a request after it receives a rejection. If it takes
+/// longer, it may have continued without that answer.
 const CONTINUES_WITHIN: Micros = 300 * MILLISECOND;
 
-/// What may come from a box while an upstream rests.
+/// How many requests a box may send to an upstream that asked it to back off.
 const MAX_WHILE_BACKING_OFF: usize = 2;
 
-/// A rest that an upstream asked a box for.
+/// A back-off that an upstream asked a box for.
 #[derive(Debug, Clone)]
 pub(super) struct Rest {
-    /// The upstream.
+    /// The upstream that asked.
     pub(super) engine: String,
-    /// The try that was turned away.
+    /// The attempt that was rejected.
     pub(super) attempt: String,
-    /// When.
+    /// When it was rejected.
     pub(super) at: Micros,
-    /// For how long.
+    /// How long the upstream asked the box to back off.
     pub(super) span: Micros,
 }
 
-/// A time in which an upstream said that it leaves, until its life ended.
+/// The interval from an upstream's shutdown announcement to the end of its incarnation.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Leaving {
-    /// From when on.
+    /// The time of the announcement.
     pub(super) since: Micros,
-    /// Until when.
+    /// The end of the incarnation; the maximum while it is alive.
     pub(super) until: Micros,
 }
 
-/// Checks that upstreams that leave get nothing from boxes that have passed that on some time before,
-/// and that were neither down nor stood still since.
+/// Checks that upstreams that are shutting down receive nothing from boxes that forwarded an answer
+/// with this announcement some time before, and were neither down nor paused since.
 pub(super) fn leaving_kept(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     if !bounds.reads_terms {
         return Vec::new();
@@ -54,8 +55,8 @@
     findings
 }
 
-/// Checks that upstreams whose entries say that they leave get nothing some time later from boxes that
-/// were in touch with a store that was there.
+/// Checks that upstreams whose entries are marked as draining receive nothing some time later from
+/// undisturbed boxes while the store was available.
 pub(super) fn entry_kept(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (engine, leavings) in &records.entry_leavings {
@@ -66,7 +67,7 @@
     findings
 }
 
-/// Finds the first request that came to an upstream too late after its entry.
+/// Returns a finding for the first request that arrived too long after an upstream's entry changed.
 fn late_by_entry(
     records: &Records,
     engine: &str,
@@ -89,7 +90,8 @@
     Some(finding(Promise::EntryKept, at, what))
 }
 
-/// Finds the first request that came to an upstream too late.
+/// Returns a finding for the first request that arrived too long after its box learned of a
+/// shutdown.
 fn late_arrival(records: &Records, engine: &str, leaving: Leaving) -> Option<Finding> {
     let attempts = || records.attempts.values();
     let passed_on = attempts().filter_map(|it| Some((it.node, passed_on_at(it, engine, leaving)?)));
@@ -110,7 +112,7 @@
     Some(finding(Promise::LeavingKept, at, what))
 }
 
-/// Gives when a client had an answer that says that its upstream leaves.
+/// Returns when a client received an answer in which its upstream announced its shutdown.
 fn passed_on_at(attempt: &Attempt, engine: &str, leaving: Leaving) -> Option<Micros> {
     let answer = attempt.answer.as_ref()?;
     let is_own = answer.status == 200 && answer.stamp.as_deref() == Some(engine);
@@ -119,15 +121,15 @@
     (is_own && says).then_some(answer.at)
 }
 
-/// Gives when a try came to an upstream.
+/// Returns when an attempt arrived at an upstream, whether it ran or was rejected.
 fn arrivals_at<'a>(attempt: &'a Attempt, engine: &'a str) -> impl Iterator<Item = Micros> + 'a {
     let runs = attempt.runs.iter().filter(move |it| it.engine == engine).map(|it| it.began);
     let rejections = attempt.rejections.iter().zip(&attempt.rejected_by);
     runs.chain(rejections.filter(move |(_, by)| **by == engine).map(|(&at, _)| at))
 }
 
-/// Checks that upstreams get no more than is allowed from a box that they have asked for rest, and that
-/// was not disturbed since.
+/// Checks that upstreams receive few requests from a box that they asked to back off, if it was not
+/// disturbed since.
 pub(super) fn rest_kept(records: &Records, bounds: &Bounds) -> Vec<Finding> {
     if !bounds.reads_terms {
         return Vec::new();
@@ -135,7 +137,7 @@
     records.rests.iter().filter_map(|rest| check_rest(records, rest)).collect()
 }
 
-/// Checks one rest.
+/// Checks one back-off.
 fn check_rest(records: &Records, rest: &Rest) -> Option<Finding> {
     let asked = records.attempts.get(&rest.attempt)?;
     let continued = continued_at(asked, rest.at)?;
@@ -155,7 +157,8 @@
     Some(finding(Promise::RestKept, third, what))
 }
 
-/// Gives when a box went on with a try that was turned away, which shows that it has the refusal.
+/// Returns when a box continued with a rejected attempt, which shows that it received the
+/// rejection.
 fn continued_at(attempt: &Attempt, at: Micros) -> Option<Micros> {
     let runs = attempt.runs.iter().map(|it| it.began);
     let rejections = attempt.rejections.iter().copied();
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A soak of the whole system: real processes on one machine, faults from outside in an order that a
-//! seed gives, and a judge that knows nothing but what clients, upstreams and the store have seen.
+//! Soak test of the whole system: real processes on one machine, a seeded schedule of injected
+//! faults, and a judge that knows only what clients, upstreams and the store observed.
 //!
 //! The programs under test are `hollyspoke-node` processes as they are deployed. The store, the
-//! engines and the plain services are stand-ins, each a process of its own; `docs/SOAK.md` tells
-//! what is broken, what must hold, and which deliberate fault shows that each check can fail.
+//! engines and the plain services are stand-ins, each a process of its own. `docs/SOAK.md` lists
+//! the faults, the promises, and the mutant that shows that each check can fail.
 
 pub mod client;
 pub mod cluster;
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -1,6 +1,10 @@
-//! Runs the whole system as real processes under faults, and judges what was seen.
+//! Runs the whole system as real processes under faults, and checks the observations.
 
-#![expect(clippy::print_stdout, clippy::print_stderr, reason = "the verdict, help and mistakes")]
+#![expect(
+    clippy::print_stdout,
+    clippy::print_stderr,
+    reason = "prints the verdict, the help and errors"
+)]
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -19,19 +23,19 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// The exit code if a promise is broken, or a deliberate fault is not caught.
+/// The exit code if a promise is broken, or a mutant is not detected.
 const EXIT_BROKEN: u8 = 1;
 
-/// The exit code for arguments that are wrong.
+/// The exit code for invalid arguments.
 const EXIT_USAGE: u8 = 2;
 
-/// How long clients work with a deliberate fault, in seconds.
+/// How long clients send requests in a run with a mutant, in seconds.
 const MUTANT_SECONDS: u64 = 11;
 
-/// How many requests a stand-in engine works on at once.
+/// The concurrent requests of a stand-in engine.
 const SLOTS: u32 = 12;
 
-/// The most runs to find the faults that break a promise: some fifteen minutes of 30 s each.
+/// The maximum number of runs to shrink a schedule: about fifteen minutes at 30 s each.
 const MAX_SHRINKING_RUNS: usize = 24;
 
 /// What `--help` prints.
@@ -43,7 +47,7 @@
   --seed N         the seed of faults and clients (1)
   --seconds N      how long clients work (30)
   --boxes N        hollyspoke-node processes (6)
-  --engines N      engines of the model service, a third of them readers (6)
+  --engines N      engines of the model service, a third of them for prefill (6)
   --plain N        upstreams of the plain service (3)
   --clients N      clients (24)
   --older PROGRAM  a hollyspoke-node of an older version, which all boxes run until they are replaced
@@ -51,17 +55,17 @@
   --mutant NAME    commits a deliberate fault; succeeds if its promise is found broken
   --mutants        lists the deliberate faults
   --schedule       prints the faults of the seed and ends
-  --shrink         plays a schedule that breaks a promise with fewer and fewer faults, and prints
-                   those that remain
+  --shrink         reruns a schedule that breaks a promise with fewer and fewer faults, and
+                   prints those that remain
   --out FOLDER     settings, logs, schedule and report (target/soak/SEED)
   -h, --help       prints this text
 
 Exit codes: 0 all promises kept, 1 one broken (or a deliberate fault not caught), 2 usage.
 ";
 
-/// What the command line asks for.
+/// The parsed command line.
 struct CommandLine {
-    /// The run.
+    /// The run to execute.
     plan: Plan,
     /// Whether the schedule is only printed.
     only_schedule: bool,
@@ -69,7 +73,7 @@
     shrinks: bool,
 }
 
-/// Runs what the arguments say.
+/// Handles the flags that need no run, then starts a stand-in or a run.
 fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
@@ -91,7 +95,7 @@
     }
 }
 
-/// Runs a stand-in, or a whole run.
+/// Starts the stand-in that the subcommand names, or a run if there is none.
 fn start(mut arguments: Arguments) -> eyre::Result<ExitCode> {
     match arguments.subcommand()?.as_deref() {
         Some("store") => {
@@ -102,12 +106,12 @@
             engine::serve(engine_settings(arguments)?);
             Ok(ExitCode::SUCCESS)
         }
-        Some(other) => bail!("`{other}` is no stand-in"),
+        Some(other) => bail!("unknown stand-in `{other}`"),
         None => soak(&parse_command_line(arguments)?),
     }
 }
 
-/// Reads the settings of a stand-in engine.
+/// Parses the settings of a stand-in engine.
 fn engine_settings(mut arguments: Arguments) -> eyre::Result<engine::Settings> {
     Ok(engine::Settings {
         born: arguments.value_from_str("--born")?,
@@ -118,7 +122,7 @@
     })
 }
 
-/// Reads the command line.
+/// Parses the command line of a run and draws its faults.
 fn parse_command_line(mut arguments: Arguments) -> eyre::Result<CommandLine> {
     let seed = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
     let mutant = arguments.opt_value_from_fn("--mutant", str::parse::<Mutant>)?;
@@ -152,7 +156,7 @@
     Ok(CommandLine { plan, only_schedule, shrinks })
 }
 
-/// Runs a plan and tells the verdict.
+/// Executes a plan and prints the verdict.
 fn soak(command_line: &CommandLine) -> eyre::Result<ExitCode> {
     let plan = &command_line.plan;
     if command_line.only_schedule {
@@ -167,9 +171,9 @@
     Ok(code)
 }
 
-/// Plays a plan, and leaves its schedule, what was seen and the page in its folder.
+/// Executes a plan, and writes its schedule, observations and report to its folder.
 fn run_and_record(plan: &Plan) -> eyre::Result<Outcome> {
-    std::fs::create_dir_all(&plan.folder).wrap_err("no folder for the run")?;
+    std::fs::create_dir_all(&plan.folder).wrap_err("cannot create the folder of the run")?;
     std::fs::write(plan.folder.join("schedule.txt"), schedule_text(&plan.faults))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let outcome = LocalSet::new().block_on(&runtime, run_unless_interrupted(plan))?;
@@ -177,7 +181,7 @@
     Ok(outcome)
 }
 
-/// Prints few faults of a plan that still break a promise.
+/// Prints a small subset of a plan's faults that still breaks a promise.
 fn shrink_to(plan: &Plan, promise: Promise) -> eyre::Result<()> {
     let mut number = 0;
     let shrunk = shrink(&plan.faults, MAX_SHRINKING_RUNS, |faults| {
@@ -197,13 +201,14 @@
     Ok(())
 }
 
-/// Gives a schedule's text, a line a fault.
+/// Formats a schedule, one line for each fault.
 fn schedule_text(faults: &[Planned]) -> String {
     let lines = faults.iter().map(|it| format!("{:7.3} s  {}", it.at.as_secs_f64(), it.fault));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Runs a plan, unless this program is told to end; all processes of the run end with it.
+/// Executes a plan until it ends or this process receives SIGTERM or SIGINT; all processes of the
+/// run end with it.
 async fn run_unless_interrupted(plan: &Plan) -> eyre::Result<Outcome> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -214,7 +219,7 @@
     }
 }
 
-/// Writes what was seen, and the page about it.
+/// Writes the observations and the report.
 fn write_files(plan: &Plan, outcome: &Outcome) -> eyre::Result<()> {
     let lines: Result<Vec<_>, _> = outcome.observations.iter().map(serde_json::to_string).collect();
     std::fs::write(plan.folder.join("seen.jsonl"), lines?.join("\n"))?;
@@ -223,7 +228,7 @@
     report::write(&page, &title, &outcome.observations, &outcome.findings)
 }
 
-/// Prints the verdict.
+/// Prints the request counts and the first findings, and returns the exit code.
 fn verdict(plan: &Plan, outcome: &Outcome) -> ExitCode {
     let total =
         judge::seconds(&outcome.observations).into_iter().fold(Second::default(), |sum, it| {
--- a/tests/soak/src/observation.rs
+++ b/tests/soak/src/observation.rs
@@ -1,4 +1,4 @@
-//! What clients, stand-ins and the harness see, each with its time.
+//! The observations that clients, stand-ins and the harness report, each with its time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,8 @@
 use crate::keys::Caller;
 use crate::malformed::Flaw;
 
-/// A time of the machine's clock, in microseconds since the Unix epoch: the same for all processes.
+/// A time of the machine's clock, in microseconds since the Unix epoch; comparable between
+/// processes.
 pub type Micros = u64;
 
 /// The microseconds of a second.
@@ -17,18 +18,18 @@
 /// The microseconds of a millisecond.
 pub const MILLISECOND: Micros = 1000;
 
-/// Gives the time.
+/// Returns the current time.
 pub fn now() -> Micros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |it| u64::try_from(it.as_micros()).unwrap_or(Micros::MAX))
 }
 
-/// Gives a short name of bytes, by which the two ends compare them.
+/// Returns a hash by which the sender's and the receiver's bytes are compared.
 pub fn digest(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// A kind of request.
+/// A kind of request, with its rules for retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A plain request that may run more than once.
@@ -39,22 +40,22 @@
     Once,
     /// A stream that may be resumed.
     Resumed,
-    /// A question whether a box has a version of the configuration.
+    /// A request that shows whether a box has applied a version of the configuration.
     Probe,
 }
 
 impl Kind {
-    /// Tells whether a request may run at most once.
+    /// Returns whether a request may run at most once.
     pub fn runs_once(self) -> bool {
         matches!(self, Kind::Unsafe | Kind::Once)
     }
 
-    /// Tells whether the answer is a stream.
+    /// Returns whether the answer is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Once | Kind::Resumed)
     }
 
-    /// Gives the route.
+    /// Returns the name of the route.
     pub fn route(self) -> &'static str {
         match self {
             Kind::Safe => "safe",
@@ -66,58 +67,58 @@
     }
 }
 
-/// Something seen, and when.
+/// An observation with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// When.
+    /// The time of the observation.
     pub at: Micros,
-    /// What.
+    /// What was observed.
     pub what: What,
 }
 
 impl Observation {
-    /// Makes an observation of now.
+    /// Creates an observation at the current time.
     pub fn new(what: What) -> Observation {
         Observation { at: now(), what }
     }
 }
 
-/// How a run at an upstream ended.
+/// The outcome of a run at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
     /// The whole answer was written.
     Whole,
-    /// The connection closed before.
+    /// The connection closed before the answer was complete.
     Dropped,
-    /// The upstream broke off by itself.
+    /// The upstream itself broke off the answer.
     Broken,
 }
 
-/// What becomes of a box.
+/// A change of a box's process or connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BoxChange {
     /// The process was started.
     Started,
     /// It was killed.
     Killed,
-    /// It was stopped for a while.
+    /// It was paused with SIGSTOP.
     Paused,
-    /// It goes on.
+    /// It was resumed with SIGCONT.
     Resumed,
-    /// It was told to stop.
+    /// It was told to stop with SIGTERM.
     Terminated,
-    /// Its connections were reset, held or cut.
+    /// Its connections were reset, held or cut off.
     Disturbed,
     /// The process has ended.
     Ended,
 }
 
-/// What was seen.
+/// The content of an observation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum What {
-    /// A client sent a try.
+    /// A client sent an attempt.
     Sent {
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
         /// The kind of request.
         kind: Kind,
@@ -127,130 +128,130 @@
         path: String,
         /// The digest of the body.
         body: u64,
-        /// The events that the client had already.
+        /// The number of events that the client had already received.
         after: u64,
-        /// Who sent it.
+        /// The customer and key that sent it.
         caller: Caller,
     },
-    /// A client got a whole answer.
+    /// A client received a whole answer.
     Answered {
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
         /// The status.
         status: u16,
-        /// The signature of the upstream.
+        /// The id of the upstream that signed the answer.
         stamp: Option<String>,
         /// The digest of a plain body.
         body: u64,
-        /// The events of a stream.
+        /// The numbers of a stream's events.
         events: Vec<u64>,
-        /// Whether all of it names this try.
+        /// Whether all parts of it name this attempt.
         is_own: bool,
     },
     /// A connection ended before the whole answer.
     Cut {
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
     },
-    /// No connection to the box came up, so that nothing was sent.
+    /// No connection to the box could be opened, so nothing was sent.
     Unreached {
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
     },
-    /// An upstream's process is gone, with all that it ran.
+    /// An upstream's process ended, with all its runs.
     EngineGone {
         /// The upstream.
         engine: String,
     },
-    /// A client left on purpose.
+    /// A client disconnected on purpose.
     Left {
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
     },
     /// An upstream began to run a request.
     Began {
         /// The upstream.
         engine: String,
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
         /// The path.
         path: String,
         /// The digest of the body.
         body: u64,
-        /// Whether a prompt is read for another engine.
+        /// Whether the run is a prefill for another engine.
         is_reading: bool,
-        /// The customer that the upstream was told.
+        /// The customer that the upstream received, if any.
         customer: Option<String>,
-        /// Whether a client's key stood in what the upstream was sent.
+        /// Whether the request to the upstream contained a client's key.
         has_key: bool,
     },
-    /// A client's key was found where none may be.
+    /// A client's key was found where none may be, such as a log.
     KeyFound {
-        /// Where.
+        /// The place where it was found.
         place: String,
     },
     /// A run ended.
     RunEnded {
         /// The upstream.
         engine: String,
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
-        /// How.
+        /// The outcome.
         how: RunEnd,
         /// The digest of a plain body.
         body: u64,
         /// The last event of a stream, whether it was sent in this run or before.
         last_event: u64,
     },
-    /// An upstream turned a request away and has not run it.
+    /// An upstream rejected a request and has not run it.
     TurnedAway {
         /// The upstream.
         engine: String,
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
     },
-    /// An upstream names another limit from now on, or none.
+    /// An upstream announces another rate limit from now on, or none.
     Limited {
         /// The upstream.
         engine: String,
-        /// Thousandths of a request a second; 0 if it names none.
+        /// The limit in thousandths of a request a second; 0 for none.
         milli: u64,
     },
-    /// An upstream says from now on that it leaves.
+    /// An upstream announces from now on that it is shutting down.
     Leaving {
         /// The upstream.
         engine: String,
     },
-    /// The store has acknowledged an upstream's entry that says that it leaves.
+    /// The store has acknowledged that an upstream's entry is marked as draining.
     EntryLeaving {
         /// The upstream.
         engine: String,
     },
-    /// An upstream turned a request away and asked the box for rest.
+    /// An upstream rejected a request and asked the box to back off.
     AskedForRest {
         /// The upstream.
         engine: String,
-        /// The id of the try.
+        /// The id of the attempt.
         attempt: String,
-        /// For how many milliseconds.
+        /// The duration of the back-off, in milliseconds.
         milli: u64,
     },
-    /// A box's log says that it could not read what another box told.
+    /// A box's log says that it could not decode a datagram of another box.
     NotRead {
         /// The box.
         node: usize,
-        /// How many lines say so.
+        /// The number of log lines that say so.
         lines: usize,
     },
-    /// An engine took an order.
+    /// An engine accepted an order.
     Ordered {
         /// The engine.
         engine: String,
-        /// Who gave it.
+        /// The lease holder that issued it.
         holder: String,
         /// The fencing token.
         token: u64,
-        /// The stage that it is to have.
+        /// The stage to switch to.
         stage: String,
     },
     /// The store acknowledged a version of the configuration.
@@ -258,7 +259,7 @@
         /// The version.
         version: u64,
     },
-    /// A client asked a box for the route that a version alone has.
+    /// A box answered a request for a route that exists in only one version.
     Probed {
         /// The box.
         node: usize,
@@ -269,28 +270,28 @@
         /// The status.
         status: u16,
     },
-    /// A box changed.
+    /// A box's process or connections changed.
     Node {
         /// The box.
         node: usize,
-        /// How.
+        /// The change.
         change: BoxChange,
     },
     /// The store was disturbed from now on.
     StoreDisturbed {
-        /// For how long.
+        /// How long it is disturbed.
         span: Micros,
     },
-    /// All boxes were killed, and started again by now.
+    /// All boxes were killed and have been restarted.
     AllRestarted,
-    /// A fault began, for the report.
+    /// A fault began; only for the report.
     Fault {
         /// Its name.
         name: String,
         /// How long it lasts.
         span: Micros,
     },
-    /// What a box's process uses.
+    /// A sample of the resource usage of a box's process.
     Usage {
         /// The box.
         node: usize,
@@ -299,22 +300,22 @@
         /// Open descriptors.
         descriptors: u64,
     },
-    /// A request with a flaw came to a box.
+    /// A box was sent a malformed request.
     Flawed {
         /// The box.
         node: usize,
         /// The flaw.
         flaw: Flaw,
-        /// How long the box took to answer it or to close the connection.
+        /// How long the box took to answer it or close the connection.
         span: Micros,
-        /// Whether it did.
+        /// Whether the box did so before the wait ended.
         is_done: bool,
     },
-    /// An engine's runs after the last client has gone.
+    /// An engine still has active runs after the last client has disconnected.
     StillActive {
         /// The engine.
         engine: String,
-        /// The runs.
+        /// The number of runs.
         runs: u64,
     },
 }
--- a/tests/soak/src/run.rs
+++ b/tests/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! One run: everything comes up, clients work, faults come as scheduled, and what was seen is
-//! judged.
+//! One run: starts all processes, sends clients' requests, injects the scheduled faults, and judges
+//! the observations.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -29,57 +29,57 @@
 use crate::schedule::{Fault, Planned};
 use crate::standin::engine::Command;
 
-/// How long boxes may take to be ready.
+/// The time within which boxes must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(20);
 
-/// How long an engine takes to change its stage, and its entry to show it.
+/// How long an engine takes to switch its stage and update its entry in the store.
 const SWITCHES_AFTER: Duration = Duration::from_millis(1700);
 
-/// How often each box is asked for the newest versions.
+/// The interval at which each box is probed for the newest versions.
 const PROBE_EVERY: Duration = Duration::from_millis(500);
 
-/// How often processes are looked at.
+/// The interval at which the processes' resource usage is sampled.
 const USAGE_EVERY: Duration = Duration::from_millis(500);
 
-/// How long requests under way may take after clients have ended.
+/// How long in-flight requests may take after the clients have ended.
 const DRAINED_AFTER: Duration = Duration::from_millis(6500);
 
-/// How long the boxes may take to stop at the end.
+/// The time within which the boxes must stop at the end of a run.
 const STOP_WITHIN: Duration = Duration::from_secs(10);
 
-/// What a run is to do.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The seed of the clients and of what faults strike.
+    /// The seed of the clients and of the faults' targets.
     pub seed: u64,
-    /// How long clients work.
+    /// How long clients send requests.
     pub length: Duration,
-    /// How large it is.
+    /// The number of boxes, engines, upstreams and clients.
     pub size: Size,
-    /// The faults.
+    /// The faults and their times.
     pub faults: Vec<Planned>,
-    /// A deliberate fault.
+    /// The mutant, if the run is to show that a check detects it.
     pub mutant: Option<Mutant>,
-    /// The folder of settings and logs.
+    /// The folder for settings and logs.
     pub folder: PathBuf,
-    /// The program of an older version that all boxes run at first, if one is given.
+    /// The program of an older version that all boxes run at first, if given.
     pub older: Option<PathBuf>,
 }
 
-/// What a run has given.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// All that was seen.
+    /// All observations, in the order of their arrival.
     pub observations: Vec<Observation>,
-    /// What is broken.
+    /// The broken promises.
     pub findings: Vec<Finding>,
 }
 
-/// Runs a plan. Needs a [`tokio::task::LocalSet`].
+/// Executes a plan. Must run inside of a [`tokio::task::LocalSet`].
 ///
 /// # Errors
 ///
-/// If a process does not start, or the boxes do not get ready.
+/// If a process does not start, or the boxes do not become ready in time.
 pub async fn run(plan: &Plan) -> eyre::Result<Outcome> {
     let (sink, mut seen) = mpsc::unbounded_channel();
     let older = plan.older.as_deref();
@@ -131,7 +131,7 @@
     Ok(Outcome { observations, findings })
 }
 
-/// Waits until all boxes are ready.
+/// Waits until all boxes report that they are ready.
 async fn wait_until_ready(cluster: &Cluster) -> eyre::Result<()> {
     let begun = Instant::now();
     while begun.elapsed() < READY_WITHIN {
@@ -146,10 +146,11 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    bail!("the boxes do not get ready; their logs tell why")
+    bail!("the boxes did not become ready in time; see their logs")
 }
 
-/// Collects observations for a span. Engines that were ordered get entries with their new stage.
+/// Collects observations for a duration. Engines that were ordered to switch get entries with their
+/// new stage.
 async fn collect(
     seen: &mut mpsc::UnboundedReceiver<Observation>,
     observations: &mut Vec<Observation>,
@@ -166,7 +167,7 @@
     }
 }
 
-/// Shows an engine's new stage in its entry.
+/// Writes an engine's new stage to its entry after the time that a switch takes.
 async fn switch(cluster: Rc<Cluster>, engine: String, stage: String) {
     tokio::time::sleep(SWITCHES_AFTER).await;
     let found = cluster.upstreams.borrow().iter().find(|it| it.id == engine).cloned();
@@ -176,7 +177,7 @@
     }
 }
 
-/// Asks each box again and again for the routes that single versions have.
+/// Periodically requests from each box the routes that exist in only one version.
 async fn probe(cluster: Rc<Cluster>, shared: Rc<Shared>) {
     let mut number = 0_u64;
     loop {
@@ -192,7 +193,7 @@
     }
 }
 
-/// Asks a box for the route of one version.
+/// Requests the route of one version from a box.
 async fn probe_one(cluster: Rc<Cluster>, node: usize, version: u64, id: String) {
     let path = version_path(version);
     let (kind, body, after) = (Kind::Probe, digest(b""), 0);
@@ -209,7 +210,7 @@
     }
 }
 
-/// Looks at the boxes' processes again and again.
+/// Periodically samples the resource usage of the boxes' processes.
 async fn sample(cluster: Rc<Cluster>) {
     loop {
         for node in 0..cluster.nodes.len() {
@@ -221,7 +222,7 @@
     }
 }
 
-/// Asks the engines how many runs they have after the last client has gone.
+/// Records the runs that are still active at upstreams after the last client has disconnected.
 async fn check_active_runs(cluster: &Rc<Cluster>) {
     let upstreams = cluster.upstreams.borrow().clone();
     for upstream in upstreams {
@@ -232,7 +233,7 @@
     }
 }
 
-/// Asks an upstream for its runs under way.
+/// Requests the number of active runs from an upstream.
 async fn active(upstream: &Upstream) -> Option<u64> {
     let within = Duration::from_secs(1);
     let mut connection = Connection::open(upstream.address, within).await.ok()?;
@@ -242,7 +243,7 @@
     report["active"].as_u64()
 }
 
-/// Looks for clients' keys in the metrics of all boxes.
+/// Searches the metrics of all boxes for clients' keys.
 async fn check_metrics(cluster: &Rc<Cluster>) {
     for (index, node) in cluster.nodes.iter().enumerate() {
         let asked = tokio::time::timeout(Duration::from_secs(2), client::read(node.metrics)).await;
@@ -254,7 +255,7 @@
     }
 }
 
-/// Stops all boxes as planned.
+/// Stops all boxes with SIGTERM and waits for them to end.
 async fn stop_all(cluster: &Rc<Cluster>) {
     for node in 0..cluster.nodes.len() {
         if cluster.signal(node, Signal::SIGTERM) {
@@ -266,21 +267,22 @@
             cluster.ended(node).await;
         }
     };
-    // What has not ended by then is found by the judge, and killed with the cluster.
+    // The judge reports a box that has not ended by then; it is killed with the cluster.
     _ = tokio::time::timeout(STOP_WITHIN, all).await;
 }
 
-/// Gives the faults that a deliberate fault needs to show.
+/// Returns the faults that a mutant needs to become visible.
 pub fn faults_for(mutant: Mutant) -> Vec<Planned> {
     let at = |millis: u64, fault: Fault| Planned { at: Duration::from_millis(millis), fault };
     match mutant {
         Mutant::CutsOnStop => vec![at(3000, Fault::Stop { count: 2, gap: Duration::ZERO })],
         Mutant::HidesVersion => vec![at(500, Fault::Configure)],
-        // Keys are taken away with every second version, and must be gone some seconds later.
+        // Every second version removes keys, which must be rejected some seconds later.
         Mutant::KeepsKeys => (0..6).map(|it| at(300 + 200 * it, Fault::Configure)).collect(),
         Mutant::StaysDown => vec![at(2000, Fault::KillAll)],
         Mutant::HidesLimit => {
-            // By then the harmful requests are held back: upstreams that crash begin without limits.
+            // By then the harmful requests are quarantined. Before, upstreams that crash would
+            // restart without limits.
             let span = Duration::from_secs(8);
             vec![at(4500, Fault::Limit { is_plain: true, count: 3, milli: (500, 500), span })]
         }
@@ -300,7 +302,7 @@
     }
 }
 
-/// Brings about a deliberate fault that the harness itself commits.
+/// Commits a mutant's fault if the harness itself does that.
 async fn commit(cluster: Rc<Cluster>, mutant: Mutant) {
     tokio::time::sleep(Duration::from_secs(2)).await;
     match mutant {
@@ -327,7 +329,7 @@
     }
 }
 
-/// Gives an engine an order that no box has given.
+/// Sends an engine an order that no box has issued.
 async fn order(engine: &Upstream, holder: &str, token: u64) -> Option<u16> {
     let body = json!({"op": "stage", "stage": "decode", "holder": holder, "fencingToken": token});
     let request = Request::post("/order")
