--- a/tests/soak/src/client.rs
+++ b/tests/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients that follow the rules of the users' pages: they keep the address answer and use it, keep
-//! connections, give a deadline, come back when they may and as told, and resume streams.
+//! Clients that follow the documented rules: they cache and use the address list, reuse
+//! connections, send a deadline, retry only when and as allowed, and resume streams.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
 use crate::observation::{Kind, Observation, What, digest};
 use crate::standin::engine::event_text;
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST_NAME: &str = "host.example";
 
-/// How long a client waits for a connection, and for the address answer.
+/// The timeout of a connection, and of the request for the address list.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The deadline of a plain request.
@@ -35,118 +35,118 @@
 /// The deadline of a stream.
 const STREAM_DEADLINE: Duration = Duration::from_secs(5);
 
-/// The share of the time left within which a client comes back as told.
+/// The share of the remaining time within which a client follows a retry delay.
 const RETRY_SHARE: f64 = 1.0 / 3.0;
 
-/// The tries of one request.
+/// The maximum number of attempts of one request.
 const MOST_TRIES: u32 = 2;
 
-/// Of a hundred requests, so many are left by their client.
+/// The percentage of requests whose client disconnects on purpose.
 const LEAVES: u32 = 6;
 
-/// The time after which a client leaves, in milliseconds, at least and at most.
+/// The range of the time after which a client disconnects, in milliseconds.
 const LEAVES_MS: (u64, u64) = (10, 150);
 
-/// The pause between two requests of a client, in milliseconds, at least and at most.
+/// The range of the pause between two requests of a client, in milliseconds.
 const PAUSE_MS: (u64, u64) = (60, 240);
 
-/// Of a hundred requests, so many come with a key that nobody holds, and as many with one that was
-/// taken away.
+/// The percentage of requests with an unknown key, and the percentage with a removed key.
 const BAD_KEYS: u32 = 3;
 
-/// How many versions a key that was taken away is older than the newest.
+/// How many versions a removed key is older than the newest version.
 const OLD_KEY: u64 = 4;
 
-/// Where observations go.
+/// The channel for observations.
 pub type Sink = mpsc::UnboundedSender<Observation>;
 
-/// Where a box can be reached.
+/// The addresses of a box for clients.
 #[derive(Debug, Clone, Copy)]
 pub struct Way {
-    /// Where it listens for clients, as it tells itself.
+    /// The address it listens on, as in its address list.
     pub front: SocketAddr,
-    /// Where clients connect in its place.
+    /// The address of the proxy that clients connect to instead.
     pub proxy: SocketAddr,
-    /// Where it tells clients which boxes to use.
+    /// The address that serves the address list.
     pub directory: SocketAddr,
 }
 
-/// What all clients share.
+/// The state that all clients share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The boxes.
+    /// The addresses of all boxes.
     pub ways: Vec<Way>,
-    /// Where observations go.
+    /// The channel for observations.
     pub sink: Sink,
-    /// Whether clients go on.
+    /// Whether clients keep sending requests.
     pub is_running: Cell<bool>,
-    /// Gives the newest version of the configuration that was acknowledged.
+    /// The newest acknowledged version of the configuration.
     pub version: Rc<Cell<u64>>,
-    /// Whether all requests are safe ones.
+    /// Whether clients only send safe requests.
     pub only_safe: bool,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
 }
 
-/// The answer to a client that asks for addresses.
+/// The address list that a box answers with.
 #[derive(Debug, Deserialize)]
 struct Resolved {
-    /// The addresses.
+    /// The addresses of boxes to use.
     addresses: Vec<SocketAddr>,
-    /// How long they may be kept, in seconds.
+    /// How long they may be cached, in seconds.
     #[serde(rename = "ttlS")]
     ttl: f64,
 }
 
 /// One client.
 pub(crate) struct Client {
-    /// What it shares with the others.
+    /// The state shared with the other clients.
     shared: Rc<Shared>,
     /// Its number.
     number: usize,
-    /// The source of chance.
+    /// The random number generator.
     random: Pcg64Mcg,
-    /// The boxes to use, and until when.
+    /// The boxes to use, and when this list expires.
     boxes: (Vec<usize>, Instant),
-    /// The kept connection, and the box.
+    /// The open connection for reuse, and its box.
     kept: Option<(usize, Connection)>,
     /// The number of the next try.
     next: u64,
 }
 
-/// What is asked for.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub(crate) struct Wanted {
-    /// The kind.
+    /// The kind of request.
     pub(crate) kind: Kind,
     /// The path.
     pub(crate) path: String,
     /// The body.
     pub(crate) body: Bytes,
-    /// The events that came so far.
+    /// The number of events received so far.
     pub(crate) after: u64,
-    /// Who asks.
+    /// The customer and key that send it.
     pub(crate) caller: Caller,
     /// When the client gives up.
     pub(crate) deadline: Instant,
 }
 
-/// How a try ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// The whole answer came.
+    /// The whole answer arrived.
     Served,
-    /// Another answer came whole; if it promises that the request has not run, when to come back.
+    /// Another answer arrived whole, with the delay of a retry if it states that the request has
+    /// not run.
     Failed(Option<Duration>),
-    /// The connection ended before; the last event that came.
+    /// The connection ended before; holds the last event that arrived.
     Cut(u64),
     /// Nothing was sent.
     Unreached,
-    /// The client has left.
+    /// The client has disconnected on purpose.
     Left,
 }
 
-/// Runs a client until clients are told to end.
+/// Runs a client until the clients are stopped.
 pub async fn run(shared: Rc<Shared>, number: usize) {
     let mut client = Client::new(shared, number);
     while client.shared.is_running.get() {
@@ -158,7 +158,7 @@
 }
 
 impl Client {
-    /// Makes a client that knows no box yet.
+    /// Creates a client without an address list.
     pub(crate) fn new(shared: Rc<Shared>, number: usize) -> Client {
         let seed = shared.seed.wrapping_mul(1000).wrapping_add(number as u64);
         Client {
@@ -171,12 +171,12 @@
         }
     }
 
-    /// Forgets the kept connection, so that the next try goes to any box.
+    /// Drops the open connection, so that the next attempt may use any box.
     pub(crate) fn forget_connection(&mut self) {
         self.kept = None;
     }
 
-    /// Draws a request.
+    /// Draws a request with its deadline.
     fn draw(&mut self) -> Wanted {
         let kinds = [Kind::Safe, Kind::Safe, Kind::Unsafe, Kind::Unsafe, Kind::Once, Kind::Resumed];
         let drawn = kinds.choose(&mut self.random).copied().unwrap_or(Kind::Safe);
@@ -192,8 +192,8 @@
         Wanted { kind, path, body, after: 0, caller, deadline: Instant::now() + span }
     }
 
-    /// Draws the key of a request: mostly one that boxes know that have the newest version or the
-    /// one before.
+    /// Draws the key of a request: mostly one that is known in both the newest version and the one
+    /// before.
     fn caller(&mut self, kind: Kind, body: &Bytes) -> Caller {
         let customer = CUSTOMERS[self.number % CUSTOMERS.len()].to_owned();
         let version = self.shared.version.get();
@@ -205,7 +205,7 @@
         Caller { customer, key, units: units(kind, prompt_tokens(body)) }
     }
 
-    /// Makes the tries of one request.
+    /// Makes the attempts of one request.
     async fn serve(&mut self, mut wanted: Wanted) {
         let leaves_after = (self.random.random_range(0..100) < LEAVES).then(|| {
             let millis = self.random.random_range(LEAVES_MS.0..=LEAVES_MS.1);
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Makes one try.
+    /// Makes one attempt.
     pub(crate) async fn attempt(
         &mut self,
         wanted: &Wanted,
@@ -268,7 +268,7 @@
         outcome
     }
 
-    /// Sends a try and reads its answer.
+    /// Sends an attempt and reads its answer.
     async fn exchange(&mut self, wanted: &Wanted, node: usize, id: &str) -> Outcome {
         let kept = self.kept.take().filter(|it| it.0 == node);
         let is_kept = kept.is_some();
@@ -279,7 +279,7 @@
         let Ok(mut connection) = opened else { return Outcome::Unreached };
         let mut sent = connection.send(message(wanted, id)).await;
         if is_kept && matches!(sent, Err(Failure::Unsent)) {
-            // The kept connection had closed; nothing was sent on it.
+            // The open connection had closed, so nothing was sent on it.
             let way = self.shared.ways[node].proxy;
             let Ok(opened) = Connection::open(way, CONNECT_TIMEOUT).await else {
                 return Outcome::Unreached;
@@ -300,7 +300,7 @@
         outcome
     }
 
-    /// Reads an answer.
+    /// Reads an answer and records it.
     async fn read(&self, wanted: &Wanted, id: &str, response: Response<Incoming>) -> Outcome {
         let (head, mut body) = response.into_parts();
         let mut bytes = Vec::new();
@@ -331,7 +331,7 @@
         Outcome::Failed(is_promise.then_some(pause))
     }
 
-    /// Chooses a box: that of the kept connection, or one of the address answer.
+    /// Chooses the box of the open connection, or one of the address list.
     async fn choose(&mut self) -> Option<usize> {
         if self.boxes.0.is_empty() || self.boxes.1 <= Instant::now() {
             self.resolve().await;
@@ -341,7 +341,8 @@
         kept.or_else(|| self.boxes.0.choose(&mut self.random).copied())
     }
 
-    /// Asks up to three boxes which to use. Without an answer the last one stays in use.
+    /// Requests the address list from up to three boxes. Without an answer the old list stays in
+    /// use.
     async fn resolve(&mut self) {
         for _ in 0..3 {
             let Some(way) = self.shared.ways.choose(&mut self.random).copied() else { return };
@@ -356,14 +357,14 @@
         }
     }
 
-    /// Notes what was seen.
+    /// Records an observation.
     fn see(&self, what: What) {
-        // An error says that the run is over.
+        // The error means that the run is over.
         _ = self.shared.sink.send(Observation::new(what));
     }
 }
 
-/// Asks a box which boxes to use.
+/// Requests the address list from a box.
 async fn ask(directory: SocketAddr) -> Option<Resolved> {
     let path = format!("/resolve?name={HOST_NAME}&region=r&zone=north");
     let request = Request::get(path).header(HOST, HOST_NAME).body(Full::default()).ok()?;
@@ -373,7 +374,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// Asks a box for a path; gives the status.
+/// Requests a path from a box and returns the status.
 pub async fn probe(front: SocketAddr, path: &str, id: &str, caller: &Caller) -> Option<u16> {
     let request = Request::get(path)
         .header(HOST, HOST_NAME)
@@ -397,7 +398,7 @@
     String::from_utf8(body.to_bytes().to_vec()).ok()
 }
 
-/// Makes the message of a try.
+/// Creates the HTTP request of an attempt.
 fn message(wanted: &Wanted, id: &str) -> Request<Full<Bytes>> {
     let left = wanted.deadline.saturating_duration_since(Instant::now());
     let method = if wanted.kind == Kind::Safe { "GET" } else { "POST" };
@@ -419,28 +420,28 @@
     if wanted.after > 0 {
         builder = builder.header("Last-Event-Id", wanted.after.to_string());
     }
-    // The parts are made here and valid.
+    // All parts are created above and valid.
     builder.body(Full::new(wanted.body.clone())).unwrap_or_default()
 }
 
-/// Gives the tokens of a prompt.
+/// Returns the number of tokens of a prompt.
 fn prompt_tokens(body: &Bytes) -> u64 {
     200 + digest(body) % 3000
 }
 
-/// Gives the ids of the whole events in the bytes of a stream.
+/// Returns the ids of the whole events in the bytes of a stream.
 fn events(bytes: &[u8]) -> Vec<u64> {
     let text = String::from_utf8_lossy(bytes);
     let whole = text.rfind("\n\n").map_or("", |end| &text[..end]);
     whole.lines().filter_map(|it| it.strip_prefix("id: ")?.parse().ok()).collect()
 }
 
-/// Tells whether bytes contain a text.
+/// Returns whether bytes contain a text.
 fn contains(bytes: &[u8], text: &str) -> bool {
     String::from_utf8_lossy(bytes).contains(text)
 }
 
-/// Gives a header's value.
+/// Returns a header's value.
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
--- a/tests/soak/src/cluster.rs
+++ b/tests/soak/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The processes of a run: boxes, upstreams and the store, each started here and ended by its id.
+//! The processes of a run: boxes, upstreams and the store. Each is started here and ended by its
+//! id.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -28,48 +29,48 @@
 use crate::standin::store::Done;
 use crate::standin::{engine, store};
 
-/// How often it is looked whether a process has ended.
+/// The interval at which processes are checked for their end.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// How long an upstream that has crashed takes to be back: less than its entry takes to lapse.
+/// How long a crashed upstream takes to restart: less than its entry takes to lapse.
 const BACK_AFTER: Duration = Duration::from_millis(2000);
 
-/// The line of a box's log that says that it could not read what another one told.
+/// The log message of a box that could not decode a datagram of another one.
 const NOT_READ: &str = "datagram not read";
 
-/// How large a run is.
+/// The number of processes and clients of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// The boxes.
+    /// The number of boxes.
     pub boxes: usize,
-    /// The engines of the model service.
+    /// The number of engines of the model service.
     pub engines: usize,
-    /// The upstreams of the plain service.
+    /// The number of upstreams of the plain service.
     pub plain: usize,
-    /// The clients.
+    /// The number of clients.
     pub clients: usize,
 }
 
 /// One box.
 #[derive(Debug)]
 pub struct Node {
-    /// Where it can be reached.
+    /// The addresses for clients.
     pub way: Way,
-    /// Where it tells whether it is ready.
+    /// The address of the readiness check.
     pub ready: SocketAddr,
-    /// Where it gives its metrics.
+    /// The address of its metrics.
     pub metrics: SocketAddr,
     /// The settings file.
     settings: PathBuf,
-    /// The log.
+    /// The log file.
     log: PathBuf,
     /// The program that it runs when it starts.
     program: RefCell<PathBuf>,
     /// The process, while it runs.
     child: RefCell<Option<Child>>,
-    /// The way of its clients.
+    /// The proxy between clients and the box.
     pub front: Proxy,
-    /// Its way to the store.
+    /// The proxy between the box and the store.
     pub store: Proxy,
 }
 
@@ -80,57 +81,57 @@
     pub id: String,
     /// Its stage, for an engine of the model service.
     pub stage: RefCell<Option<String>>,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     data_centre: &'static str,
-    /// When this life of it began, in milliseconds of Unix time.
+    /// The start time of its incarnation, in milliseconds of Unix time.
     born: u64,
     /// The process.
     child: RefCell<Child>,
-    /// Its way.
+    /// The proxy between boxes and the upstream.
     pub proxy: Proxy,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub is_draining: Cell<bool>,
 }
 
 /// The store.
 #[derive(Debug)]
 struct Store {
-    /// Where it listens.
+    /// The address it listens on.
     address: SocketAddr,
     /// The process.
     child: RefCell<Child>,
-    /// The commands given.
+    /// The number of commands sent.
     given: Cell<u64>,
-    /// The commands done.
+    /// The number of commands done.
     done: watch::Receiver<u64>,
 }
 
-/// All processes.
+/// All processes of a run.
 #[derive(Debug)]
 pub struct Cluster {
     /// The boxes.
     pub nodes: Vec<Node>,
-    /// The ways between them.
+    /// The network between the boxes.
     pub peering: Rc<Peering>,
-    /// The upstreams that live.
+    /// The upstreams that are alive.
     pub upstreams: RefCell<Vec<Rc<Upstream>>>,
     /// The store.
     store: Store,
-    /// Where observations go.
+    /// The channel for observations.
     sink: Sink,
-    /// The deliberate fault.
+    /// The mutant, if any.
     mutant: Option<Mutant>,
-    /// The name of the box that gave the last order to an upstream.
+    /// The name of the lease holder that sent the last order to an upstream.
     pub holder: watch::Sender<String>,
     /// The number of the next upstream.
     next_upstream: Cell<u64>,
-    /// The version of the configuration.
+    /// The newest acknowledged version of the configuration.
     pub version: Rc<Cell<u64>>,
     /// The upstreams whose entries were removed.
     left: RefCell<BTreeSet<String>>,
-    /// The folder of settings and logs.
+    /// The folder for settings and logs.
     folder: PathBuf,
 }
 
@@ -150,22 +151,22 @@
 
 /// Kills a process of this run and waits for it.
 fn end(child: &mut Child) {
-    // One that has ended already needs no killing.
+    // The error means that the process has already ended.
     _ = child.kill();
     _ = child.wait();
 }
 
-/// Finds a program that was built beside this one.
+/// Returns the path of a program in this program's folder.
 fn program(name: &str) -> eyre::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let path = own.parent().ok_or_eyre("the program stands nowhere")?.join(name);
+    let path = own.parent().ok_or_eyre("the program's path has no parent folder")?.join(name);
     if !path.exists() {
         bail!("{name} is not built: run `cargo build --workspace --bins` first");
     }
     Ok(path)
 }
 
-/// Starts a stand-in of this program's own; gives it and what it writes.
+/// Starts a stand-in and returns its process, its address and the lines that it writes.
 fn standin(
     arguments: &[String],
     log: &Path,
@@ -173,28 +174,28 @@
     let mut command = Command::new(std::env::current_exe()?);
     let log = std::fs::File::create(log)?;
     command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
-    let mut child = command.spawn().wrap_err("the stand-in does not start")?;
-    let output = child.stdout.take().ok_or_eyre("no output")?;
+    let mut child = command.spawn().wrap_err("cannot start the stand-in")?;
+    let output = child.stdout.take().ok_or_eyre("the stand-in has no standard output")?;
     let mut lines = BufReader::new(output).lines();
-    let first = lines.next().ok_or_eyre("the stand-in says nothing")??;
+    let first = lines.next().ok_or_eyre("the stand-in ended without writing its address")??;
     let greeting: Greeting = serde_json::from_str(&first)?;
     let (sender, receiver) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in lines.map_while(Result::ok) {
-            // An error says that the run is over.
+            // The error means that the run is over.
             _ = sender.send(line);
         }
     });
     Ok((child, greeting.listening.parse()?, receiver))
 }
 
-/// Tells a stand-in something.
+/// Sends a command to a stand-in.
 fn tell(child: &RefCell<Child>, command: &impl Serialize) {
     let mut child = child.borrow_mut();
     if let Some(input) = child.stdin.as_mut()
         && let Ok(line) = serde_json::to_string(command)
     {
-        // A stand-in that has just been killed hears nothing any more.
+        // The error means that the stand-in has been killed.
         _ = writeln!(input, "{line}");
     }
 }
@@ -250,24 +251,24 @@
         Ok(cluster)
     }
 
-    /// Gives the box that a holder's name is of.
+    /// Returns the box whose lease holder name this is.
     pub fn holder_node(&self, name: &str) -> Option<usize> {
         let is_of = |it: usize| name.starts_with(&format!("{}:{}-", ip(it), PORTS.announced));
         (0..self.nodes.len()).find(|&it| is_of(it))
     }
 
-    /// Tells whether the run has a deliberate fault.
+    /// Returns whether the run has this mutant.
     pub fn has(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// Notes what was seen.
+    /// Records an observation at the current time.
     pub fn see(&self, what: What) {
-        // An error says that the run is over.
+        // The error means that the run is over.
         _ = self.sink.send(Observation::new(what));
     }
 
-    /// Notes what became of a box.
+    /// Records a change of a box.
     pub fn changed(&self, node: usize, change: BoxChange) {
         self.see(What::Node { node, change });
     }
@@ -287,19 +288,19 @@
         let mut command = Command::new(&*node.program.borrow());
         command.env_clear().env("HOLLYSPOKE_CONFIG", &node.settings);
         command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
-        *child = Some(command.spawn().wrap_err("the box does not start")?);
+        *child = Some(command.spawn().wrap_err("cannot start the box")?);
         self.changed(index, BoxChange::Started);
         Ok(())
     }
 
-    /// Has a box run the program of this version when it starts next.
+    /// Sets a box to run the program of this version from its next start.
     pub fn replace(&self, index: usize) {
         if let Ok(newer) = program("hollyspoke-node") {
             self.nodes[index].program.replace(newer);
         }
     }
 
-    /// Looks in the logs of all boxes for datagrams of others that they could not read.
+    /// Searches the logs of all boxes for datagrams that they could not decode.
     pub fn look_for_unread(&self) {
         for (index, node) in self.nodes.iter().enumerate() {
             let log = std::fs::read(&node.log).unwrap_or_default();
@@ -310,13 +311,13 @@
         }
     }
 
-    /// Sends a box something that is no datagram.
+    /// Sends a box bytes that are not a valid datagram.
     pub async fn send_noise(&self, index: usize) -> std::io::Result<usize> {
         let socket = tokio::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         socket.send_to(b"no datagram", (ip(index), PORTS.peers)).await
     }
 
-    /// Sends a box's process a signal; tells whether there was one.
+    /// Sends a box's process a signal; returns whether there was a process.
     pub fn signal(&self, index: usize, signal: Signal) -> bool {
         let child = self.nodes[index].child.borrow();
         let Some(child) = child.as_ref() else { return false };
@@ -330,7 +331,7 @@
         }
     }
 
-    /// Notes processes of boxes that have ended, until the run is over.
+    /// Records when processes of boxes end, until the run is over.
     pub async fn watch(self: Rc<Cluster>) {
         loop {
             for (index, node) in self.nodes.iter().enumerate() {
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Has the upstreams that ended by themselves be back under their ids some time later.
+    /// Restarts crashed upstreams under their ids after [`BACK_AFTER`].
     fn restart_crashed(self: &Rc<Cluster>) {
         let has_ended = |it: &Rc<Upstream>| !matches!(it.child.borrow_mut().try_wait(), Ok(None));
         let ended: Vec<_> =
@@ -366,7 +367,7 @@
         }
     }
 
-    /// Looks for clients' keys in the logs of all boxes.
+    /// Searches the logs of all boxes for clients' keys.
     pub fn look_for_keys(&self) {
         for (index, node) in self.nodes.iter().enumerate() {
             let log = std::fs::read(&node.log).unwrap_or_default();
@@ -376,7 +377,7 @@
         }
     }
 
-    /// Gives what a box's process uses: resident memory in bytes, and descriptors.
+    /// Returns the resident memory of a box's process in bytes, and its number of descriptors.
     pub fn usage(&self, index: usize) -> Option<(u64, u64)> {
         let child = self.nodes[index].child.borrow();
         let id = child.as_ref()?.id();
@@ -386,7 +387,7 @@
         Some((pages * 4096, descriptors as u64))
     }
 
-    /// Starts an upstream and enters it in the store.
+    /// Starts an upstream with a new id and writes its entry to the store.
     ///
     /// # Errors
     ///
@@ -398,7 +399,7 @@
         self.begin_upstream(format!("i-{number:04x}"), data_centre, stage).await
     }
 
-    /// Begins a life of an upstream and enters it in the store.
+    /// Starts an incarnation of an upstream and writes its entry to the store.
     async fn begin_upstream(
         &self,
         id: String,
@@ -417,7 +418,7 @@
         tokio::task::spawn_local(async move {
             while let Some(line) = lines.recv().await {
                 if let Ok(observation) = serde_json::from_str::<Observation>(&line) {
-                    // An error says that the run is over.
+                    // The error means that the run is over.
                     _ = sink.send(observation);
                 }
             }
@@ -438,7 +439,7 @@
         Ok(())
     }
 
-    /// Writes an upstream's entry.
+    /// Writes an upstream's entry to the store.
     pub async fn enter(&self, upstream: &Upstream) {
         let stage = upstream.stage.borrow().clone();
         let service = if stage.is_some() { "model" } else { "plain" };
@@ -461,7 +462,7 @@
         self.command(&store::Command::Remove { kind, name }).await;
     }
 
-    /// Writes again what the store may have lost: the configuration, and the entries of upstreams.
+    /// Rewrites what the store may have lost: the configuration and the upstreams' entries.
     pub async fn write_again(&self) {
         self.put("config", "main", configuration(self.version.get(), self.mutant)).await;
         let upstreams = self.upstreams.borrow().clone();
@@ -484,26 +485,26 @@
     /// Sends an upstream's process a signal.
     pub fn signal_upstream(&self, upstream: &Upstream, signal: Signal) {
         let id = upstream.child.borrow().id();
-        // One that was killed meanwhile needs no signal.
+        // The error means that the process was killed meanwhile.
         _ = kill(Pid::from_raw(id as i32), signal);
     }
 
-    /// Tells an upstream how to behave.
+    /// Sends a command to an upstream.
     pub fn tell_upstream(&self, upstream: &Upstream, command: engine::Command) {
         tell(&upstream.child, &command);
     }
 
-    /// Gives the store a command and waits until it is done.
+    /// Sends a command to the store and waits until it is done.
     pub async fn command(&self, command: &store::Command) {
         let number = self.store.given.get() + 1;
         self.store.given.set(number);
         tell(&self.store.child, command);
         let mut done = self.store.done.clone();
-        // An error says that the run is over.
+        // The error means that the run is over.
         _ = done.wait_for(|it| *it >= number).await;
     }
 
-    /// Writes an object.
+    /// Writes an object to the store.
     async fn put(&self, kind: &str, name: &str, spec: Value) {
         let (kind, name) = (kind.to_owned(), name.to_owned());
         self.command(&store::Command::Put { kind, name, spec }).await;
@@ -520,7 +521,7 @@
     }
 }
 
-/// Starts the store.
+/// Starts the store's stand-in.
 fn start_store(folder: &Path) -> eyre::Result<Store> {
     let log = folder.join("store.log");
     let (child, address, mut lines) = standin(&["store".to_owned()], &log)?;
@@ -535,7 +536,7 @@
     Ok(Store { address, child: RefCell::new(child), given: Cell::new(0), done })
 }
 
-/// Makes the boxes' addresses, settings and ways.
+/// Creates the boxes' addresses, settings and proxies; starts no process.
 async fn make_nodes(
     size: Size,
     folder: &Path,
@@ -568,7 +569,7 @@
     Ok(nodes)
 }
 
-/// Holds all connections to a box or an upstream, or lets them pass again.
+/// Holds all connections through proxies, or releases them.
 pub fn hold(proxies: &[&Proxy], holds: bool) {
     for proxy in proxies {
         proxy.set(if holds { Mode::Hold } else { Mode::Pass });
--- a/tests/soak/src/faults.rs
+++ b/tests/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! How the faults of a schedule are brought about, and taken away again.
+//! Injects the faults of a schedule and ends them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,19 +21,20 @@
 /// How long a killed box stays down.
 const DOWN_FOR: Duration = Duration::from_millis(400);
 
-/// How long an entry stays whose upstream is gone: three heartbeats of 1.2 s.
+/// How long the entry of a dead upstream remains: three heartbeats of 1.2 s.
 const LAPSES_AFTER: Duration = Duration::from_millis(3600);
 
-/// How long an upstream that drains still serves.
+/// How long a draining upstream still serves.
 const DRAINS_FOR: Duration = Duration::from_secs(3);
 
-/// How long the holder of the lease is waited for that is to be struck.
+/// How long to wait for an order that shows which box is the lease holder.
 const HOLDS_WITHIN: Duration = Duration::from_secs(6);
 
-/// How long a holder stands still or is cut off: longer than its lease, so that another one follows.
+/// How long a lease holder is paused or cut off: longer than its lease, so that another box takes
+/// over.
 const BLOW_FOR: Duration = Duration::from_millis(3500);
 
-/// Brings the faults of a plan at their times.
+/// Injects the faults of a plan at their times.
 pub(crate) async fn strike(cluster: Rc<Cluster>, seed: u64, faults: Vec<Planned>) {
     let begun = Instant::now();
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x5EED);
@@ -50,13 +51,13 @@
     }
 }
 
-/// Tells of a fault that could not be brought, or taken away again.
-#[expect(clippy::print_stderr, reason = "whoever reads the run's output must know")]
+/// Prints the error of a fault that could not be injected or ended.
+#[expect(clippy::print_stderr, reason = "errors of the harness belong in the run's output")]
 pub(crate) fn report(error: &eyre::Report) {
-    eprintln!("a fault could not be brought: {error:#}");
+    eprintln!("a fault could not be injected: {error:#}");
 }
 
-/// Gives how long a fault lasts, for the report.
+/// Returns the duration of a fault, for the report.
 fn span(fault: Fault) -> Micros {
     let span = match fault {
         Fault::Pause { span, .. }
@@ -88,12 +89,12 @@
     micros(span)
 }
 
-/// Gives a span in microseconds.
+/// Converts a duration to microseconds.
 fn micros(span: Duration) -> Micros {
     u64::try_from(span.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Brings one fault, and takes it away again.
+/// Injects one fault, waits for its duration and ends it.
 async fn bring(cluster: &Rc<Cluster>, fault: Fault, random: &mut Pcg64Mcg) -> eyre::Result<()> {
     match fault {
         Fault::Kill { count } => kill(cluster, &some_nodes(cluster, count, random)).await,
@@ -199,7 +200,7 @@
     }
 }
 
-/// Notes that boxes are disturbed.
+/// Records that boxes are disturbed.
 fn disturb(cluster: &Cluster, nodes: &[usize]) {
     for &node in nodes {
         cluster.changed(node, BoxChange::Disturbed);
@@ -212,14 +213,14 @@
     all.choose_multiple(random, count).copied().collect()
 }
 
-/// Draws an upstream that does not drain.
+/// Draws an upstream that is not draining.
 fn one_upstream(cluster: &Cluster, random: &mut Pcg64Mcg) -> Option<Rc<Upstream>> {
     let upstreams = cluster.upstreams.borrow();
     let staying: Vec<_> = upstreams.iter().filter(|it| !it.is_draining.get()).collect();
     staying.choose(random).map(|it| Rc::clone(it))
 }
 
-/// Kills boxes and starts them again.
+/// Kills boxes and restarts them.
 async fn kill(cluster: &Rc<Cluster>, nodes: &[usize]) -> eyre::Result<()> {
     for &node in nodes {
         cluster.changed(node, BoxChange::Killed);
@@ -233,7 +234,7 @@
     Ok(())
 }
 
-/// Kills all boxes and starts them again, unless they are to stay down.
+/// Kills all boxes and restarts them, unless the mutant keeps them down.
 async fn kill_all(cluster: &Rc<Cluster>) -> eyre::Result<()> {
     let all: Vec<_> = (0..cluster.nodes.len()).collect();
     if cluster.has(Mutant::StaysDown) {
@@ -248,7 +249,8 @@
     Ok(())
 }
 
-/// Has all upstreams serve few requests for a span, in which all boxes are lost some times.
+/// Lets all upstreams fail or reject most requests for a duration, and kills all boxes several
+/// times meanwhile.
 async fn storm(
     cluster: &Rc<Cluster>,
     refusal: Refusal,
@@ -271,13 +273,14 @@
         }
         eyre::Ok(())
     });
-    // A kill may wait for a box that another fault has started again meanwhile.
+    // The storm ends on time although a kill may wait for a box that another fault has restarted.
     tokio::time::sleep(span).await;
     tell_all(cluster, command(0));
     losing.await?
 }
 
-/// Strikes the box that gives the next order, some time after it; none if no order comes soon.
+/// Makes the box fail that sends the next order, some time after it. Does nothing if no order is
+/// sent within [`HOLDS_WITHIN`].
 async fn strike_holder(cluster: &Rc<Cluster>, blow: Blow, after: Duration) -> eyre::Result<()> {
     let mut holder = cluster.holder.subscribe();
     if !matches!(tokio::time::timeout(HOLDS_WITHIN, holder.changed()).await, Ok(Ok(()))) {
@@ -294,7 +297,8 @@
     Ok(())
 }
 
-/// Has upstreams of a service name a limit, another one later, and none after a span.
+/// Lets upstreams of a service announce a limit, another one after half of the time, and none at
+/// the end.
 async fn limit(
     cluster: &Cluster,
     is_plain: bool,
@@ -316,8 +320,8 @@
     name(0);
 }
 
-/// Has an upstream say in its answers that it leaves, and in its entry after a span; another one comes
-/// first.
+/// Starts another upstream, then lets one announce its shutdown in its answers, and in its entry
+/// after a duration.
 async fn leave(
     cluster: &Rc<Cluster>,
     is_plain: bool,
@@ -347,7 +351,7 @@
     of_service.choose_multiple(random, count).cloned().collect()
 }
 
-/// Cuts boxes off from the others for a span.
+/// Cuts boxes off from the others for a duration.
 async fn split(cluster: &Cluster, nodes: &[usize], direction: Direction, span: Duration) {
     disturb(cluster, nodes);
     let cut = cluster.peering.cut(nodes, direction);
@@ -356,7 +360,7 @@
     disturb(cluster, nodes);
 }
 
-/// Has boxes stand still.
+/// Pauses boxes with SIGSTOP for a duration.
 async fn pause(cluster: &Rc<Cluster>, nodes: &[usize], span: Duration) {
     for &node in nodes {
         cluster.changed(node, BoxChange::Paused);
@@ -369,7 +373,7 @@
     }
 }
 
-/// Stops boxes in turn and starts each again when it has ended.
+/// Stops boxes in turn and restarts each when it has ended.
 async fn stop_in_turn(cluster: &Rc<Cluster>, nodes: &[usize], gap: Duration) -> eyre::Result<()> {
     let mut restarts = Vec::new();
     for &node in nodes {
@@ -394,7 +398,7 @@
     Ok(())
 }
 
-/// Has the store behave differently for a span.
+/// Lets the store fail in one way for a duration.
 async fn disturb_store(cluster: &Rc<Cluster>, mood: Mood, span: Duration) {
     cluster.see(What::StoreDisturbed { span: micros(span) });
     cluster.command(&store::Command::Mood(mood)).await;
@@ -402,7 +406,7 @@
     cluster.command(&store::Command::Mood(Mood::Well)).await;
 }
 
-/// Holds what passes from boxes to the store and back.
+/// Holds the connections between boxes and the store for a duration.
 async fn cut_from_store(cluster: &Cluster, nodes: &[usize], span: Duration) {
     let ways: Vec<_> = nodes.iter().map(|&it| &cluster.nodes[it].store).collect();
     disturb(cluster, nodes);
@@ -412,7 +416,7 @@
     disturb(cluster, nodes);
 }
 
-/// Holds what passes to one box's front, or to one upstream.
+/// Holds the client connections of one box, or the connections to one upstream.
 async fn hold_links(cluster: &Rc<Cluster>, span: Duration, random: &mut Pcg64Mcg) {
     if random.random_bool(0.5) {
         for node in some_nodes(cluster, 1, random) {
@@ -431,7 +435,7 @@
     }
 }
 
-/// Resets a share of all connections.
+/// Resets a percentage of all connections.
 fn reset_links(cluster: &Cluster, share: u64) {
     for (index, node) in cluster.nodes.iter().enumerate() {
         cluster.changed(index, BoxChange::Disturbed);
@@ -443,7 +447,7 @@
     }
 }
 
-/// Has a share of all connections go silent for good.
+/// Stops the data on a percentage of all open connections permanently, without a reset.
 fn mute_links(cluster: &Cluster, share: u64) {
     for (index, node) in cluster.nodes.iter().enumerate() {
         cluster.changed(index, BoxChange::Disturbed);
@@ -455,7 +459,7 @@
     }
 }
 
-/// Kills an upstream; another one comes, and its entry lapses.
+/// Kills an upstream, starts another one, and removes the entry when it would lapse.
 async fn crash(cluster: &Rc<Cluster>, random: &mut Pcg64Mcg) -> eyre::Result<()> {
     let Some(upstream) = one_upstream(cluster, random) else { return Ok(()) };
     cluster.kill_upstream(&upstream);
@@ -467,7 +471,7 @@
     Ok(())
 }
 
-/// Has an upstream drain and leave; another one comes first.
+/// Starts another upstream, then lets one drain and shut down.
 pub(crate) async fn drain(cluster: &Rc<Cluster>, random: &mut Pcg64Mcg) -> eyre::Result<()> {
     let Some(upstream) = one_upstream(cluster, random) else { return Ok(()) };
     let stage = upstream.stage.borrow().clone();
@@ -476,7 +480,7 @@
     Ok(())
 }
 
-/// Has an upstream drain, leave and end, unless it has crashed meanwhile.
+/// Drains an upstream, removes its entry and ends it, unless it has crashed meanwhile.
 async fn retire(cluster: &Cluster, upstream: &Rc<Upstream>) {
     if !cluster.upstreams.borrow().iter().any(|it| Rc::ptr_eq(it, upstream)) {
         return;
@@ -489,7 +493,7 @@
     cluster.kill_upstream(upstream);
 }
 
-/// Tells all upstreams how to behave.
+/// Sends a command to all upstreams.
 pub(crate) fn tell_all(cluster: &Cluster, command: Command) {
     for upstream in cluster.upstreams.borrow().iter() {
         cluster.tell_upstream(upstream, command);
--- a/tests/soak/src/schedule.rs
+++ b/tests/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults come when. A seed gives the same schedule each time.
+//! Schedules of faults. A seed always yields the same schedule.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,205 +11,204 @@
 use crate::standin::engine::Telling;
 use crate::standin::store::Mood;
 
-/// The time at the start without faults, in which everything comes up.
+/// The time without faults at the start, in which all processes become ready.
 const WARM_UP: Duration = Duration::from_millis(2500);
 
-/// The time at the end without faults, so that a recovery is seen whole.
+/// The time without faults at the end, so that a recovery is observed whole.
 pub const COOL_DOWN: Duration = Duration::from_secs(9);
 
-/// The time between two faults, in milliseconds, at least and at most: short enough that they
-/// overlap.
+/// The range of the time between two faults, in milliseconds; short enough that faults overlap.
 const GAP_MS: (u64, u64) = (150, 1400);
 
-/// The chance that a schedule ends with the loss of all boxes.
+/// The probability that a schedule ends with the loss of all boxes.
 const FINAL_LOSS: f64 = 0.5;
 
-/// A fault.
+/// A fault that the harness injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Boxes are killed and started again.
+    /// Boxes are killed and restarted.
     Kill {
-        /// How many.
+        /// The number of boxes.
         count: usize,
     },
-    /// All boxes are killed at once and started again.
+    /// All boxes are killed at once and restarted.
     KillAll,
-    /// The box that gives the next order to an upstream, as the holder of the lease, is struck right
-    /// after it.
+    /// The box that sends the next order to an upstream, as the lease holder, fails some time after
+    /// it.
     StrikeHolder {
-        /// How it is struck.
+        /// How the box fails.
         blow: Blow,
-        /// How long after its order.
+        /// The time between the order and the failure.
         after: Duration,
     },
-    /// Boxes stand still for a while.
+    /// Boxes are paused with SIGSTOP.
     Pause {
-        /// How many.
+        /// The number of boxes.
         count: usize,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// Boxes are told to stop, one after the other, and started again when they have ended.
+    /// Boxes are stopped with SIGTERM, one after the other, and restarted when they have ended.
     Stop {
-        /// How many.
+        /// The number of boxes.
         count: usize,
-        /// The time between two.
+        /// The time between two of these stops.
         gap: Duration,
     },
-    /// The store behaves differently.
+    /// The store fails in one of several ways.
     Store {
-        /// How.
+        /// How it fails.
         mood: Mood,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// Boxes do not reach the store, which the others reach.
+    /// Some boxes cannot reach the store; the others can.
     CutFromStore {
-        /// How many.
+        /// The number of boxes.
         count: usize,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// An upstream is killed; another one comes in its place.
+    /// An upstream is killed, and another one replaces it.
     EngineCrash,
-    /// An upstream stands still for a while.
+    /// An upstream is paused with SIGSTOP.
     EnginePause {
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
     /// Upstreams lose some of their answers.
     LoseAnswers {
-        /// Of a hundred.
+        /// The percentage of answers.
         share: u64,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
     /// An upstream works more slowly.
     SlowEngine {
-        /// How many times as long it takes.
+        /// The factor on its processing time.
         times: u32,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// All upstreams fail or refuse most requests, and boxes are lost meanwhile.
+    /// All upstreams fail or reject most requests, while boxes are killed.
     Storm {
         /// What the upstreams do.
         refusal: Refusal,
-        /// With how many of a hundred requests.
+        /// The percentage of requests.
         share: u64,
-        /// How often all boxes are killed and started again in it.
+        /// How often all boxes are killed and restarted meanwhile.
         losses: u32,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// Upstreams of a service name how many requests a second they take, and name another figure in
-    /// the middle of the time.
+    /// Upstreams of a service announce a rate limit, and another one after half of the time.
     Limit {
         /// Whether it is the plain service.
         is_plain: bool,
-        /// How many of them.
+        /// The number of upstreams.
         count: usize,
-        /// Thousandths of a request a second, at first and later.
+        /// The first and the second limit, in thousandths of a request a second.
         milli: (u64, u64),
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// An upstream of a service says in its answers that it leaves, and in its entry some time later.
+    /// An upstream of a service announces its shutdown in its answers, and in its entry some time
+    /// later.
     Leave {
-        /// Whether it is of the plain service.
+        /// Whether it belongs to the plain service.
         is_plain: bool,
-        /// From the first to the second.
+        /// The time between the two announcements.
         span: Duration,
     },
-    /// Upstreams of a service turn all away, and ask for rest.
+    /// Upstreams of a service reject all requests and ask boxes to back off.
     Rest {
         /// Whether it is the plain service.
         is_plain: bool,
-        /// How many of them.
+        /// The number of upstreams.
         count: usize,
-        /// The rest that they ask for.
+        /// The back-off that they ask for.
         rest: Duration,
-        /// For how long they turn all away.
+        /// How long they reject all requests.
         span: Duration,
     },
-    /// A box that runs the older program is stopped, and the newer one started in its place.
+    /// A box that runs the older program is stopped and restarted with the newer one.
     Replace {
         /// The box.
         node: usize,
     },
-    /// Engines leave orders unanswered and carry them out late.
+    /// Engines do not answer orders and carry them out late.
     DelayOrders {
-        /// Of a hundred.
+        /// The percentage of orders.
         share: u64,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// An upstream tells a load that it does not have.
+    /// An upstream reports a false load.
     LyingEngine {
-        /// What it tells.
+        /// The load that it reports.
         telling: Telling,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
     /// Connections between clients, boxes and upstreams are reset.
     ResetLinks {
-        /// Of a hundred.
+        /// The percentage of connections.
         share: u64,
     },
-    /// Open connections go silent for good, without a reset, while new ones work.
+    /// Open connections carry no more data, without a reset, while new ones work.
     MuteLinks {
-        /// Of a hundred.
+        /// The percentage of connections.
         share: u64,
     },
-    /// Nothing passes on the connections to one box or upstream.
+    /// The connections to one box or upstream carry no data.
     HoldLinks {
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// Datagrams between boxes are lost, doubled or late.
+    /// Datagrams between boxes are lost, duplicated or delayed.
     Datagrams {
-        /// How many of them.
+        /// The percentage of each.
         disorder: Disorder,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// Some boxes are cut off from the others, and not from each other, nor from anything else.
+    /// Some boxes are cut off from the other boxes, but from nothing else.
     Split {
-        /// How many.
+        /// The number of boxes.
         count: usize,
-        /// Which way.
+        /// The direction that is cut.
         direction: Direction,
-        /// For how long.
+        /// The duration.
         span: Duration,
     },
-    /// The configuration changes.
+    /// The next version of the configuration is written.
     Configure,
-    /// An upstream drains, and leaves.
+    /// An upstream drains and shuts down.
     Drain,
-    /// The store is away for a while and comes back from an older copy.
+    /// The store is unavailable and is then restored from an older copy.
     ComeBack {
-        /// How old the copy is.
+        /// The age of the copy.
         age: Duration,
-        /// For how long the store is away.
+        /// How long the store is unavailable.
         span: Duration,
     },
 }
 
-/// What upstreams do that do not serve.
+/// How upstreams fail to serve requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// They fail what they run.
+    /// They run requests and fail them.
     Fail,
-    /// They turn requests away.
+    /// They reject requests without running them.
     TurnAway,
 }
 
-/// How one box is struck.
+/// How one box fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Blow {
-    /// It is killed and started again.
+    /// It is killed and restarted.
     Kill,
-    /// It stands still, for longer than its lease.
+    /// It is paused for longer than its lease.
     Pause,
     /// It is cut off from the other boxes.
     Cut,
@@ -221,16 +220,16 @@
     }
 }
 
-/// A fault and its time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Planned {
-    /// The time since the start.
+    /// The time since the start of the clients.
     pub at: Duration,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Draws the faults of a run.
+/// Draws the faults of a run, sorted by time.
 pub fn draw(seed: u64, length: Duration) -> Vec<Planned> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let end = length.saturating_sub(COOL_DOWN);
@@ -253,8 +252,8 @@
     planned
 }
 
-/// Draws the storm of a run, which ends before all else does; none in a short run. It is drawn apart
-/// from the other faults.
+/// Draws the storm of a run, which ends before the cool-down; none in a short run. Its generator is
+/// separate from that of the other faults, so that their draws do not change.
 fn draw_storm(seed: u64, end: Duration) -> Option<Planned> {
     let mut random = Pcg64Mcg::seed_from_u64(!seed);
     let share = random.random_range(70..=100);
@@ -266,8 +265,7 @@
     Some(Planned { at, fault: Fault::Storm { refusal, share, losses, span } })
 }
 
-/// Draws the time in which orders are carried out late, apart from the other faults; none in a short
-/// run.
+/// Draws when orders are carried out late, with a separate generator; none in a short run.
 fn draw_late_orders(seed: u64, end: Duration) -> Option<Planned> {
     let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(17));
     let share = random.random_range(30..=100);
@@ -277,11 +275,11 @@
     Some(Planned { at: latest.mul_f64(random.random()), fault })
 }
 
-/// The times in a run in which upstreams name limits.
+/// The number of times in a run that upstreams announce limits.
 const LIMITS: u64 = 2;
 
-/// Draws the times in which upstreams name limits, which may overlap and end before all else does,
-/// apart from the other faults; none in a short run.
+/// Draws when upstreams announce limits, with a separate generator; none in a short run. These
+/// times may overlap, and end before the cool-down.
 fn draw_limits(seed: u64, end: Duration) -> Vec<Planned> {
     let draw = |number: u64| {
         let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(29) ^ number);
@@ -296,10 +294,10 @@
     (0..LIMITS).filter_map(draw).collect()
 }
 
-/// The upstreams in a run that say that they leave.
+/// The number of upstreams in a run that announce their shutdown.
 const LEAVING: u64 = 2;
 
-/// Draws the upstreams that say that they leave, apart from the other faults; none in a short run.
+/// Draws when upstreams announce their shutdown, with a separate generator; none in a short run.
 fn draw_leaving(seed: u64, end: Duration) -> Vec<Planned> {
     let draw = |number: u64| {
         let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(37) ^ number);
@@ -312,10 +310,10 @@
     (0..LEAVING).filter_map(draw).collect()
 }
 
-/// The times in a run in which upstreams rest.
+/// The number of times in a run that upstreams ask boxes to back off.
 const RESTS: u64 = 2;
 
-/// Draws the times in which upstreams rest, apart from the other faults; none in a short run.
+/// Draws when upstreams ask boxes to back off, with a separate generator; none in a short run.
 fn draw_rests(seed: u64, end: Duration) -> Vec<Planned> {
     let draw = |number: u64| {
         let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(43) ^ number);
@@ -330,10 +328,11 @@
     (0..RESTS).filter_map(draw).collect()
 }
 
-/// The returns of the store from an older copy in a run.
+/// The number of times in a run that the store is restored from an older copy.
 const RETURNS: u64 = 2;
 
-/// Draws the returns of the store, which may overlap, apart from the other faults; none in a short run.
+/// Draws when the store is restored from an older copy, with a separate generator; none in a short
+/// run. These times may overlap.
 fn draw_returns(seed: u64, end: Duration) -> Vec<Planned> {
     let draw = |number: u64| {
         let mut random = Pcg64Mcg::seed_from_u64(seed.rotate_left(51) ^ number);
@@ -346,7 +345,7 @@
     (0..RETURNS).filter_map(draw).collect()
 }
 
-/// Gives when boxes are replaced one after the other, evenly over a run.
+/// Returns the replacements of all boxes, spread evenly over a run.
 pub fn replace_all(boxes: usize, length: Duration) -> Vec<Planned> {
     let end = length.saturating_sub(COOL_DOWN);
     let step = end.saturating_sub(WARM_UP) / u32::try_from(boxes.max(1)).unwrap_or(u32::MAX);
