--- a/tests/soak/src/client.rs
+++ b/tests/soak/src/client.rs
@@ -50,7 +50,7 @@
 /// The range of the pause between two requests of a client, in milliseconds.
 const PAUSE_MS: (u64, u64) = (60, 240);
 
-/// The percentage of requests with an unknown key, and the percentage with a removed key.
+/// The percentage of requests with an unknown key, and also that of requests with a removed key.
 const BAD_KEYS: u32 = 3;
 
 /// How many versions a removed key is older than the newest version.
--- a/tests/soak/src/comeback.rs
+++ b/tests/soak/src/comeback.rs
@@ -1,5 +1,5 @@
-//! The store's return from an older copy: what it has lost is written again by those who wrote it, but
-//! for what the boxes have written.
+//! Restores the store from an older copy. The operator and the upstreams rewrite what it has lost,
+//! but not what the boxes had written.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::observation::{MILLISECOND, What};
 use crate::standin::store::{Command, Mood};
 
-/// How long after the return the operator and the upstreams write again.
+/// How long after the restore the operator and the upstreams rewrite their objects.
 const WRITES_AFTER: Duration = Duration::from_millis(120);
 
-/// Has the store be away for a span and come back from a copy of some age. Right after it an upstream's
-/// entry says that it leaves.
+/// Makes the store unavailable for a duration, then restores it from a copy of some age. Right
+/// after that, an upstream's entry is marked as draining.
 pub(crate) async fn come_back(
     cluster: &Rc<Cluster>,
     age: Duration,
--- a/tests/soak/src/harmful.rs
+++ b/tests/soak/src/harmful.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them, and come again at any box.
+//! Sends requests that crash their upstreams, repeatedly and to any box.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use crate::observation::Kind;
 use crate::standin::engine::HARMFUL;
 
-/// The kinds of requests that do so.
+/// The kinds of harmful requests.
 const KINDS: [Kind; 2] = [Kind::Safe, Kind::Resumed];
 
-/// The time at the start in which none comes.
+/// The time without harmful requests at the start.
 const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// The time between two of them, in milliseconds, at least and at most.
+/// The range of the time between two harmful requests, in milliseconds.
 const PAUSE_MS: (u64, u64) = (200, 700);
 
-/// The number of their client, beyond those of all others.
+/// The number of their client, above those of all others.
 const CLIENT: usize = 900;
 
-/// The tokens of their prompts.
+/// The number of tokens of their prompts.
 const PROMPT_TOKENS: u64 = 1000;
 
-/// Sends them until clients are told to end.
+/// Sends harmful requests until the clients are stopped.
 pub async fn run(shared: Rc<Shared>, mutant: Option<Mutant>) {
     let mut random = Pcg64Mcg::seed_from_u64(shared.seed ^ 0x4A12);
     let mut client = Client::new(shared.clone(), CLIENT);
@@ -40,7 +40,7 @@
             let varies = mutant == Some(Mutant::VariesHarm);
             let body = if varies { format!("harm {nonce:x}") } else { "harm".to_owned() };
             let path = format!("/{}{HARMFUL}", kind.route());
-            // The version before the newest holds a key that all boxes know.
+            // All boxes know the key of the version before the newest.
             let key = Some(shared.version.get().saturating_sub(1));
             let caller = Caller {
                 customer: CUSTOMERS[0].to_owned(),
--- a/tests/soak/src/keys.rs
+++ b/tests/soak/src/keys.rs
@@ -1,5 +1,5 @@
-//! The customers of a run, their keys and their limits. Each version of the configuration holds the
-//! keys of its own number and of the one before, so that keys come and go with each change.
+//! The customers of a run, their keys and their limits. Each version of the configuration contains
+//! the keys of its own number and of the one before, so each change adds and removes keys.
 
 use hollyspoke::quota::{Limit, Tolerance};
 use serde::{Deserialize, Serialize};
@@ -8,41 +8,41 @@
 use crate::mutant::Mutant;
 use crate::observation::Kind;
 
-/// What all keys begin with, by which they are looked for where they must not be.
+/// The prefix of all keys, by which they are searched for where they must not be.
 pub const KEY_MARK: &str = "soak-key-";
 
 /// The customers. The last has a limit.
 pub const CUSTOMERS: [&str; 4] = ["press", "town", "school", "night"];
 
-/// The limit of the last customer, in tokens: its clients ask for about three times as much.
+/// The limit of the last customer, in tokens; its clients request about three times as much.
 pub const LIMIT: Limit = Limit { rate: 5000.0, burst: 5000.0 };
 
-/// How exactly it is to be kept: the share of the users' pages, and a slack of some six requests.
+/// How much the limit may be exceeded: the documented share, and a slack of about six requests.
 pub const TOLERANCE: Tolerance =
     Tolerance { window: std::time::Duration::from_secs(8), overrun: 0.1, slack: 20_000.0 };
 
-/// What a request counts that tells no tokens.
+/// The units of a request that states no number of tokens.
 pub const PLAIN_TOKENS: u64 = 200;
 
-/// The most tokens of an answer that clients ask for.
+/// The maximum number of tokens of an answer that clients request.
 pub const ANSWER_TOKENS: u64 = 200;
 
-/// How many versions hold a key.
+/// The number of versions that contain a key.
 pub const HELD_FOR: u64 = 2;
 
-/// Who sends a request, and with which key.
+/// The customer and key of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
-    /// The customer; empty for nobody.
+    /// The customer; empty for none.
     pub customer: String,
-    /// The version that brought the key; none for one that no version holds.
+    /// The version that introduced the key; `None` for an unknown key.
     pub key: Option<u64>,
-    /// What the request counts.
+    /// The units that the request counts against a limit.
     pub units: u64,
 }
 
 impl Caller {
-    /// Gives the key as it is sent.
+    /// Returns the text of the key as it is sent.
     pub fn text(&self) -> String {
         match self.key {
             Some(version) => key(&self.customer, version),
@@ -50,28 +50,28 @@
         }
     }
 
-    /// Tells whether the customer has a limit.
+    /// Returns whether the customer has a limit.
     pub fn is_limited(&self) -> bool {
         is_limited(&self.customer)
     }
 
-    /// Tells whether a version holds the key.
+    /// Returns whether a version contains the key.
     pub fn is_held_by(&self, version: u64) -> bool {
         self.key.is_some_and(|it| (it..it + HELD_FOR).contains(&version))
     }
 }
 
-/// Tells whether a customer has a limit.
+/// Returns whether a customer has a limit.
 pub fn is_limited(customer: &str) -> bool {
     CUSTOMERS.last() == Some(&customer)
 }
 
-/// Gives what a request counts.
+/// Returns the units that a request counts against a limit.
 pub fn units(kind: Kind, prompt_tokens: u64) -> u64 {
     if kind.is_stream() { prompt_tokens + ANSWER_TOKENS } else { PLAIN_TOKENS }
 }
 
-/// Gives the customers as a version of the configuration has them.
+/// Returns the customers in a version of the configuration.
 pub fn customers(version: u64, mutant: Option<Mutant>) -> Value {
     let oldest = match mutant {
         Some(Mutant::KeepsKeys) => 0,
@@ -91,7 +91,7 @@
     all.collect()
 }
 
-/// Gives a customer's key that a version brought.
+/// Returns a customer's key that a version introduced.
 fn key(customer: &str, version: u64) -> String {
     format!("{KEY_MARK}{customer}-{version}")
 }
--- a/tests/soak/src/layout.rs
+++ b/tests/soak/src/layout.rs
@@ -1,4 +1,5 @@
-//! The layout of a run: addresses and ports, the boxes' settings, and the versions of the configuration.
+//! The layout of a run: addresses and ports, the boxes' settings, and the versions of the
+//! configuration.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,31 +25,31 @@
 /// The data centres that boxes and upstreams are spread over.
 pub(crate) const DATA_CENTRES: [&str; 2] = ["north", "south"];
 
-/// The memory of an engine, in tokens.
+/// The KV cache memory of an engine, in tokens.
 const MEMORY_TOKENS: u64 = 60_000;
 
-/// Ports.
+/// The ports of a box by purpose.
 pub(crate) struct Ports {
-    /// For clients.
+    /// For clients' requests.
     pub(crate) front: u16,
-    /// For the platform's question.
+    /// For the platform's readiness check.
     pub(crate) ready: u16,
-    /// For clients that ask for addresses.
+    /// For clients that request the address list.
     pub(crate) directory: u16,
-    /// For other boxes.
+    /// The port it listens on for other boxes.
     pub(crate) peers: u16,
-    /// Where other boxes reach it.
+    /// The port that other boxes are told to use.
     pub(crate) announced: u16,
     /// For metrics.
     pub(crate) metrics: u16,
 }
 
-/// Gives the path of the route that a version alone has.
+/// Returns the path of the route that exists only in this version.
 pub fn version_path(version: u64) -> String {
     format!("/v{version}/x")
 }
 
-/// Makes a version of the configuration.
+/// Creates a version of the configuration.
 pub(crate) fn configuration(version: u64, mutant: Option<Mutant>) -> Value {
     let route = |prefix: &str, kind: &str, service: &str, resumable: bool| {
         json!({"name": prefix, "host": HOST_NAME, "pathPrefix": format!("/{prefix}/"),
@@ -75,7 +76,7 @@
         "tenants": customers(version, mutant)})
 }
 
-/// Gives a box's loopback address; two runs at once have different ones.
+/// Returns a box's loopback address, which differs between concurrent runs.
 pub(crate) fn ip(index: usize) -> Ipv4Addr {
     let run = std::process::id();
     let second = 16 + run % 200;
@@ -83,7 +84,7 @@
     Ipv4Addr::new(127, second as u8, third as u8, (index % 250 + 1) as u8)
 }
 
-/// Makes the settings of a box.
+/// Creates the settings file of a box.
 pub(crate) fn settings_text(
     index: usize,
     seeds: &[SocketAddr],
--- a/tests/soak/src/malformed.rs
+++ b/tests/soak/src/malformed.rs
@@ -1,5 +1,5 @@
-//! Clients that break the rules of HTTP or never finish what they began, with a key that nobody
-//! holds. A box must be done with each in bounded time, and nothing of it may run.
+//! Clients that violate HTTP or never finish their request, with an unknown key. A box must finish
+//! with each in bounded time, and none of these requests may run.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,41 +19,41 @@
 use crate::keys::{CUSTOMERS, Caller};
 use crate::observation::What;
 
-/// The time between two such clients at one box.
+/// The interval between two malformed requests to one box.
 const EVERY: Duration = Duration::from_millis(400);
 
-/// How long one waits for the end of its connection. Longer than any bound of the judge.
+/// How long a client waits for the end of its connection; longer than any limit of the judge.
 const PATIENCE: Duration = Duration::from_secs(8);
 
 /// The time between two bytes of a client that sends one at a time.
 const BYTE_EVERY: Duration = Duration::from_millis(250);
 
-/// The bytes of a head that is too long.
+/// The size of an oversized head, in bytes.
 const LONG_HEAD: usize = 64 * 1024;
 
 /// What is wrong with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Flaw {
-    /// Half of the head, and nothing more.
+    /// Only half of the head.
     HalfHead,
-    /// A byte at a time.
+    /// One byte at a time.
     ByteByByte,
     /// A head of 64 KB.
     LongHead,
-    /// Two lengths that differ.
+    /// Two different content lengths.
     TwoLengths,
-    /// A length and chunks.
+    /// A content length and chunked encoding.
     LengthAndChunks,
-    /// A size of a chunk that is no number.
+    /// A chunk size that is not a number.
     BadChunk,
-    /// Bytes that are no HTTP.
+    /// Bytes that are not HTTP.
     Noise,
-    /// A header that is not UTF-8.
+    /// A header value that is not UTF-8.
     BadText,
 }
 
 impl Flaw {
-    /// All of them.
+    /// All flaws.
     pub const ALL: [Flaw; 8] = [
         Flaw::HalfHead,
         Flaw::ByteByByte,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Has such clients come to all boxes, until the run is over.
+/// Sends malformed requests to all boxes until the run is over.
 pub async fn run(cluster: Rc<Cluster>, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0xBAD);
     let mut number = 0_u64;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Sends one such request to a box and notes when the box was done with it.
+/// Sends one malformed request to a box and records when the box finished with it.
 async fn come(cluster: Rc<Cluster>, node: usize, flaw: Flaw, id: String) {
     let begun = Instant::now();
     let front = cluster.nodes[node].way.front;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Sends a request with a flaw and waits for an answer or the end of the connection.
+/// Sends a malformed request and waits for an answer or the end of the connection.
 async fn exchange(front: SocketAddr, flaw: Flaw, id: &str) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(front).await?;
     let (mut reader, mut writer) = stream.split();
@@ -108,7 +108,7 @@
         let bytes = message(flaw, id);
         let piece = if pause.is_zero() { bytes.len() } else { 1 };
         for piece in bytes.chunks(piece) {
-            // A box that is done with it may have closed.
+            // A box that has finished with it may have closed the connection.
             if writer.write_all(piece).await.is_err() {
                 break;
             }
@@ -119,13 +119,13 @@
     let mut byte = [0];
     tokio::select! {
         () = send => {}
-        // An answer, an orderly end and a reset are all an end.
+        // An answer, an orderly close and a reset all count as an end.
         _ = reader.read(&mut byte) => {}
     }
     Ok(())
 }
 
-/// Makes the bytes of a request with a flaw.
+/// Creates the bytes of a malformed request.
 fn message(flaw: Flaw, id: &str) -> Vec<u8> {
     let nobody = Caller { customer: CUSTOMERS[0].to_owned(), key: None, units: 0 };
     let key = nobody.text();
--- a/tests/soak/src/mutant.rs
+++ b/tests/soak/src/mutant.rs
@@ -1,4 +1,4 @@
-//! Deliberate faults, one for each promise, which show that its check can fail.
+//! Mutants: deliberate faults, at least one for each promise, which show that its check can fail.
 
 use std::str::FromStr;
 
@@ -9,62 +9,62 @@
 /// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// Upstreams run requests twice that may run once.
+    /// Upstreams run requests twice that may run only once.
     RunsTwice,
-    /// Upstreams send other bytes than they say.
+    /// Upstreams send other bytes than they report.
     SpoilsAnswer,
-    /// Engines leave an event out.
+    /// Engines omit an event.
     SkipsEvent,
-    /// Upstreams run a request and say that they have not.
+    /// Upstreams run a request and answer that they have not.
     RefusesAfterRunning,
-    /// Upstreams are handed another path.
+    /// Upstreams receive another path.
     AltersRequest,
-    /// Boxes are set to repeat far more often than is allowed, and upstreams fail.
+    /// Boxes are configured to retry far more often than is allowed, and upstreams fail.
     RepeatsFreely,
     /// A box is killed right after it was told to stop.
     CutsOnStop,
     /// The store acknowledges a version that it doesn't show.
     HidesVersion,
-    /// Engines work on after their connection has closed.
+    /// Engines keep working after their connection has closed.
     WorksOn,
-    /// A second holder gives orders with an older token.
+    /// A second holder sends orders with an older token.
     OrdersLate,
-    /// Boxes are not started again after all were killed.
+    /// Boxes are not restarted after all were killed.
     StaysDown,
-    /// A box ends that nobody has stopped.
+    /// A box ends without being stopped.
     EndsByItself,
-    /// Memory is bounded by less than any process needs.
+    /// The memory limit is less than any process needs.
     LeastMemory,
-    /// The configuration gives clients a minute for a head.
+    /// The configuration has a head timeout of a minute.
     AwaitsHeads,
-    /// The configuration goes on holding keys that were taken away.
+    /// The configuration still contains removed keys.
     KeepsKeys,
     /// The configuration lacks the keys of a customer.
     ForgetsKeys,
     /// Upstreams see the client's key.
     ShowsKey,
-    /// Upstreams are told another customer.
+    /// Upstreams receive the name of another customer.
     NamesOther,
-    /// The configuration gives the limited customer twenty times its limit.
+    /// The configuration has twenty times the limit of the limited customer.
     LiftsLimit,
     /// The configuration limits customers that have no limit.
     LimitsAll,
     /// Requests that crash upstreams have another body each time.
     VariesHarm,
-    /// Upstreams have a limit and don't name it.
+    /// Upstreams have a limit and don't announce it.
     HidesLimit,
-    /// Upstreams leave and don't say so.
+    /// Upstreams shut down and don't announce it.
     HidesLeaving,
-    /// The store comes back from an older copy and doesn't say so.
+    /// The store is restored from an older copy and doesn't report it.
     HidesEra,
-    /// Upstreams want nothing for a time and don't say so.
+    /// Upstreams reject all requests for a time and don't ask boxes to back off.
     HidesRest,
-    /// Something that is no datagram of a box comes to one.
+    /// A box receives bytes that are not a valid datagram.
     SendsNoise,
 }
 
 impl Mutant {
-    /// All of them, with the name that the command line takes and the promise that they break.
+    /// All mutants, with their names on the command line and the promises that they break.
     pub const ALL: [(Mutant, &'static str, Promise); 26] = [
         (Mutant::RunsTwice, "runs-twice", Promise::RunsOnce),
         (Mutant::SpoilsAnswer, "spoils-answer", Promise::WholeAnswer),
@@ -94,12 +94,12 @@
         (Mutant::SendsNoise, "sends-noise", Promise::Understood),
     ];
 
-    /// Gives its name.
+    /// Returns its name on the command line.
     pub fn name(self) -> &'static str {
         Mutant::ALL.iter().find(|it| it.0 == self).map_or("", |it| it.1)
     }
 
-    /// Gives the promise that it breaks.
+    /// Returns the promise that it breaks.
     pub fn breaks(self) -> Option<Promise> {
         Mutant::ALL.iter().find(|it| it.0 == self).map(|it| it.2)
     }
--- a/tests/soak/src/peering.rs
+++ b/tests/soak/src/peering.rs
@@ -1,5 +1,5 @@
-//! The way of datagrams and handovers between boxes, on which they can be lost, doubled, late, or cut
-//! off from each other.
+//! The simulated network between boxes: datagrams can be lost, duplicated or delayed, and boxes cut
+//! off from each other, for handovers too.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -12,56 +12,56 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// The most bytes of a datagram: what UDP carries over IPv4.
+/// The maximum size of a UDP datagram over IPv4, in bytes.
 const LONGEST_DATAGRAM: usize = 65_507;
 
-/// The longest that a datagram that is late takes: several heartbeats, so that later ones overtake it.
+/// The maximum delay of a datagram: several heartbeats, so that later ones overtake it.
 const LATEST: Duration = Duration::from_millis(1200);
 
-/// Where a box listens for others, and where they are told that it does.
+/// The addresses of a box for other boxes.
 #[derive(Debug, Clone, Copy)]
 pub struct Place {
-    /// Where it listens.
+    /// The address it listens on.
     pub own: SocketAddr,
-    /// Where others reach it.
+    /// The announced address, where this network listens in its place.
     pub announced: SocketAddr,
 }
 
-/// What becomes of datagrams, of a hundred.
+/// The percentages of datagrams that are not delivered normally.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Disorder {
-    /// Those that are lost.
+    /// The percentage that is lost.
     pub lost: u64,
-    /// Those that come twice.
+    /// The percentage that is duplicated.
     pub doubled: u64,
-    /// Those that come up to 1.2 s late, after others that were sent later.
+    /// The percentage that is delayed by up to 1.2 s, so that later ones arrive first.
     pub late: u64,
 }
 
-/// Which way a cut goes.
+/// The direction of a cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// Neither side hears the other.
+    /// Neither side receives anything from the other.
     Both,
-    /// What the boxes that are cut off send does not come.
+    /// What the boxes that are cut off send does not arrive.
     Out,
-    /// What is sent to them does not come.
+    /// What is sent to the boxes that are cut off does not arrive.
     In,
 }
 
-/// Boxes that are cut off from all others, but not from each other.
+/// A set of boxes that are cut off from all others, but not from each other.
 #[derive(Debug, Clone)]
 struct Cut {
-    /// Its number.
+    /// The number of the cut.
     number: u64,
     /// The boxes.
     boxes: BTreeSet<usize>,
-    /// Which way.
+    /// The direction that is cut.
     direction: Direction,
 }
 
 impl Cut {
-    /// Tells whether it keeps apart what one box sends to another.
+    /// Returns whether it blocks what one box sends to another.
     fn parts(&self, from: usize, to: usize) -> bool {
         let (is_from, is_to) = (self.boxes.contains(&from), self.boxes.contains(&to));
         match self.direction {
@@ -72,25 +72,25 @@
     }
 }
 
-/// The ways between all boxes.
+/// The network between all boxes.
 #[derive(Debug)]
 pub struct Peering {
-    /// The boxes' places, by number.
+    /// The boxes' addresses, by number.
     places: Vec<Place>,
-    /// What becomes of datagrams.
+    /// How datagrams are disturbed.
     disorder: Cell<Disorder>,
-    /// The cuts.
+    /// The active cuts.
     cuts: RefCell<Vec<Cut>>,
     /// The number of the next cut.
     next_cut: Cell<u64>,
 }
 
 impl Peering {
-    /// Opens the ways. Needs a [`tokio::task::LocalSet`].
+    /// Opens the network. Must run inside of a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     ///
-    /// If an announced address is taken.
+    /// If an announced address is already in use.
     pub async fn open(places: Vec<Place>) -> std::io::Result<Rc<Peering>> {
         let count = places.len();
         let peering = Rc::new(Peering {
@@ -109,12 +109,12 @@
         Ok(peering)
     }
 
-    /// Sets what becomes of datagrams.
+    /// Sets how datagrams are disturbed.
     pub fn set(&self, disorder: Disorder) {
         self.disorder.set(disorder);
     }
 
-    /// Cuts boxes off from the others; gives the cut's number.
+    /// Cuts boxes off from the others; returns the cut's number.
     pub fn cut(&self, boxes: &[usize], direction: Direction) -> u64 {
         let number = self.next_cut.get();
         self.next_cut.set(number + 1);
@@ -123,22 +123,22 @@
         number
     }
 
-    /// Takes a cut away.
+    /// Removes a cut.
     pub fn heal(&self, number: u64) {
         self.cuts.borrow_mut().retain(|it| it.number != number);
     }
 
-    /// Tells whether a cut keeps apart what one box sends to another.
+    /// Returns whether a cut blocks what one box sends to another.
     fn parts(&self, from: usize, to: usize) -> bool {
         self.cuts.borrow().iter().any(|it| it.parts(from, to))
     }
 
-    /// Gives the number of the box with an IP address.
+    /// Returns the number of the box with an IP address.
     fn sender(&self, ip: IpAddr) -> Option<usize> {
         self.places.iter().position(|it| it.own.ip() == ip)
     }
 
-    /// Passes on the datagrams for a box, until the run is over.
+    /// Forwards the datagrams for a box until the run is over.
     async fn pass_datagrams(self: Rc<Peering>, socket: UdpSocket, to: usize) {
         let socket = Rc::new(socket);
         let mut random = Pcg64Mcg::from_os_rng();
@@ -159,18 +159,18 @@
                     let pause = LATEST.mul_f64(Pcg64Mcg::from_os_rng().random());
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep(pause).await;
-                        // A box that is down hears nothing.
+                        // The error means that the box is down.
                         _ = socket.send_to(&bytes, own).await;
                     });
                 } else {
-                    // A box that is down hears nothing.
+                    // The error means that the box is down.
                     _ = socket.send_to(&buffer[..length], own).await;
                 }
             }
         }
     }
 
-    /// Carries the connections to a box, until the run is over.
+    /// Forwards the handover connections to a box until the run is over.
     async fn pass_handovers(self: Rc<Peering>, listener: TcpListener, to: usize) {
         loop {
             let Ok((near, source)) = listener.accept().await else { continue };
@@ -181,7 +181,7 @@
     }
 }
 
-/// Carries one connection from a box to another; between boxes that are apart nothing passes.
+/// Forwards one connection between boxes; carries nothing if a cut separates them.
 async fn carry(mut near: TcpStream, from: Place, to: Place, is_apart: bool) {
     if is_apart {
         let mut bytes = [0; 64];
@@ -189,7 +189,7 @@
         return;
     }
     let Ok(mut far) = connect(from.own.ip(), to.own).await else { return };
-    // Whoever fetches sees an end that comes too early.
+    // The fetching box sees a connection that ends too early.
     _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
 }
 
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A connection's way through the harness, on which it can be reset, held or delayed.
+//! A TCP proxy whose connections can be reset, held or silenced.
 
 use std::net::SocketAddr;
 
@@ -8,33 +8,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The bytes that are passed on at once.
+/// The maximum number of bytes that are forwarded at once.
 const PIECE: usize = 16 * 1024;
 
-/// What the way does with what comes.
+/// How a proxy treats received bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes it on.
+    /// It forwards them.
     Pass,
-    /// It keeps connections open and passes nothing on.
+    /// It keeps connections open and forwards nothing.
     Hold,
 }
 
-/// A way to an address, with an address of its own.
+/// A proxy to an address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Its own address.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// What it does.
+    /// How it treats received bytes.
     mode: watch::Sender<Mode>,
-    /// The share of connections that are reset, of a hundred, with each change of the value.
+    /// The percentage of open connections that are reset with each change of the value.
     reset: watch::Sender<u64>,
-    /// The share of connections that go silent for good, of a hundred, with each change.
+    /// The percentage of open connections that are silenced permanently with each change.
     mute: watch::Sender<u64>,
 }
 
 impl Proxy {
-    /// Opens a way to an address. Needs a [`tokio::task::LocalSet`].
+    /// Opens a proxy to an address. Must run inside of a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     ///
@@ -49,50 +49,49 @@
         Ok(Proxy { address, mode, reset, mute })
     }
 
-    /// Sets what it does, with the connections that are open too.
+    /// Sets the mode, for open connections too.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Resets a share of the connections that are open now, of a hundred.
+    /// Resets a percentage of the connections that are open now.
     pub fn reset(&self, share: u64) {
         self.reset.send_replace(share);
     }
 
-    /// Has a share of the connections that are open now go silent for good, of a hundred. New ones
-    /// work.
+    /// Silences a percentage of the connections that are open now, permanently. New ones work.
     pub fn mute(&self, share: u64) {
         self.mute.send_replace(share);
     }
 }
 
-/// What may end a connection, or silence it.
+/// The signals that reset or silence a connection.
 #[derive(Debug, Clone)]
 struct Ends {
-    /// The share that is reset.
+    /// The percentage that is reset.
     reset: watch::Receiver<u64>,
-    /// The share that goes silent.
+    /// The percentage that is silenced.
     mute: watch::Receiver<u64>,
 }
 
-/// What became of a connection.
+/// The reason why forwarding on a connection ends.
 enum Ended {
-    /// An end closed it.
+    /// Either end closed it.
     Closed,
-    /// It is to be reset.
+    /// It was drawn to be reset.
     Reset,
-    /// It is to be silent.
+    /// It was drawn to be silenced.
     Muted,
 }
 
-/// Takes connections, until the way is dropped.
+/// Accepts connections until the proxy is dropped.
 async fn take(listener: TcpListener, to: SocketAddr, mut mode: watch::Receiver<Mode>, ends: Ends) {
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((near, _)) = accepted {
                     let mut later = ends.clone();
-                    // What was before its time is not for this connection.
+                    // Earlier changes do not concern this connection.
                     later.reset.mark_unchanged();
                     later.mute.mark_unchanged();
                     tokio::task::spawn_local(carry(near, to, mode.clone(), later));
@@ -103,10 +102,10 @@
     }
 }
 
-/// Carries one connection.
+/// Forwards one connection.
 async fn carry(near: TcpStream, to: SocketAddr, mode: watch::Receiver<Mode>, ends: Ends) {
     let Ok(far) = TcpStream::connect(to).await else { return };
-    // Small pieces wait without it.
+    // Without it, small pieces are delayed.
     _ = near.set_nodelay(true);
     _ = far.set_nodelay(true);
     let (mut near, mut far) = (near, far);
@@ -128,19 +127,19 @@
             _ = far.set_zero_linger();
         }
         Ended::Muted => {
-            // Neither end hears of the other again, nor that it has closed.
+            // Neither end receives anything more from the other, nor that it has closed.
             tokio::join!(swallow(near), swallow(far));
         }
     }
 }
 
-/// Takes what comes and passes nothing on, until the end closes.
+/// Reads and discards bytes until the connection closes.
 async fn swallow(mut from: TcpStream) {
     let mut bytes = vec![0; PIECE];
     while let Ok(1..) = from.read(&mut bytes).await {}
 }
 
-/// Waits until this connection is drawn, of a share that is told.
+/// Waits until this connection is drawn by a change of the percentage.
 async fn wait_until_drawn(mut share: watch::Receiver<u64>) {
     let mut random = Pcg64Mcg::from_os_rng();
     loop {
@@ -153,7 +152,7 @@
     }
 }
 
-/// Passes bytes on one way, until an end closes.
+/// Forwards bytes in one direction until an end closes.
 async fn pass(
     mut from: tokio::net::tcp::ReadHalf<'_>,
     mut to: tokio::net::tcp::WriteHalf<'_>,
@@ -162,7 +161,7 @@
     let mut bytes = vec![0; PIECE];
     loop {
         let Ok(count @ 1..) = from.read(&mut bytes).await else { return };
-        // What comes while nothing passes waits here, as on a dead path.
+        // While held, received bytes wait here, as on a dead network path.
         if mode.wait_for(|it| *it == Mode::Pass).await.is_err() {
             return;
         }
--- a/tests/soak/src/report.rs
+++ b/tests/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! One page about a run: what became of the requests over time, beside the faults.
+//! The report of a run as one image: the outcome of requests over time, and the faults.
 
 use std::path::Path;
 
@@ -14,7 +14,7 @@
 /// The height of the upper part, in pixels.
 const UPPER: u32 = 460;
 
-/// One line of the upper part: its name, its colour, and its figure of a second.
+/// A line of the upper part: its name, its colour, and its value in a second.
 type Line = (&'static str, RGBColor, fn(&Second) -> u32);
 
 /// The lines of the upper part.
@@ -41,7 +41,7 @@
     root.present().map_err(|it| eyre!("{it}")).wrap_err("the report is not written")
 }
 
-/// Draws the page.
+/// Draws both parts of the page.
 fn draw(
     root: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Draws what became of the requests.
+/// Draws the outcome of the requests over time.
 fn draw_requests(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
--- a/tests/soak/src/schedule.rs
+++ b/tests/soak/src/schedule.rs
@@ -252,8 +252,8 @@
     planned
 }
 
-/// Draws the storm of a run, which ends before the cool-down; none in a short run. Its generator is
-/// separate from that of the other faults, so that their draws do not change.
+/// Draws the storm of a run, which ends before the cool-down; none in a short run. It has a
+/// generator of its own.
 fn draw_storm(seed: u64, end: Duration) -> Option<Planned> {
     let mut random = Pcg64Mcg::seed_from_u64(!seed);
     let share = random.random_range(70..=100);
--- a/tests/soak/src/shrink.rs
+++ b/tests/soak/src/shrink.rs
@@ -1,25 +1,25 @@
-//! Finds few faults of a schedule that still break what all of them broke.
+//! Shrinks a schedule to few faults that still break the same promise.
 //!
-//! Leaves out halves of the faults, then quarters, and so on, as in delta debugging (Zeller and
-//! Hildebrandt, 2002). Times of processes differ from run to run: a fault that breaks something only
-//! now and then may be left in, or the schedule that remains may pass when it is played again.
+//! Removes halves of the faults, then quarters, and so on, as in delta debugging (Zeller and
+//! Hildebrandt, 2002). The timing of processes differs from run to run: a fault that breaks
+//! something only sometimes may remain, or the shrunk schedule may pass in another run.
 
 use crate::schedule::Planned;
 
-/// What remains of a schedule.
+/// A shrunk schedule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shrunk {
-    /// The faults, in order.
+    /// The remaining faults, in order.
     pub faults: Vec<Planned>,
-    /// How many schedules were played.
+    /// The number of schedules that were run.
     pub runs: usize,
 }
 
-/// Leaves faults out for as long as the rest still fails, in a number of runs at most.
+/// Removes faults while the others still fail, with a maximum number of runs.
 ///
 /// # Errors
 ///
-/// What a run fails with that could not be judged.
+/// If a run could not be judged.
 pub fn shrink(
     faults: &[Planned],
     most_runs: usize,
@@ -47,7 +47,7 @@
     Ok(Shrunk { faults: kept, runs })
 }
 
-/// Gives the faults without some of them.
+/// Returns the faults without `count` of them from `first` on.
 fn without(faults: &[Planned], first: usize, count: usize) -> Vec<Planned> {
     let is_left = |index: usize| index < first || index >= first + count;
     let numbered = faults.iter().enumerate();
--- a/tests/soak/src/standin.rs
+++ b/tests/soak/src/standin.rs
@@ -1,5 +1,5 @@
-//! The stand-ins that run as processes of their own. They take commands on standard input and write
-//! what they see to standard output, a line of JSON each, so that nothing is lost when they are
+//! The stand-ins, which run as separate processes. They read commands from standard input and write
+//! observations to standard output, one line of JSON each, so that nothing is lost when they are
 //! killed.
 
 pub mod engine;
@@ -11,14 +11,14 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-/// What a stand-in writes first.
+/// The first line that a stand-in writes.
 #[derive(Debug, Clone, Serialize, serde::Deserialize)]
 pub struct Greeting {
-    /// Where it listens.
+    /// The address it listens on.
     pub listening: String,
 }
 
-/// Writes a line.
+/// Writes a line of JSON to standard output.
 #[expect(clippy::print_stdout, reason = "the harness reads it")]
 pub fn write(value: &impl Serialize) {
     if let Ok(line) = serde_json::to_string(value) {
@@ -32,11 +32,11 @@
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             if let Ok(command) = serde_json::from_str(&line) {
-                // An error says that the stand-in is about to end.
+                // The error means that the stand-in is about to end.
                 _ = sender.send(command);
             }
         }
-        // Whoever started the stand-in is gone.
+        // The process that started the stand-in has ended.
         std::process::exit(0);
     });
     receiver
--- a/tests/soak/src/standin/engine.rs
+++ b/tests/soak/src/standin/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in for an engine of the model service, or for an upstream of the plain one.
+//! The stand-in for an engine of the model service, or for an upstream of the plain service.
 
 mod terms;
 
@@ -20,126 +20,126 @@
 use crate::observation::{Observation, RunEnd, What, digest};
 use terms::Terms;
 
-/// How long an engine keeps a prompt that it has read for another.
+/// How long an engine caches a prompt that it prefilled for another one.
 const HANDLE_LIFE: Duration = Duration::from_millis(500);
 
-/// The time of a plain run, in milliseconds, at least and at most.
+/// The range of the time of a plain run, in milliseconds.
 const PLAIN_MS: (u64, u64) = (5, 40);
 
 /// The time between two events of a stream.
 const EVENT_EVERY: Duration = Duration::from_millis(15);
 
-/// The tokens that an engine reads in a millisecond.
+/// The number of tokens that an engine prefills in a millisecond.
 const READ_A_MS: u64 = 40;
 
-/// The places of an upstream, as its entry says.
+/// The concurrent requests of an upstream, as in its entry.
 pub const SLOTS: u32 = 8;
 
-/// How long an engine with the fault [`Mutant::WorksOn`] works for nobody.
+/// How long an engine with [`Mutant::WorksOn`] works on after its connection has closed.
 const WORKS_ON_FOR: Duration = Duration::from_secs(3);
 
-/// The end of the path of a request that crashes the upstreams that run it.
+/// The path suffix of a request that crashes its upstream.
 pub const HARMFUL: &str = "/harmful";
 
-/// How long such a request runs before that.
+/// How long a harmful request runs before the crash.
 pub const CRASHES_AFTER: Duration = Duration::from_millis(60);
 
-/// What a change of the stage takes.
+/// How long a switch of the stage takes.
 const SWITCH: Duration = Duration::from_millis(1500);
 
-/// What an engine is.
+/// The settings of an engine.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Its id.
     pub id: String,
-    /// Its stage; none for a plain upstream.
+    /// Its first stage; `None` for a plain upstream.
     pub stage: Option<String>,
-    /// How many requests it works on at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// When this life of it began, in milliseconds of Unix time.
+    /// The start time of its incarnation, in milliseconds of Unix time.
     pub born: u64,
-    /// A deliberate fault.
+    /// The mutant, if any.
     pub mutant: Option<Mutant>,
 }
 
-/// What an engine is told.
+/// A command to an engine.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum Command {
-    /// Of a hundred runs, so many lose their answer.
+    /// Loses the answers of this percentage of runs.
     Lose(u64),
-    /// Of a hundred runs, so many fail.
+    /// Fails this percentage of runs.
     Fail(u64),
-    /// Of a hundred requests, so many are turned away.
+    /// Rejects this percentage of requests.
     Refuse(u64),
-    /// Of a hundred orders, so many get no answer and are carried out late.
+    /// Leaves this percentage of orders unanswered and carries them out late.
     DelayOrders(u64),
-    /// Works so many times as long.
+    /// Multiplies the processing time by this factor.
     Slow(u32),
-    /// Tells its load so.
+    /// Reports its load in this way.
     Tell(Telling),
-    /// Names in its answers that it takes so many thousandths of a request a second; none if 0.
+    /// Announces a limit in its answers, in thousandths of a request a second; none if 0.
     Limit(u64),
-    /// Says in its answers that it is leaving.
+    /// Announces in its answers that it is shutting down.
     Leave,
-    /// Turns all requests away, and asks for so many milliseconds of rest; none if 0.
+    /// Rejects all requests and asks boxes to back off for this many milliseconds; ends this if 0.
     Rest(u64),
 }
 
-/// How late an order is carried out whose answer is lost, in milliseconds, at least and at most.
+/// The range of the delay of an order whose answer is lost, in milliseconds.
 const LATE_ORDER_MS: (u64, u64) = (2000, 8000);
 
-/// How an upstream tells its load.
+/// How an upstream reports its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Telling {
-    /// As it is.
+    /// The true load.
     Truth,
-    /// As if it had nothing to do.
+    /// As if it were idle.
     Idle,
-    /// As if it were full, and many waited.
+    /// As if it were full with many requests queued.
     Full,
 }
 
-/// An engine.
+/// The state of an engine.
 struct Engine {
-    /// What it is.
+    /// Its settings.
     settings: Settings,
-    /// Its stage now.
+    /// Its current stage.
     stage: RefCell<Option<String>>,
-    /// The runs under way.
+    /// The number of active runs.
     active: Cell<u32>,
-    /// The prompts read for others, until when.
+    /// The cached prompts that it prefilled for others, by handle, with their expiry.
     handles: RefCell<HashMap<String, Instant>>,
-    /// The orders taken.
+    /// The number of accepted orders.
     orders: Cell<u64>,
-    /// Whether an order is under way.
+    /// Whether it is switching its stage.
     is_switching: Cell<bool>,
-    /// The answers lost, of a hundred.
+    /// The percentage of answers that are lost.
     loses: Cell<u64>,
-    /// The runs that fail, of a hundred.
+    /// The percentage of runs that fail.
     fails: Cell<u64>,
-    /// The requests that are turned away, of a hundred.
+    /// The percentage of requests that are rejected.
     refuses: Cell<u64>,
-    /// The orders that get no answer and are carried out late, of a hundred.
+    /// The percentage of orders that are not answered and carried out late.
     delays: Cell<u64>,
-    /// How many times as long it works.
+    /// The factor on its processing time.
     slow: Cell<u32>,
-    /// How it tells its load.
+    /// How it reports its load.
     telling: Cell<Telling>,
-    /// What it says that binds whoever sends to it.
+    /// Its announcements that boxes must respect.
     terms: Terms,
-    /// The number of the next handle or drawing.
+    /// The number of the next handle or random draw.
     next: Cell<u64>,
 }
 
-/// An order that was taken.
+/// An accepted order.
 struct Order {
-    /// The stage to change to.
+    /// The stage to switch to.
     stage: String,
-    /// The orders carried out before.
+    /// The number of orders carried out before.
     count: u64,
 }
 
-/// Counts a run for as long as it lives.
+/// Counts a run as active until it is dropped.
 struct Run<'a>(&'a Engine);
 
 impl Drop for Run<'_> {
@@ -148,17 +148,17 @@
     }
 }
 
-/// Gives how many events the answer to a request has, from the digest of its body.
+/// Returns the number of events in the answer to a request, from the digest of its body.
 pub fn event_count(body: u64) -> u64 {
     3 + body % 20
 }
 
-/// Gives the text of an event.
+/// Returns the text of an event.
 pub fn event_text(attempt: &str, number: u64) -> String {
     format!("{attempt} {number}")
 }
 
-/// Gives the body of a plain answer.
+/// Returns the body of a plain answer.
 pub fn plain_body(engine: &str, attempt: &str) -> String {
     let filler = "x".repeat((digest(attempt.as_bytes()) % 800) as usize);
     format!("{engine} {attempt} {filler}")
@@ -211,7 +211,7 @@
 
 /// Serves one connection.
 async fn connection(engine: Rc<Engine>, mut stream: TcpStream) {
-    // Small answers wait without it.
+    // Without it, small answers are delayed.
     _ = stream.set_nodelay(true);
     while let Some(received) = receive(&mut stream).await {
         if !engine.answer(&mut stream, &received).await {
@@ -221,7 +221,7 @@
 }
 
 impl Engine {
-    /// Answers one message; tells whether the connection stays open.
+    /// Answers one message; returns whether the connection stays open.
     async fn answer(self: &Rc<Engine>, stream: &mut TcpStream, received: &Received) -> bool {
         let mut words = received.line.split(' ');
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
@@ -242,7 +242,7 @@
         stream.write_all(&bytes).await.is_ok()
     }
 
-    /// Tells about itself.
+    /// Answers a request for its state.
     fn report(&self, received: &Received) -> Vec<u8> {
         let report = json!({"stage": *self.stage.borrow(), "models": [],
             "busy": self.is_switching.get(), "callSeq": self.orders.get(), "queued": 0,
@@ -250,7 +250,7 @@
         answer(received, "200 OK", &self.terms_headers(), &report.to_string())
     }
 
-    /// Takes an order to change the stage.
+    /// Handles an order to switch the stage.
     fn order(self: &Rc<Engine>, received: &Received) -> Vec<u8> {
         let status = match self.ordered(received) {
             Ok(order) => {
@@ -262,7 +262,7 @@
         platform::answer(received, status, &self.terms_headers(), "")
     }
 
-    /// Takes an order without an answer, and carries it out some seconds later if it still can.
+    /// Handles an order without an answer, and carries it out some seconds later if still possible.
     fn order_late(self: &Rc<Engine>, received: &Received) {
         let Ok(order) = self.ordered(received) else { return };
         let span = LATE_ORDER_MS.1 - LATE_ORDER_MS.0;
@@ -276,11 +276,11 @@
         });
     }
 
-    /// Reads and notes an order that can be carried out.
+    /// Parses an order and records it if it can be carried out.
     ///
     /// # Errors
     ///
-    /// The status of the answer to one that can't.
+    /// The status of the answer to an order that can't.
     fn ordered(&self, received: &Received) -> Result<Order, &'static str> {
         let body: serde_json::Value = serde_json::from_slice(&received.body).unwrap_or_default();
         if received.header("x-expect-instance").is_some_and(|it| it != self.settings.id) {
@@ -298,7 +298,7 @@
         Ok(Order { stage, count: self.orders.get() })
     }
 
-    /// Changes the stage.
+    /// Switches the stage after the time that this takes.
     fn carry_out(self: &Rc<Engine>, order: Order) {
         self.orders.set(self.orders.get() + 1);
         self.is_switching.set(true);
@@ -310,7 +310,7 @@
         });
     }
 
-    /// Gives a prompt away, or frees it.
+    /// Transfers or frees a cached prompt.
     fn take(&self, received: &Received, path: &str) -> Vec<u8> {
         let name = path.trim_start_matches("/kv-handle/");
         let until = self.handles.borrow_mut().remove(name);
@@ -323,7 +323,7 @@
         )
     }
 
-    /// Runs a request, or turns it away; tells whether the connection stays open.
+    /// Runs or rejects a request; returns whether the connection stays open.
     async fn run(
         &self,
         stream: &mut TcpStream,
@@ -371,12 +371,12 @@
         how == RunEnd::Whole
     }
 
-    /// Writes what was seen.
+    /// Writes an observation.
     fn see(&self, what: What) {
         write(&Observation::new(what));
     }
 
-    /// Notes that a run begins.
+    /// Records the begin of a run.
     fn begin(&self, attempt: &str, path: &str, received: &Received, is_reading: bool) {
         let is_altered = self.settings.mutant == Some(Mutant::AltersRequest);
         let path = if is_altered { format!("{path}altered") } else { path.to_owned() };
@@ -391,7 +391,7 @@
         self.see(What::Began { engine, attempt, path, body, is_reading, customer, has_key });
     }
 
-    /// Tells whether a request is for an engine of this stage.
+    /// Returns whether a request is for an engine of this stage.
     fn has_stage(&self, received: &Received) -> bool {
         let wants_reading = received.header("x-serving-stage") == Some("prefill");
         match self.stage.borrow().as_deref() {
@@ -406,7 +406,7 @@
         digest(format!("{attempt} {}", self.next.get()).as_bytes()) % 100
     }
 
-    /// Reads a prompt for another engine.
+    /// Prefills a prompt for another engine.
     async fn read(&self, stream: &mut TcpStream, received: &Received) -> (RunEnd, u64, u64) {
         let tokens = received.header("x-token-count").and_then(|it| it.split(',').next());
         let tokens: u64 = tokens.and_then(|it| it.parse().ok()).unwrap_or(0);
@@ -422,7 +422,7 @@
         self.send(stream, &bytes, 0).await
     }
 
-    /// Works on a plain request.
+    /// Runs a plain request.
     async fn work(
         &self,
         stream: &mut TcpStream,
@@ -454,8 +454,8 @@
         self.send(stream, &bytes, seen).await
     }
 
-    /// Gives the headers by which an answer names this upstream and tells its load: runs, requests
-    /// that wait, places.
+    /// Returns the headers of an answer with this upstream's id and its load: active runs, queued
+    /// requests, slots.
     fn stamp(&self) -> String {
         let (running, waiting) = match self.telling.get() {
             Telling::Truth => (self.active.get(), 0),
@@ -467,7 +467,7 @@
         format!("X-Server-Stamp: {id}\r\nX-Server-Load: {running},{waiting},{SLOTS}\r\n{terms}")
     }
 
-    /// Generates a stream.
+    /// Decodes a stream of events.
     async fn generate(
         &self,
         stream: &mut TcpStream,
@@ -508,7 +508,7 @@
         (how, 0, count)
     }
 
-    /// Says that a request was not run; tells whether the connection stays open.
+    /// Rejects a request as not run; returns whether the connection stays open.
     async fn turn_away(
         &self,
         stream: &mut TcpStream,
@@ -528,7 +528,7 @@
         }
     }
 
-    /// Waits; tells whether the connection is still open then.
+    /// Waits for a duration; returns whether the connection is still open then.
     async fn wait(&self, stream: &mut TcpStream, span: Duration) -> bool {
         let mut byte = [0];
         tokio::select! {
@@ -542,7 +542,7 @@
     }
 }
 
-/// Makes an answer with a signature of its own.
+/// Creates an answer that repeats the request's id, with the given headers.
 fn answer(to: &Received, status: &str, headers: &str, body: &str) -> Vec<u8> {
     let id = to.header("x-request-id").unwrap_or_default();
     let length = body.len();
@@ -552,7 +552,7 @@
     .into_bytes()
 }
 
-/// Takes a prompt from the engine that read it; tells whether it was there.
+/// Fetches a cached prompt from its prefill engine; returns whether it was there.
 async fn fetch(source: &str) -> bool {
     let Some((address, handle)) = source.split_once('/') else { return false };
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
--- a/tests/soak/src/standin/engine/terms.rs
+++ b/tests/soak/src/standin/engine/terms.rs
@@ -1,4 +1,4 @@
-//! What an engine says that binds whoever sends to it: a limit, that it leaves, a rest.
+//! The announcements of an engine that boxes must respect: a rate limit, a shutdown, a back-off.
 
 use std::cell::Cell;
 
@@ -6,32 +6,33 @@
 use crate::mutant::Mutant;
 use crate::observation::What;
 
-/// What an engine says of itself in its answers.
+/// The announcements in an engine's answers.
 #[derive(Debug, Default)]
 pub(super) struct Terms {
-    /// The thousandths of a request a second that it takes; 0 if it names no limit.
+    /// The limit in thousandths of a request a second; 0 for none.
     limit: Cell<u64>,
-    /// Whether it says that it is leaving.
+    /// Whether it announces that it is shutting down.
     is_leaving: Cell<bool>,
-    /// The rest that it asks for when it turns all away, in milliseconds; 0 if it does not.
+    /// The back-off that it asks for while it rejects all requests, in milliseconds; 0 if it does
+    /// not reject them.
     pub(super) rest: Cell<u64>,
 }
 
 impl Engine {
-    /// Names another limit from now on, or none.
+    /// Announces another limit from now on, or none.
     pub(super) fn name_limit(&self, milli: u64) {
         self.terms.limit.set(milli);
         self.see(What::Limited { engine: self.settings.id.clone(), milli });
     }
 
-    /// Says in all answers from now on that it is leaving.
+    /// Announces in all answers from now on that it is shutting down.
     pub(super) fn say_leaving(&self) {
         self.terms.is_leaving.set(true);
         self.see(What::Leaving { engine: self.settings.id.clone() });
     }
 
-    /// Gives the headers by which an answer names the limit, if there is one, and says whether the
-    /// upstream is leaving.
+    /// Returns the headers that announce the limit, if there is one, and whether the upstream is
+    /// shutting down.
     pub(super) fn terms_headers(&self) -> String {
         let mut headers = String::new();
         let milli = self.terms.limit.get();
@@ -44,7 +45,7 @@
         headers
     }
 
-    /// Gives the header by which a refusal asks for rest, if it does.
+    /// Returns the header by which a rejection asks a box to back off, if it does.
     pub(super) fn rest_header(&self, attempt: &str) -> String {
         let milli = self.terms.rest.get();
         if milli == 0 {
--- a/tests/soak/src/standin/store.rs
+++ b/tests/soak/src/standin/store.rs
@@ -11,25 +11,25 @@
 
 use super::{Greeting, commands, write};
 
-/// How the store is to behave.
+/// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mood {
-    /// It answers.
+    /// It works normally.
     Well,
-    /// It refuses.
+    /// It rejects requests.
     Busy,
-    /// It says nothing.
+    /// It does not answer.
     Silent,
     /// It has forgotten its history.
     Forgetful,
-    /// It does what it is asked, and its answers are lost.
+    /// It carries out requests, but its answers are lost.
     Lossy,
 }
 
-/// What the store is told.
+/// A command to the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Command {
-    /// Behaves so from now on.
+    /// Behaves in this way from now on.
     Mood(Mood),
     /// Puts an object.
     Put {
@@ -37,15 +37,15 @@
         kind: String,
         /// The name.
         name: String,
-        /// What is written.
+        /// The content.
         spec: Value,
     },
-    /// Comes back from a copy.
+    /// Restores the store from a copy.
     Restore {
-        /// How old it is, in milliseconds.
+        /// The age of the copy, in milliseconds.
         age_ms: u64,
     },
-    /// Tells no era any more.
+    /// Omits the era from answers from now on.
     HideEra,
     /// Removes an object.
     Remove {
@@ -56,20 +56,20 @@
     },
 }
 
-/// What the store writes after each command: it is acknowledged.
+/// The acknowledgement that the store writes after each command.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Done {
     /// The number of the command, from 1 up.
     pub done: u64,
 }
 
-/// How often the store is copied.
+/// The interval at which the store is copied.
 const BACKUP_EVERY: Duration = Duration::from_millis(250);
 
 /// How many copies are kept.
 const BACKUPS: usize = 40;
 
-/// Copies the store now and then, the newest copy first.
+/// Copies the store periodically, the newest copy first.
 async fn back_up(store: Store, backups: Rc<RefCell<VecDeque<Backup>>>) {
     loop {
         keep(&mut backups.borrow_mut(), store.back_up());
@@ -77,7 +77,7 @@
     }
 }
 
-/// Keeps a copy as the newest, and drops the oldest beyond the most.
+/// Adds a copy as the newest, and drops the oldest beyond [`BACKUPS`].
 fn keep(backups: &mut VecDeque<Backup>, backup: Backup) {
     backups.push_front(backup);
     backups.truncate(BACKUPS);
