--- a/tests/tests/crashes_drawn.rs
+++ b/tests/tests/crashes_drawn.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats of a request that crashes engines, under drawn faults of boxes, datagrams and
+//! The bound on repeats of a request that crashes engines, under generated faults of boxes, datagrams and
 //! engines.
 
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use hollyspoke_tests::fleet::Fleet;
 use proptest::prelude::*;
 
-/// The time after the third crash in which all boxes come to know.
-const CONTACT: Duration = Duration::from_secs(3);
+/// The time after the third crash within which the announcement reaches all boxes.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The repeats that are allowed later.
-const MOST_REPEATS: usize = 3;
+/// The maximum number of repeats after that time.
+const MAX_REPEAT_COUNT: usize = 3;
 
-/// Draws a fault.
+/// Generates a fault.
 fn fault() -> impl Strategy<Value = Fault> {
     let some = || prop::sample::subsequence((0..BOX_COUNT).collect::<Vec<_>>(), 1..=BOX_COUNT);
     prop_oneof![
@@ -22,7 +22,7 @@
         (0..BOX_COUNT).prop_map(Fault::Stop),
         some().prop_map(Fault::Partition),
         Just(Fault::Heal),
-        (0..70u8, 1..800u64).prop_map(|(lost, late)| Fault::Datagrams(lost, late)),
+        (0..70u8, 1..800u64).prop_map(|(lost, late_count)| Fault::Datagrams(lost, late_count)),
         (2..6usize).prop_map(Fault::Crash),
         Just(Fault::Reset),
         (0..BOX_COUNT, 100..2500u64).prop_map(|(number, span)| Fault::Pause(number, span)),
@@ -33,7 +33,7 @@
     ]
 }
 
-/// Draws a harmful request.
+/// Generates a harmful request.
 fn harmful() -> impl Strategy<Value = Harmful> {
     let routes = prop::sample::select(vec!["resumed", "once", "safe", "unsafe"]);
     (routes, 100..1500u64, any::<bool>()).prop_map(|(route, every, crashes_on_prefill)| Harmful {
@@ -46,8 +46,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 60, ..ProptestConfig::with_cases(8) })]
 
-    /// Whatever happens to boxes and datagrams, the request comes to engines no more often than is
-    /// allowed.
+    /// Under any faults, the request is sent to engines no more often than allowed.
     #[test]
     fn repeats_are_bounded(
         seed in 0..1000u64,
@@ -61,11 +60,11 @@
             fleet.run(Duration::from_millis(*pause));
         }
         fleet.run(Duration::from_secs(5));
-        let late = fleet.crashes.late_arrivals(CONTACT).unwrap_or(0);
-        prop_assert!(late <= MOST_REPEATS, "{late} late arrivals, {} crashes", fleet.crashes.harmful_crashes.len());
+        let late_count = fleet.crashes.late_arrivals(ANNOUNCEMENT_TIMEOUT).unwrap_or(0);
+        prop_assert!(late_count <= MAX_REPEAT_COUNT, "{late_count} late arrivals, {} crashes", fleet.crashes.harmful_crashes.len());
     }
 
-    /// Whatever happens, neither a popular request nor any other harmless one is taken for harmful.
+    /// Under any faults, no harmless request, popular or not, is put into quarantine.
     #[test]
     fn harmless_requests_go_on(
         seed in 0..1000u64,
--- a/tests/tests/directory.rs
+++ b/tests/tests/directory.rs
@@ -1,9 +1,8 @@
-//! The list of engines: what is kept beside it agrees with it after any changes, and a change costs
-//! no more where there are many engines.
+//! The list of engines: its indexes agree with it after any changes, and the cost of a change does not
+//! grow with the number of engines.
 //!
-//! Boxes of a site with 10,000 engines never came up with the list while these entered themselves:
-//! each change worked out anew what is kept beside all of them. In the logs of 102 boxes stood 1,567
-//! lines `snapshot fetched`, some 15 whole lists a box.
+//! If each change recomputes the indexes, boxes of a site with 10,000 engines never catch up while the
+//! engines register: 102 boxes logged 1,567 lines `snapshot fetched`, some 15 whole lists per box.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,25 +15,25 @@
 use hollyspoke_tests::gateway::{MODEL, PLAIN, engine};
 use proptest::prelude::*;
 
-/// What happens to a directory.
+/// A change of a directory.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An engine enters or changes.
+    /// An engine is added or changes.
     Put(u8, Shape),
-    /// An engine leaves, at once or after a while.
+    /// An engine is removed, at once or after a delay.
     Leave(u8, bool),
-    /// A list with the engines of some numbers is read.
+    /// A list of engines is read; missing ones are removed at once or after a delay.
     List(Vec<(u8, Shape)>, bool),
-    /// Those that were missing for long are removed.
+    /// Engines that have been missing for long are removed.
     Remove,
 }
 
-/// How an engine is listed.
+/// The properties of a listed engine.
 #[derive(Debug, Clone, Copy)]
 struct Shape {
-    /// Whether it has a stage, and which.
+    /// Its stage, if it has one.
     stage: Option<Stage>,
-    /// Whether it lies in the second data centre.
+    /// Whether it is in the second data centre.
     is_south: bool,
     /// The last part of its address.
     address: u8,
@@ -42,8 +41,8 @@
     is_draining: bool,
 }
 
-/// Gives an engine of a shape.
-fn shaped(number: u8, shape: Shape) -> Engine {
+/// Returns an engine of a shape.
+fn engine_with_shape(number: u8, shape: Shape) -> Engine {
     let service = if shape.stage.is_some() { MODEL } else { PLAIN };
     Engine {
         address: SocketAddr::from(([10, 1, 0, shape.address], 9000)),
@@ -53,7 +52,7 @@
     }
 }
 
-/// Draws a shape.
+/// Generates a shape.
 fn shape() -> impl Strategy<Value = Shape> {
     let stage = prop_oneof![Just(None), Just(Some(Stage::Prefill)), Just(Some(Stage::Decode))];
     (stage, any::<bool>(), 0u8..6, any::<bool>()).prop_map(
@@ -61,7 +60,7 @@
     )
 }
 
-/// Draws a step.
+/// Generates a step.
 fn step() -> impl Strategy<Value = Step> {
     let list = prop::collection::vec((0u8..8, shape()), 0..6);
     prop_oneof![
@@ -72,7 +71,7 @@
     ]
 }
 
-/// Gives the keys of some engines, each once.
+/// Returns the keys of some engines, without duplicates.
 fn keys<'a>(engines: impl IntoIterator<Item = &'a Engine>) -> BTreeSet<EngineKey> {
     engines.into_iter().map(|it| it.key).collect()
 }
@@ -81,21 +80,21 @@
     #[test]
     fn lookups_agree_with_the_list(steps in prop::collection::vec(step(), 1..40)) {
         let mut directory = Directory::default();
-        for (place, step) in steps.into_iter().enumerate() {
-            let now = Time::from_millis(place as u64 * 300);
-            let revision = Revision::from(place as u64 + 1);
+        for (index, step) in steps.into_iter().enumerate() {
+            let now = Time::from_millis(index as u64 * 300);
+            let revision = Revision::from(index as u64 + 1);
             let until = |waits: bool| waits.then(|| now + Duration::from_millis(800));
             match step {
                 Step::Put(number, shape) => {
-                    directory.apply_change(shaped(number, shape), revision, now);
+                    directory.apply_change(engine_with_shape(number, shape), revision, now);
                 }
                 Step::Leave(number, waits) => {
                     directory.remove(&format!("engine-{number}"), revision, until(waits), now);
                 }
                 Step::List(list, waits) => {
-                    let engines = list.into_iter().map(|(number, shape)| shaped(number, shape));
-                    let mut known = BTreeSet::new();
-                    let engines = engines.filter(|it| known.insert(it.key)).collect();
+                    let engines = list.into_iter().map(|(number, shape)| engine_with_shape(number, shape));
+                    let mut listed = BTreeSet::new();
+                    let engines = engines.filter(|it| listed.insert(it.key)).collect();
                     directory.apply_list(engines, revision, until(waits), now);
                 }
                 Step::Remove => {
@@ -107,16 +106,16 @@
                 let looked_up = directory.of_service(service).map(|it| it.engine.as_ref());
                 prop_assert_eq!(keys(looked_up), keys(all().map(|it| it.engine.as_ref())));
                 prop_assert_eq!(directory.count(service, |_| true), all().count());
-                let readers = all().filter(|it| it.engine.stage == Some(Stage::Prefill));
-                let readers = readers.filter(|it| *it.engine.data_centre == *"south");
+                let matching = all().filter(|it| it.engine.stage == Some(Stage::Prefill));
+                let matching = matching.filter(|it| *it.engine.data_centre == *"south");
                 let sample = directory.sample(
                     service,
                     |it| it.stage == Some(Stage::Prefill) && *it.data_centre == *"south",
                     8,
-                    place as u64 * 7,
+                    index as u64 * 7,
                 );
                 let sample = keys(sample.map(|it| it.engine.as_ref()));
-                prop_assert_eq!(sample, keys(readers.map(|it| it.engine.as_ref())));
+                prop_assert_eq!(sample, keys(matching.map(|it| it.engine.as_ref())));
             }
             let missing = directory.all().filter(|it| it.is_missing()).count();
             prop_assert_eq!(directory.next_removal().is_some(), missing > 0);
@@ -124,7 +123,7 @@
     }
 
     #[test]
-    fn samples_are_as_large_as_can_be(count in 0u8..40, most in 0usize..50, draw: u64) {
+    fn samples_are_as_large_as_can_be(count in 0u8..40, max_count in 0usize..50, draw: u64) {
         let mut directory = Directory::default();
         for number in 0..count {
             let shape = Shape {
@@ -133,16 +132,16 @@
                 address: number,
                 is_draining: false,
             };
-            directory.apply_change(shaped(number, shape), (u64::from(number) + 1).into(), Time::ZERO);
+            directory.apply_change(engine_with_shape(number, shape), (u64::from(number) + 1).into(), Time::ZERO);
         }
-        let sample: Vec<_> = directory.sample(MODEL, |_| true, most, draw).collect();
-        prop_assert_eq!(sample.len(), most.min(usize::from(count)));
+        let sample: Vec<_> = directory.sample(MODEL, |_| true, max_count, draw).collect();
+        prop_assert_eq!(sample.len(), max_count.min(usize::from(count)));
         prop_assert_eq!(keys(sample.iter().map(|it| it.engine.as_ref())).len(), sample.len());
     }
 }
 
-/// Gives one of many engines.
-fn one_of_many(number: u32) -> Engine {
+/// Returns the engine with a number.
+fn numbered_engine(number: u32) -> Engine {
     let [_, high, middle, low] = number.to_be_bytes();
     let id = format!("engine-{number}");
     Engine {
@@ -154,14 +153,14 @@
 }
 
 #[test]
-fn many_engines_enter_one_by_one() {
-    // With all worked out anew at each change this took 68 s in a debug build, where the whole test
-    // file takes 0.4 s now. The bound leaves room for a machine that is busy.
-    let began = Instant::now();
+fn slow_directory_changes() {
+    // If every change recomputes all indexes, this takes 68 s in a debug build, otherwise less than 0.4 s.
+    // The bound allows for a busy machine.
+    let started = Instant::now();
     let mut directory = Directory::default();
     for number in 0..10_000 {
-        directory.apply_change(one_of_many(number), (u64::from(number) + 1).into(), Time::ZERO);
+        directory.apply_change(numbered_engine(number), (u64::from(number) + 1).into(), Time::ZERO);
     }
     assert_eq!(directory.len(), 10_000);
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
 }
--- a/tests/tests/fields.rs
+++ b/tests/tests/fields.rs
@@ -1,9 +1,8 @@
-//! All that engines say is read by the adapter, or stands in the list of what it drops with what it
-//! would be worth to the engine, to a caller and for a rule.
+//! The adapter reads each field that engines send, or the list of dropped fields names it with its value
+//! to the engine, to a caller and for the rules.
 //!
-//! Three times in a row something that engines had said for long was dropped without a second look: how
-//! many requests they take, that they leave, for how long they want nothing. For the last the list gave
-//! a reason, which looked at the caller alone.
+//! Without this check three fields were dropped by oversight: the limit of an engine, its shutdown, and
+//! its back-off, for which the list gave a reason that considered only the caller.
 
 use std::collections::BTreeSet;
 
@@ -30,14 +29,14 @@
 /// Headers that are passed on to the client with the whole answer.
 const PASSED_ON: [&str; 2] = ["X-Server-Stamp", "Content-Type"];
 
-/// Gives the head of a refusal with headers.
+/// Returns the head of a refusal with the given headers.
 fn head(headers: &[(&str, &str)]) -> response::Parts {
     let answer = Response::builder().status(503);
     let answer = headers.iter().fold(answer, |it, &(name, value)| it.header(name, value));
     answer.body(()).expect("an answer").into_parts().0
 }
 
-/// Tells whether a header changes what the adapter reads from an answer.
+/// Returns whether a header changes what the adapter reads from an answer.
 fn is_header_read(header: (&str, &str)) -> bool {
     let request = Request::builder().body(()).expect("a request").into_parts().0;
     let read = |headers: &[(&str, &str)]| {
@@ -46,7 +45,7 @@
     read(&[]) != read(&[header])
 }
 
-/// Gives the fields of an object that change what a reader makes of it, when they are gone or another.
+/// Returns the fields of an object whose values change the result of a read function.
 fn fields_read<T: PartialEq>(object: &Value, read: impl Fn(&[u8]) -> T) -> BTreeSet<String> {
     let whole = read(object.to_string().as_bytes());
     let fields = object.as_object().expect("an object").iter();
@@ -62,7 +61,7 @@
     is_read.map(|(name, _)| name.clone()).collect()
 }
 
-/// Gives the rows of the list of what is dropped.
+/// Returns the rows of the list of dropped fields.
 fn dropped() -> Vec<Vec<String>> {
     let page = root().join("docs/SYSTEM.md");
     let text = std::fs::read_to_string(page).expect("the page");
@@ -76,58 +75,58 @@
     rows.map(cells).collect()
 }
 
-/// Tells whether a field of some kind of answer stands in the list.
+/// Returns whether a field of a kind of answer is in the list.
 fn is_dropped(kind: &str, field: &str) -> bool {
     let name = format!("`{field}`");
     dropped().iter().any(|row| row[0].starts_with(kind) && row[0].contains(&name))
 }
 
-/// Checks that of a kind of answer each field is either read or listed.
-fn check(kind: &str, fields: impl IntoIterator<Item = String>, read: &BTreeSet<String>) {
+/// Checks that each field of a kind of answer is either read or listed.
+fn check_fields(kind: &str, fields: impl IntoIterator<Item = String>, read: &BTreeSet<String>) {
     for field in fields {
         let (is_read, is_dropped) = (read.contains(&field), is_dropped(kind, &field));
         assert!(is_read != is_dropped, "{kind}: `{field}` read: {is_read}, listed: {is_dropped}");
     }
 }
 
-/// Gives the fields of an object.
+/// Returns the names of the fields of an object.
 fn fields(object: &Value) -> Vec<String> {
     object.as_object().expect("an object").keys().cloned().collect()
 }
 
 #[test]
-fn headers() {
+fn unlisted_header() {
     let read = HEADERS.iter().filter(|it| is_header_read(**it)).map(|it| it.0.to_owned());
     let names = HEADERS.iter().map(|it| it.0.to_owned());
-    check("answers", names, &read.collect());
+    check_fields("answers", names, &read.collect());
     assert!(!PASSED_ON.iter().any(|it| is_dropped("answers", it)));
 }
 
 #[test]
-fn reports() {
+fn unlisted_report_field() {
     let report = json!({
         "stage": "decode", "models": [], "busy": 0, "callSeq": 2, "queued": 1, "active": 12,
         "kvUsed": 41000, "kvTotal": 90000, "prefillHandles": 0, "pinned": 1, "held": 2,
         "state": "ready", "leaves_ms": 900, "nextToken": 3, "runs": [], "born": 17,
     });
-    check("report", fields(&report), &fields_read(&report, DIALECT.read_report));
+    check_fields("report", fields(&report), &fields_read(&report, DIALECT.read_report));
 }
 
 #[test]
-fn prompts_read() {
+fn unlisted_prefill_field() {
     let prompt = json!({"prefillHandle": "3fa0", "tokens": 1460, "version": 1});
-    check("prompts read", fields(&prompt), &fields_read(&prompt, DIALECT.read_handle));
+    check_fields("prompts read", fields(&prompt), &fields_read(&prompt, DIALECT.read_handle));
 }
 
 #[test]
-fn kept_prompts() {
+fn unlisted_cache_field() {
     let list = json!({"epoch": 1, "nextToken": 5, "held": []});
-    check("kept prompts", fields(&list), &fields_read(&list, DIALECT.read_cached_prompts));
+    check_fields("kept prompts", fields(&list), &fields_read(&list, DIALECT.read_cached_prompts));
 }
 
-/// Each row says what its fields would be worth to the engine, to a caller and for the rules.
+/// Each row names the value of its fields to the engine, to a caller and for the rules.
 #[test]
-fn reasons_are_whole() {
+fn missing_reason() {
     let rows = dropped();
     assert!(rows.len() > 8, "{rows:?}");
     for row in rows {
--- a/tests/tests/limits_drawn.rs
+++ b/tests/tests/limits_drawn.rs
@@ -1,5 +1,5 @@
-//! Limits that engines name, change and lift, under drawn faults of boxes, datagrams and engines: no
-//! engine gets more than is allowed from boxes that it has told.
+//! Limits that engines name, change and lift, under generated faults of boxes, datagrams and engines: no
+//! engine gets more than its limit from boxes that it has announced the limit to.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 use hollyspoke_tests::gateway::{MODEL, PLAIN};
 use proptest::prelude::*;
 
-/// What happens.
+/// An event of a run.
 #[derive(Debug, Clone)]
-enum Act {
+enum Event {
     /// A fault.
     Fault(Fault),
-    /// Engines of a service name a limit: one of so many, in thousandths of a request a second.
+    /// Every n-th engine of a service names a limit, in thousandths of a request per second.
     Limit(&'static str, usize, u32),
-    /// Engines of a service name none.
+    /// The engines of a service name no limit.
     Lift(&'static str),
 }
 
-/// Draws what happens.
-fn act() -> impl Strategy<Value = Act> {
+/// Generates an event.
+fn event() -> impl Strategy<Value = Event> {
     let service = || prop::sample::select(vec![PLAIN, MODEL]);
     prop_oneof![
-        6 => fault().prop_map(Act::Fault),
+        6 => fault().prop_map(Event::Fault),
         2 => (service(), 1..4usize, 50..9000u32)
-            .prop_map(|(service, step, milli)| Act::Limit(service, step, milli)),
-        1 => service().prop_map(Act::Lift),
+            .prop_map(|(service, step, milli_rate)| Event::Limit(service, step, milli_rate)),
+        1 => service().prop_map(Event::Lift),
     ]
 }
 
-/// Draws a fault.
+/// Generates a fault.
 fn fault() -> impl Strategy<Value = Fault> {
     let some = || prop::sample::subsequence((0..BOX_COUNT).collect::<Vec<_>>(), 1..=BOX_COUNT);
     prop_oneof![
@@ -47,22 +47,22 @@
     ]
 }
 
-/// Gives the engines of a service, one of so many.
+/// Returns every n-th engine of a service.
 fn some_engines(fleet: &Fleet, service: &str, step: usize) -> Vec<EngineKey> {
     let engines = fleet.engines();
     let of_service = engines.iter().filter(|it| *it.service == *service);
     of_service.step_by(step).map(|it| it.key).collect()
 }
 
-/// Has something happen.
-fn play(fleet: &mut Fleet, act: &Act) {
-    match act {
-        Act::Fault(fault) => inject(fleet, fault),
-        Act::Limit(service, step, milli) => {
+/// Applies an event.
+fn apply(fleet: &mut Fleet, event: &Event) {
+    match event {
+        Event::Fault(fault) => inject(fleet, fault),
+        Event::Limit(service, step, milli_rate) => {
             let engines = some_engines(fleet, service, *step);
-            fleet.set_limit(engines, Some(f64::from(*milli) / 1e3));
+            fleet.set_limit(engines, Some(f64::from(*milli_rate) / 1e3));
         }
-        Act::Lift(service) => {
+        Event::Lift(service) => {
             let engines = some_engines(fleet, service, 1);
             fleet.set_limit(engines, None);
         }
@@ -72,22 +72,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 60, ..ProptestConfig::with_cases(8) })]
 
-    /// Six boxes, the usual traffic and up to three times as much.
+    /// Six boxes with up to three times the usual traffic.
     #[test]
     fn engines_get_what_they_take(
         seed in 0..1000u64,
-        first in 50..9000u32,
-        acts in prop::collection::vec((act(), 100..3000u64), 1..14),
+        first_milli_rate in 50..9000u32,
+        events in prop::collection::vec((event(), 100..3000u64), 1..14),
     ) {
         let mut fleet = Fleet::settled(BOX_COUNT, seed);
-        play(&mut fleet, &Act::Limit(PLAIN, 1, first));
+        apply(&mut fleet, &Event::Limit(PLAIN, 1, first_milli_rate));
         fleet.run(Duration::from_secs(2));
-        for (act, pause) in &acts {
-            play(&mut fleet, act);
+        for (event, pause) in &events {
+            apply(&mut fleet, event);
             fleet.run(Duration::from_millis(*pause));
         }
         fleet.run(Duration::from_secs(6));
         let used = fleet.rate_limits.bound_used();
-        prop_assert!(used <= 1.0, "{used:.2} of what is allowed");
+        prop_assert!(used <= 1.0, "{used:.2} of the allowed requests");
     }
 }
--- a/tests/tests/quarantine.rs
+++ b/tests/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! The cases of requests under which engines crashed: joined over boxes in any order, and bounded.
+//! Requests under which engines crashed: boxes merge them in any order, and their number is bounded.
 
 use std::time::Duration;
 
@@ -12,96 +12,96 @@
 use proptest::prelude::*;
 
 /// A Unix time in seconds.
-const UNIX: u64 = 1_790_000_000;
+const UNIX_TIME_S: u64 = 1_790_000_000;
 
-/// Gives the signature of a request of a number.
+/// Returns the signature of the request with a number.
 fn signature(number: u32) -> Signature {
     let content = Content::of("GET", "host", "/", &number.to_le_bytes());
     Signature::of(content, None, None)
 }
 
-/// Gives what operators see of a request.
-fn about() -> RequestSummary {
+/// Returns the summary of a request for operators.
+fn summary() -> RequestSummary {
     RequestSummary { customer: None, path: "/".into() }
 }
 
-/// Gives an engine in a life of its own.
-fn alive(number: u8, born: u64) -> Engine {
-    Engine { started_at: Some(born), ..engine(number, PLAIN, None) }
+/// Returns an engine with a start time.
+fn started_engine(number: u8, started_at: u64) -> Engine {
+    Engine { started_at: Some(started_at), ..engine(number, PLAIN, None) }
 }
 
-/// Has an engine crash under a request, as a box sees it that knows all that went before.
+/// Records a proven crash of an engine under a request, at a box that knows all earlier ones.
 fn crash(quarantine: &mut Quarantine, signature: Signature, engine: &Engine, now: Time) {
-    let stand = quarantine.progress(signature);
-    if quarantine.suspect(signature, stand, engine, about(), now) {
+    let progress = quarantine.progress(signature);
+    if quarantine.suspect(signature, progress, engine, summary(), now) {
         let incarnation = Incarnation { engine: engine.key, started_at: engine.started_at };
-        quarantine.confirm(incarnation, Proof::Proven, now, UNIX);
+        quarantine.confirm(incarnation, Proof::Proven, now, UNIX_TIME_S);
     }
 }
 
-/// Three crashes one after the other hold a request back; three at once are one.
+/// Three successive crashes put a request into quarantine; three at the same time count as one.
 #[test]
-fn one_after_the_other() {
+fn parallel_crashes_counted() {
     let now = Time::from_millis(1);
-    let (mut serial, mut sudden) = (Quarantine::default(), Quarantine::default());
-    let stand = sudden.progress(signature(1));
+    let (mut serial, mut parallel) = (Quarantine::default(), Quarantine::default());
+    let progress = parallel.progress(signature(1));
     for number in 1..=3 {
-        crash(&mut serial, signature(1), &alive(number, 1), now);
-        sudden.suspect(signature(1), stand, &alive(number, 1), about(), now);
+        crash(&mut serial, signature(1), &started_engine(number, 1), now);
+        parallel.suspect(signature(1), progress, &started_engine(number, 1), summary(), now);
     }
     assert_eq!(serial.verdict(signature(1)), Verdict::Held);
-    assert_eq!(sudden.verdict(signature(1)), Verdict::Suspect);
+    assert_eq!(parallel.verdict(signature(1)), Verdict::Suspect);
 }
 
-/// The same engine counts again once it has started anew, and not before.
+/// An engine counts once per incarnation.
 #[test]
-fn lives_count_once() {
+fn incarnation_counted_twice() {
     let now = Time::from_millis(1);
     let mut quarantine = Quarantine::default();
-    for born in [1, 1, 1, 2, 2, 3] {
-        crash(&mut quarantine, signature(1), &alive(1, born), now);
+    for started_at in [1, 1, 1, 2, 2, 3] {
+        crash(&mut quarantine, signature(1), &started_engine(1, started_at), now);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Held);
     let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        crash(&mut quarantine, signature(1), &alive(1, 1), now);
+        crash(&mut quarantine, signature(1), &started_engine(1, 1), now);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Suspect);
 }
 
-/// Crashes that nothing proves in time do not hold a request back.
+/// Crashes that are not proven in time expire.
 #[test]
-fn unproven_crashes_lapse() {
+fn unproven_crashes_kept() {
     let now = Time::from_millis(1);
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        let stand = quarantine.progress(signature(1));
-        let engine = alive(number, 1);
-        assert!(quarantine.suspect(signature(1), stand, &engine, about(), now));
+        let progress = quarantine.progress(signature(1));
+        let engine = started_engine(number, 1);
+        assert!(quarantine.suspect(signature(1), progress, &engine, summary(), now));
         let incarnation = Incarnation { engine: engine.key, started_at: engine.started_at };
-        quarantine.confirm(incarnation, Proof::Likely, now, UNIX);
+        quarantine.confirm(incarnation, Proof::Likely, now, UNIX_TIME_S);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Unconfirmed);
-    quarantine.sweep(now + Duration::from_secs(11), UNIX + 11);
+    quarantine.sweep(now + Duration::from_secs(11), UNIX_TIME_S + 11);
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Clear);
 }
 
-/// Whoever sends thousands of different requests displaces those that came once, not the one that is
-/// held back and keeps coming; what is told and stored stays bounded.
+/// Thousands of different requests displace those that were sent once, not one in quarantine that keeps
+/// arriving. What is announced and stored stays bounded.
 #[test]
-fn bounded() {
+fn unbounded_cases() {
     let mut quarantine = Quarantine::default();
     let mut now = Time::from_millis(1);
     for number in 1..=3 {
-        crash(&mut quarantine, signature(0), &alive(number, 1), now);
+        crash(&mut quarantine, signature(0), &started_engine(number, 1), now);
     }
     for number in 1..4_000 {
         now = now + Duration::from_millis(1);
         let crashes = if number % 2 == 0 { 1 } else { 3 };
         for engine in 1..=crashes {
-            crash(&mut quarantine, signature(number), &alive(engine, 1), now);
+            crash(&mut quarantine, signature(number), &started_engine(engine, 1), now);
         }
-        quarantine.record_seen(signature(0), now, about);
+        quarantine.record_seen(signature(0), now, summary);
     }
     assert!(quarantine.len() <= 2048, "{}", quarantine.len());
     assert_eq!(quarantine.verdict(signature(0)), Verdict::Held);
@@ -110,33 +110,33 @@
     assert!(quarantine.to_save(2, 256).len() <= 256);
 }
 
-/// Word of a case that has ended does not open it again, and whoever spreads it is set right.
+/// An outdated announcement does not reopen a closed case, and a box that sends one is corrected.
 #[test]
-fn ended_case_stays_ended() {
+fn closed_case_reopened() {
     let now = Time::from_millis(1);
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        crash(&mut quarantine, signature(1), &alive(number, 1), now);
+        crash(&mut quarantine, signature(1), &started_engine(number, 1), now);
     }
-    let late = quarantine.take_unannounced();
+    let outdated = quarantine.take_unannounced();
     quarantine.close_case(signature(1), now);
-    let ended = quarantine.take_unannounced();
-    for word in &late {
-        quarantine.receive(word, now, None);
+    let closing = quarantine.take_unannounced();
+    for announcement in &outdated {
+        quarantine.receive(announcement, now, None);
     }
     assert_eq!(quarantine.verdict(signature(1)), Verdict::Clear);
-    let mut behind = Quarantine::default();
-    for word in late.iter().chain(&quarantine.take_unannounced()) {
-        behind.receive(word, now, None);
+    let mut other = Quarantine::default();
+    for announcement in outdated.iter().chain(&quarantine.take_unannounced()) {
+        other.receive(announcement, now, None);
     }
-    assert_eq!(behind.verdict(signature(1)), Verdict::Clear);
-    assert_eq!(ended.len(), 1);
+    assert_eq!(other.verdict(signature(1)), Verdict::Clear);
+    assert_eq!(closing.len(), 1);
 }
 
-/// A caller's request has a signature of its own, though another one sends the same; a name never
-/// runs into what stands before it.
+/// The same request of two callers has two signatures, and the parts of a request can't be shifted into
+/// each other.
 #[test]
-fn callers_are_apart() {
+fn callers_share_signature() {
     let content = Content::of("GET", "host", "/a", b"b");
     let own = Signature::of(content, Some("press"), None);
     assert_ne!(own, Signature::of(content, Some("office"), None));
@@ -154,13 +154,13 @@
     assert!(!format!("{own:?}").contains(&own.text()));
 }
 
-/// Draws what a box tells of one request.
-fn word() -> impl Strategy<Value = Announcement> {
+/// Generates an announcement of one request.
+fn announcement() -> impl Strategy<Value = Announcement> {
     let proof = prop_oneof![Just(Proof::Likely), Just(Proof::Proven)];
     let crash = (0..4u64, prop::option::of(0..3u64), proof)
         .prop_map(|(engine, born, proof)| Crash { engine: EngineKey(engine), born, proof });
     let crashes = prop::array::uniform3(prop::option::of(crash));
-    (0..3u32, crashes, UNIX..UNIX + 5).prop_map(|(epoch, crashes, at)| Announcement {
+    (0..3u32, crashes, UNIX_TIME_S..UNIX_TIME_S + 5).prop_map(|(epoch, crashes, at)| Announcement {
         signature: signature(1),
         epoch,
         crashes,
@@ -168,30 +168,30 @@
     })
 }
 
-/// Has a box hear words in an order; gives what it then tells.
-fn after(words: &[Announcement]) -> Vec<Announcement> {
+/// Applies announcements in order; returns what the box then stores.
+fn announced_after(announcements: &[Announcement]) -> Vec<Announcement> {
     let mut quarantine = Quarantine::default();
-    for word in words {
-        quarantine.receive(word, Time::from_millis(1), None);
+    for announcement in announcements {
+        quarantine.receive(announcement, Time::from_millis(1), None);
     }
     quarantine.to_save(0, usize::MAX).into_iter().map(|it| it.0).collect()
 }
 
 proptest! {
-    /// Boxes that have heard the same know the same, in whatever order it came and however often.
+    /// The state of a box does not depend on the order or the number of announcements.
     #[test]
     fn order_does_not_matter(
-        words in prop::collection::vec(word(), 1..8),
+        announcements in prop::collection::vec(announcement(), 1..8),
         shuffled in any::<prop::sample::Index>(),
     ) {
-        // Word of a case without a crash opens none, so that one with crashes goes first.
+        // An announcement without a crash opens no case, so that one with crashes is first.
         let has_crash = |it: &Announcement| it.crashes.iter().flatten().next().is_some();
-        prop_assume!(has_crash(&words[0]));
-        let mut turned = words.clone();
-        let place = shuffled.index(words.len());
-        turned[1..].rotate_left(place.min(words.len() - 1));
-        let doubled: Vec<_> = words.iter().chain(&turned).copied().collect();
-        prop_assert_eq!(after(&words), after(&turned));
-        prop_assert_eq!(after(&words), after(&doubled));
+        prop_assume!(has_crash(&announcements[0]));
+        let mut rotated = announcements.clone();
+        let index = shuffled.index(announcements.len());
+        rotated[1..].rotate_left(index.min(announcements.len() - 1));
+        let doubled: Vec<_> = announcements.iter().chain(&rotated).copied().collect();
+        prop_assert_eq!(announced_after(&announcements), announced_after(&rotated));
+        prop_assert_eq!(announced_after(&announcements), announced_after(&doubled));
     }
 }
--- a/tests/tests/repeats_drawn.rs
+++ b/tests/tests/repeats_drawn.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats under drawn loads and faults: buckets alone, and whole boxes.
+//! The bound on repeats under generated loads and faults: the budgets alone, and whole boxes.
 
 use std::time::Duration;
 
@@ -10,81 +10,84 @@
 use hollyspoke_tests::repeats::{Arrival, ClientRequest, Records};
 use proptest::prelude::*;
 
-/// What happens to the buckets of several boxes.
+/// An event at the budgets of several boxes.
 #[derive(Debug, Clone, Copy)]
-enum Act {
+enum Event {
     /// Requests arrive at a box.
     Requests(usize, u8),
-    /// A box wants to repeat.
+    /// A box tries to repeat requests.
     Repeats(usize, u8),
     /// Time passes, in milliseconds.
-    Pass(u16),
-    /// A box starts anew.
+    Wait(u16),
+    /// A box restarts.
     Restart(usize),
 }
 
-/// How a box starts anew.
+/// The budget of a box after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Start {
-    /// With an empty bucket.
+enum InitialBudget {
+    /// An empty budget.
     Empty,
-    /// With a full one: a mistake to be caught.
+    /// A full budget, a mistake that the test has to detect.
     Full,
 }
 
-/// The boxes whose buckets are drawn.
-const BOXES: usize = 4;
+/// The number of boxes in the runs with budgets alone.
+const BUDGET_BOX_COUNT: usize = 4;
 
-/// Draws what happens.
-fn act() -> impl Strategy<Value = Act> {
+/// Generates an event.
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..BOXES, 1..60u8).prop_map(|(number, count)| Act::Requests(number, count)),
-        (0..BOXES, 1..60u8).prop_map(|(number, count)| Act::Repeats(number, count)),
-        (1..3000u16).prop_map(Act::Pass),
-        (0..BOXES).prop_map(Act::Restart),
+        (0..BUDGET_BOX_COUNT, 1..60u8).prop_map(|(number, count)| Event::Requests(number, count)),
+        (0..BUDGET_BOX_COUNT, 1..60u8).prop_map(|(number, count)| Event::Repeats(number, count)),
+        (1..3000u16).prop_map(Event::Wait),
+        (0..BUDGET_BOX_COUNT).prop_map(Event::Restart),
     ]
 }
 
-/// Gives what a start puts into a bucket.
-fn begin(start: Start, now: Time, part: BoxShare<'_>) -> Budget {
+/// Returns the budget of a box that starts.
+fn new_budget(initial: InitialBudget, now: Time, share: BoxShare<'_>) -> Budget {
     let mut budget = Budget::default();
-    if start == Start::Full {
+    if initial == InitialBudget::Full {
         for _ in 0..1000 {
-            budget.add_request(now, part);
+            budget.add_request(now, share);
         }
     }
     budget
 }
 
-/// Plays what was drawn on buckets; gives the share of the bound that was used.
-fn play(acts: &[Act], start: Start) -> f64 {
-    let part = BoxShare { bound: &BOUND, box_count: BOXES };
+/// Applies events to budgets; returns the used share of the bound.
+fn run(events: &[Event], initial: InitialBudget) -> f64 {
+    let share = BoxShare { bound: &BOUND, box_count: BUDGET_BOX_COUNT };
     let mut now = Time::from_millis(1);
-    let mut lives: Vec<_> = (0..BOXES).map(|_| (now, begin(start, Time::ZERO, part))).collect();
+    let mut budgets: Vec<_> =
+        (0..BUDGET_BOX_COUNT).map(|_| (now, new_budget(initial, Time::ZERO, share))).collect();
     let mut records = Records::default();
-    // All calls are of one request, which has come to an engine already.
+    // All calls are of one request that an engine has received already.
     let call =
         Arrival { service: PLAIN, request: (0, 0, 0), at: Time::ZERO, is_accepted_prefill: false };
     records.arrivals.push(call);
-    for &act in acts {
-        match act {
-            Act::Requests(number, count) => {
-                let (began, budget) = &mut lives[number];
+    for &event in events {
+        match event {
+            Event::Requests(number, count) => {
+                let (started_at, budget) = &mut budgets[number];
                 for _ in 0..count {
-                    budget.add_request(Time::ZERO + now.since(*began), part);
+                    budget.add_request(Time::ZERO + now.since(*started_at), share);
                     records.requests.push(ClientRequest { service: PLAIN, at: now });
                 }
             }
-            Act::Repeats(number, count) => {
-                let (began, budget) = &mut lives[number];
+            Event::Repeats(number, count) => {
+                let (started_at, budget) = &mut budgets[number];
                 for _ in 0..count {
-                    if budget.take(Time::ZERO + now.since(*began), part) {
+                    if budget.take(Time::ZERO + now.since(*started_at), share) {
                         records.arrivals.push(Arrival { at: now, ..call });
                     }
                 }
             }
-            Act::Pass(span) => now = now + Duration::from_millis(u64::from(span)),
-            Act::Restart(number) => lives[number] = (now, begin(start, Time::ZERO, part)),
+            Event::Wait(duration_ms) => now = now + Duration::from_millis(u64::from(duration_ms)),
+            Event::Restart(number) => {
+                budgets[number] = (now, new_budget(initial, Time::ZERO, share))
+            }
         }
     }
     records.bound_used(PLAIN, &BOUND)
@@ -93,25 +96,31 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Whatever arrives, whoever starts when: all lives of all boxes together stay within the bound.
+    /// All incarnations of all boxes together stay within the bound.
     #[test]
-    fn buckets_keep_the_bound(acts in prop::collection::vec(act(), 1..120)) {
-        let used = play(&acts, Start::Empty);
+    fn buckets_keep_the_bound(events in prop::collection::vec(event(), 1..120)) {
+        let used = run(&events, InitialBudget::Empty);
         prop_assert!(used <= 0.91, "{used}");
     }
 }
 
-/// Buckets that are full at each start break it, so that the property can fail.
+/// Budgets that are full at each start exceed the bound, which shows that the property can fail.
 #[test]
-fn full_starts_are_caught() {
+fn full_start_not_detected() {
     let crash_loop: Vec<_> = (0..12)
-        .flat_map(|it| [Act::Restart(it % BOXES), Act::Repeats(it % BOXES, 60), Act::Pass(100)])
+        .flat_map(|it| {
+            [
+                Event::Restart(it % BUDGET_BOX_COUNT),
+                Event::Repeats(it % BUDGET_BOX_COUNT, 60),
+                Event::Wait(100),
+            ]
+        })
         .collect();
-    assert!(play(&crash_loop, Start::Full) > 1.0);
-    assert!(play(&crash_loop, Start::Empty) <= 0.91);
+    assert!(run(&crash_loop, InitialBudget::Full) > 1.0);
+    assert!(run(&crash_loop, InitialBudget::Empty) <= 0.91);
 }
 
-/// Draws a fault.
+/// Generates a fault.
 fn fault() -> impl Strategy<Value = Fault> {
     let some = || prop::sample::subsequence((0..BOX_COUNT).collect::<Vec<_>>(), 1..=BOX_COUNT);
     prop_oneof![
@@ -119,8 +128,10 @@
         (0..BOX_COUNT).prop_map(Fault::Stop),
         some().prop_map(Fault::Partition),
         Just(Fault::Heal),
-        (0..BOX_COUNT, 100..2500u64).prop_map(|(number, span)| Fault::Pause(number, span)),
-        (0..BOX_COUNT, 100..800u64).prop_map(|(number, span)| Fault::DelayCalls(number, span)),
+        (0..BOX_COUNT, 100..2500u64)
+            .prop_map(|(number, duration_ms)| Fault::Pause(number, duration_ms)),
+        (0..BOX_COUNT, 100..800u64)
+            .prop_map(|(number, duration_ms)| Fault::DelayCalls(number, duration_ms)),
         (0..80u8, 1..1500u64).prop_map(|(lost, late)| Fault::Datagrams(lost, late)),
         (0..=100u8, 0..=100u8)
             .prop_map(|(reject_share, fails)| Fault::Engines(reject_share, fails)),
@@ -131,7 +142,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 60, ..ProptestConfig::with_cases(8) })]
 
-    /// Six boxes whose engines fail nearly all calls, under drawn faults.
+    /// Six boxes whose engines fail nearly all calls, under generated faults.
     #[test]
     fn boxes_keep_the_bound(
         seed in 0..1000u64,
--- a/tests/tests/repeats_many.rs
+++ b/tests/tests/repeats_many.rs
@@ -1,53 +1,56 @@
-//! The bound on repeats where there are as many boxes as the allowance has repeats.
+//! The bound on repeats if there are as many boxes as the allowance has repeats.
 //!
-//! Each box's bucket holds one whole token at least, since no repeat could be sent with less. 985
-//! boxes before an allowance of 1,040 held 985 together, and more came within the window whatever was
-//! asked: 1.08 of the bound at 0.4 requests a second a box. Below some 600 boxes the parts add up.
+//! If the bucket of each box holds one whole token, 985 boxes with an allowance of 1,040 hold 985
+//! together, and repeats exceed the bound: 1.08 of it at 0.4 requests a second per box. Below some 600
+//! boxes the shares stay within the bound.
 
 use std::time::Duration;
 
 use hollyspoke::time::Time;
 use hollyspoke_gateway::budget::{Bound, BoxShare, Budget};
 
-/// Gives the most repeats within a window, in shares of the bound, where boxes have rested for a
-/// minute and then repeat whatever they may, each with so many requests a second.
-fn used(boxes: usize, allowance: f64, a_second: f64) -> f64 {
+/// Returns the maximum number of repeats within a window, as a share of the bound: boxes are idle for a
+/// minute and then repeat all that they may, each with a rate of requests.
+fn used_share(boxes: usize, allowance: f64, requests_per_s: f64) -> f64 {
     let bound = Bound { ratio: 0.2, allowance, window: Duration::from_secs(10) };
-    let part = BoxShare { bound: &bound, box_count: boxes };
-    let mut repeats = 0.0;
-    let mut requests = 0.0;
+    let share = BoxShare { bound: &bound, box_count: boxes };
+    let mut repeat_count = 0.0;
+    let mut request_count = 0.0;
     for _ in 0..boxes {
         let mut budget = Budget::default();
-        budget.add_request(Time::ZERO, part);
-        let mut owed = 0.0;
+        budget.add_request(Time::ZERO, share);
+        let mut due_requests = 0.0;
         for step in 0..100u64 {
             let now = Time::from_millis(60_000 + step * 100);
-            owed += a_second / 10.0;
-            while owed >= 1.0 {
-                owed -= 1.0;
-                requests += 1.0;
-                budget.add_request(now, part);
+            due_requests += requests_per_s / 10.0;
+            while due_requests >= 1.0 {
+                due_requests -= 1.0;
+                request_count += 1.0;
+                budget.add_request(now, share);
             }
-            while budget.take(now, part) {
-                repeats += 1.0;
+            while budget.take(now, share) {
+                repeat_count += 1.0;
             }
         }
     }
-    repeats / (allowance + bound.ratio * requests)
+    repeat_count / (allowance + bound.ratio * request_count)
 }
 
 #[test]
-fn the_parts_of_a_thousand_boxes_add_up() {
-    // The users' allowances, by boxes.
+fn parts_exceed_bound() {
+    // The allowance by the number of boxes.
     for (boxes, allowance) in [(6, 52.0), (66, 172.0), (295, 630.0), (985, 1040.0)] {
-        for a_second in [0.0, 0.4, 4.0] {
-            let used = used(boxes, allowance, a_second);
-            assert!(used <= 1.0, "{used} of the bound by {boxes} boxes at {a_second} a second");
+        for requests_per_s in [0.0, 0.4, 4.0] {
+            let used_share = used_share(boxes, allowance, requests_per_s);
+            assert!(
+                used_share <= 1.0,
+                "{used_share} of the bound by {boxes} boxes at {requests_per_s} requests a second"
+            );
         }
     }
 }
 
 #[test]
-fn few_boxes_use_their_part() {
-    assert!(used(6, 52.0, 4.0) > 0.8);
+fn part_unused() {
+    assert!(used_share(6, 52.0, 4.0) > 0.8);
 }
--- a/tests/tests/run_lengths.rs
+++ b/tests/tests/run_lengths.rs
@@ -1,46 +1,46 @@
-//! How long runs hold their memory, and what clients ask, as a box measures them.
+//! The duration for which runs hold their memory, and the demand of clients, as a box measures them.
 
 use std::time::Duration;
 
 use hollyspoke::time::Time;
 use hollyspoke_gateway::demand::{Meter, Runs};
 
-/// Plays runs of two lengths that begin in turn, one every tenth of a second.
-fn play(runs: &mut Runs, lengths: [u64; 2], span: u64) -> Time {
-    let mut ends: Vec<u64> = Vec::new();
-    for millis in 0..span {
-        let now = Time::from_millis(1000 + millis);
-        if millis % 100 == 0 {
+/// Simulates runs of two alternating lengths, one every tenth of a second; returns the time at the end.
+fn simulate_runs(runs: &mut Runs, lengths_ms: [u64; 2], duration_ms: u64) -> Time {
+    let mut ends_ms: Vec<u64> = Vec::new();
+    for elapsed_ms in 0..duration_ms {
+        let now = Time::from_millis(1000 + elapsed_ms);
+        if elapsed_ms % 100 == 0 {
             runs.begin(now);
-            ends.push(millis + lengths[(millis / 100 % 2) as usize]);
+            ends_ms.push(elapsed_ms + lengths_ms[(elapsed_ms / 100 % 2) as usize]);
         }
-        for _ in ends.extract_if(.., |it| *it == millis) {
+        for _ in ends_ms.extract_if(.., |it| *it == elapsed_ms) {
             runs.end(now);
         }
     }
-    Time::from_millis(1000 + span)
+    Time::from_millis(1000 + duration_ms)
 }
 
 #[test]
-fn settles_at_the_mean() {
+fn wrong_mean() {
     let mut runs = Runs::default();
-    let now = play(&mut runs, [1000, 5000], 60_000);
+    let now = simulate_runs(&mut runs, [1000, 5000], 60_000);
     let mean = runs.mean(now).as_secs_f64();
     assert!((2.8..3.2).contains(&mean), "{mean}");
 }
 
-/// After four seconds just the short half has ended, whose mean is one second; the true mean is
-/// three, and a third off is good enough to choose a split.
+/// After four seconds only the short half has ended, with a mean of one second. The true mean is three;
+/// an error of a third is small enough to choose a split.
 #[test]
-fn long_ones_count_early() {
+fn long_runs_ignored() {
     let mut runs = Runs::default();
-    let now = play(&mut runs, [1000, 5000], 4000);
+    let now = simulate_runs(&mut runs, [1000, 5000], 4000);
     let mean = runs.mean(now).as_secs_f64();
     assert!((2.0..4.0).contains(&mean), "{mean}");
 }
 
 #[test]
-fn demand_is_known_early() {
+fn early_demand_unknown() {
     let mut meter = Meter::default();
     for step in 0..20 {
         meter.record(3000, 3100, Time::from_millis(1000 + step * 100));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn demand_fades() {
+fn old_demand_kept() {
     let mut meter = Meter::default();
     for step in 0..100 {
         meter.record(3000, 3100, Time::from_millis(step * 100));
--- a/tests/tests/stage_ratio.rs
+++ b/tests/tests/stage_ratio.rs
@@ -1,10 +1,10 @@
-//! How many engines read and how many generate: drawn loads.
+//! The split of engines into prefill and decode, for generated loads.
 
 use hollyspoke_gateway::message::Demand;
 use hollyspoke_gateway::ratio::{Capacity, Change, Split, best, change, pressure};
 use proptest::prelude::*;
 
-/// Any demand, capacity and split.
+/// Generates a demand, a capacity and a split.
 fn any_case() -> impl Strategy<Value = (Demand, Capacity, Split)> {
     let demand = (0u32..2_000_000, 0u32..20_000_000);
     let capacity = (1_000.0..100_000.0, 1_000.0..100_000.0);
@@ -18,7 +18,7 @@
 }
 
 proptest! {
-    /// The best split is none but a whole one, and no other one is better.
+    /// The best split uses all engines, has both stages, and no other split is better.
     #[test]
     fn best_is_best((demand, capacity, split) in any_case()) {
         let engines = split.prefill + split.decode;
@@ -28,7 +28,7 @@
         prop_assert!(pressure(demand, capacity, best) <= pressure(demand, capacity, split));
     }
 
-    /// Changes end, go one way, and leave both sides an engine.
+    /// Changes end, go in one direction, and leave at least one engine in each stage.
     #[test]
     fn changes_end((demand, capacity, split) in any_case()) {
         let (mut split, mut first) = (split, None);
@@ -41,10 +41,10 @@
             }
             prop_assert!(split.prefill > 0 && split.decode > 0);
         }
-        prop_assert!(false, "no end");
+        prop_assert!(false, "the changes do not end");
     }
 
-    /// A burst of the same requests asks for the same split.
+    /// A burst of the same requests leads to the same split.
     #[test]
     fn burst_changes_nothing((demand, capacity, split) in any_case(), times in 2u32..4) {
         let engines = split.prefill + split.decode;
--- a/tests/tests/terms_drawn.rs
+++ b/tests/tests/terms_drawn.rs
@@ -1,6 +1,6 @@
-//! Engines that leave, and engines that rest, under drawn faults of boxes, datagrams and engines: none
-//! gets more than is allowed from boxes that it has told. Calls that are held up on the way are left
-//! out: they were sent before their box was told.
+//! Engines that shut down or back off, under generated faults of boxes, datagrams and engines: none gets
+//! more than allowed from boxes that know of it. Calls are not delayed in transit here: a delayed call was
+//! sent before its box knew.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use hollyspoke_tests::statements::{BackOffs, DRAIN, MAX_DURING_BACK_OFF};
 use proptest::prelude::*;
 
-/// What happens.
+/// An event of a run.
 #[derive(Debug, Clone)]
-enum Act {
+enum Event {
     /// A fault.
     Fault(Fault),
-    /// Engines of a service say that they leave: one of so many.
-    Leave(&'static str, usize),
-    /// Engines of a service turn all away at times: one of so many, for so many milliseconds of each so
-    /// many.
-    Rest(&'static str, usize, u64, u64),
-    /// Engines of a service turn nothing away.
-    Work(&'static str),
+    /// Every n-th engine of a service announces its shutdown.
+    Drain(&'static str, usize),
+    /// Every n-th engine of a service rejects all requests for some milliseconds of each period, which is
+    /// in milliseconds too.
+    BackOff(&'static str, usize, u64, u64),
+    /// The engines of a service reject nothing.
+    Accept(&'static str),
 }
 
-/// Draws what happens.
-fn act() -> impl Strategy<Value = Act> {
+/// Generates an event.
+fn event() -> impl Strategy<Value = Event> {
     let service = || prop::sample::select(vec![PLAIN, MODEL]);
     prop_oneof![
-        6 => fault().prop_map(Act::Fault),
-        1 => (service(), 1..6usize).prop_map(|(service, step)| Act::Leave(service, step)),
+        6 => fault().prop_map(Event::Fault),
+        1 => (service(), 1..6usize).prop_map(|(service, step)| Event::Drain(service, step)),
         2 => (service(), 1..4usize, 200..6000u64, 500..9000u64)
-            .prop_map(|(service, step, span, every)| Act::Rest(service, step, span, every)),
-        1 => service().prop_map(Act::Work),
+            .prop_map(|(service, step, length, interval)| Event::BackOff(service, step, length, interval)),
+        1 => service().prop_map(Event::Accept),
     ]
 }
 
-/// Draws a fault.
+/// Generates a fault.
 fn fault() -> impl Strategy<Value = Fault> {
     let some = || prop::sample::subsequence((0..BOX_COUNT).collect::<Vec<_>>(), 1..=BOX_COUNT);
     prop_oneof![
@@ -47,51 +47,51 @@
         Just(Fault::Heal),
         (0..70u8, 1..400u64).prop_map(|(lost, late)| Fault::Datagrams(lost, late)),
         (2..6usize).prop_map(Fault::Crash),
-        (0..BOX_COUNT, 100..2500u64).prop_map(|(number, span)| Fault::Pause(number, span)),
+        (0..BOX_COUNT, 100..2500u64).prop_map(|(number, length)| Fault::Pause(number, length)),
         (0..=60u8, 0..=60u8).prop_map(|(reject_share, fails)| Fault::Engines(reject_share, fails)),
         (1..=3u8).prop_map(Fault::Traffic),
         Just(Fault::Reset),
     ]
 }
 
-/// Gives the engines of a service, one of so many.
+/// Returns every n-th engine of a service.
 fn some_engines(fleet: &Fleet, service: &str, step: usize) -> Vec<EngineKey> {
     fleet.engines_of(service).into_iter().step_by(step).collect()
 }
 
-/// Has something happen.
-fn play(fleet: &mut Fleet, act: &Act) {
-    match *act {
-        Act::Fault(ref fault) => inject(fleet, fault),
-        Act::Leave(service, step) => fleet.drain(some_engines(fleet, service, step)),
-        Act::Rest(service, step, span, every) => {
-            let [span, every] = [span.min(every), every].map(Duration::from_millis);
+/// Applies an event.
+fn apply(fleet: &mut Fleet, event: &Event) {
+    match *event {
+        Event::Fault(ref fault) => inject(fleet, fault),
+        Event::Drain(service, step) => fleet.drain(some_engines(fleet, service, step)),
+        Event::BackOff(service, step, length, interval) => {
+            let [length, interval] = [length.min(interval), interval].map(Duration::from_millis);
             fleet.back_off(
                 some_engines(fleet, service, step),
-                Some(BackOffs { duration: span, period: every }),
+                Some(BackOffs { duration: length, period: interval }),
             );
         }
-        Act::Work(service) => fleet.back_off(some_engines(fleet, service, 1), None),
+        Event::Accept(service) => fleet.back_off(some_engines(fleet, service, 1), None),
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 60, ..ProptestConfig::with_cases(8) })]
 
-    /// Six boxes, the usual traffic and up to three times as much.
+    /// Six boxes with up to three times the usual traffic.
     #[test]
     fn engines_terms_are_kept(
         seed in 0..1000u64,
-        acts in prop::collection::vec((act(), 100..3000u64), 1..14),
+        events in prop::collection::vec((event(), 100..3000u64), 1..14),
     ) {
         let mut fleet = Fleet::settled(BOX_COUNT, seed);
-        for (act, pause) in &acts {
-            play(&mut fleet, act);
+        for (event, pause) in &events {
+            apply(&mut fleet, event);
             fleet.run(Duration::from_millis(*pause));
         }
         fleet.run(Duration::from_secs(6));
         prop_assert_eq!(fleet.statements.late(DRAIN), 0);
-        let most = fleet.statements.max_during_back_off();
-        prop_assert!(most <= MAX_DURING_BACK_OFF, "{most} from one box while it rests");
+        let max_sent = fleet.statements.max_during_back_off();
+        prop_assert!(max_sent <= MAX_DURING_BACK_OFF, "{max_sent} requests from one box during a back-off");
     }
 }
