--- a/crates/hollyspoke-spec/src/claims.rs
+++ b/crates/hollyspoke-spec/src/claims.rs
@@ -77,7 +77,7 @@
 }
 
 /// The highest version that is searched.
-const MOST_VERSIONS: u8 = 4;
+const MAX_VERSION: u8 = 4;
 
 /// Makes the specification.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
@@ -95,36 +95,39 @@
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
-            boxes(state, &mut steps);
+            box_steps(state, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(|state| (state.runs > 1).then(|| "the request ran twice".to_owned())),
-        unfinished: Box::new(|state| {
-            let waits = |it: BoxId| {
+        check_invariants: Box::new(|state| {
+            (state.runs > 1).then(|| "the request ran twice".to_owned())
+        }),
+        check_quiescence: Box::new(|state| {
+            let is_waiting = |it: BoxId| {
                 state.alive[it] && !matches!(state.phase[it], Phase::Idle | Phase::Done)
             };
-            (waits(0) || waits(1)).then(|| "a box waits for its claim for ever".to_owned())
+            (is_waiting(0) || is_waiting(1))
+                .then(|| "a box waits for its claim for ever".to_owned())
         }),
     }
 }
 
 /// Boxes get the request, go on after a wait, and crash.
-fn boxes(state: &State, steps: &mut Steps<'_, State>) {
+fn box_steps(state: &State, steps: &mut Steps<'_, State>) {
     for me in 0..2 {
         if !state.alive[me] {
             continue;
         }
         if state.phase[me] == Phase::Idle {
-            steps.may(format!("box {me} gets the request"), |it| read(it, me));
+            steps.add_optional(format!("box {me} gets the request"), |it| begin_read(it, me));
         }
         if state.phase[me] == Phase::Waiting {
-            steps.add(format!("box {me} reads again"), |it| read(it, me));
+            steps.add(format!("box {me} reads again"), |it| begin_read(it, me));
         }
         if state.crashes > 0 {
-            steps.may(format!("box {me} crashes"), |it| {
+            steps.add_optional(format!("box {me} crashes"), |it| {
                 it.crashes -= 1;
                 it.alive[me] = false;
             });
@@ -133,13 +136,18 @@
 }
 
 /// Begins a read.
-fn read(state: &mut State, me: BoxId) {
+fn begin_read(state: &mut State, me: BoxId) {
     state.phase[me] = Phase::Reading;
     state.messages.insert(Message::Get(me));
 }
 
 /// Delivers a message.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
     let name = format!("{message:?}");
     match message {
         Message::Get(me) => {
@@ -148,46 +156,46 @@
                 it.messages.insert(Message::Found(me, it.claim.0, it.claim.1));
             });
             if state.losses[0] > 0 {
-                steps.may(format!("{name} is lost"), |it| {
+                steps.add_optional(format!("{name} is lost"), |it| {
                     it.losses[0] -= 1;
                     it.messages.remove(&message);
                     it.messages.insert(Message::Away(me));
                 });
             }
         }
-        Message::Put(me, expected) => put(state, me, expected, mutant, steps),
+        Message::Put(me, expected) => put_steps(state, me, expected, mutant, steps),
         Message::LatePut(me, expected) => steps.add(name, |it| {
             it.messages.remove(&message);
-            write(it, me, expected, mutant);
+            apply_write(it, me, expected, mutant);
         }),
         Message::Found(me, version, bound) => steps.add(name, |it| {
             it.messages.remove(&message);
             if it.alive[me] && it.phase[me] == Phase::Reading {
-                found(it, me, version, bound, mutant);
+                handle_found(it, me, version, bound, mutant);
             }
         }),
         Message::PutAnswer(me) => steps.add(name, |it| {
             it.messages.remove(&message);
             if it.alive[me] && it.phase[me] == Phase::Writing {
-                read(it, me);
+                begin_read(it, me);
             }
         }),
         Message::Away(me) => steps.add(name, |it| {
             it.messages.remove(&message);
-            away(it, me, mutant);
+            handle_no_answer(it, me, mutant);
         }),
         Message::Relay(me) => steps.add(name, |it| {
             it.messages.remove(&message);
             // A box that has died answers nothing; the caller is told that nobody can tell.
             if it.alive[me] && !it.ran[me] {
-                run(it, me);
+                run_request(it, me);
             }
         }),
     }
 }
 
 /// A write reaches the store: it is answered, its answer is lost, or it takes effect late.
-fn put(
+fn put_steps(
     state: &State,
     me: BoxId,
     expected: u8,
@@ -197,19 +205,19 @@
     let message = Message::Put(me, expected);
     steps.add(format!("{message:?}"), |it| {
         it.messages.remove(&message);
-        write(it, me, expected, mutant);
+        apply_write(it, me, expected, mutant);
         it.messages.insert(Message::PutAnswer(me));
     });
     if state.losses[1] > 0 {
-        steps.may(format!("{message:?} and its answer is lost"), |it| {
+        steps.add_optional(format!("{message:?} and its answer is lost"), |it| {
             it.losses[1] -= 1;
             it.messages.remove(&message);
-            write(it, me, expected, mutant);
+            apply_write(it, me, expected, mutant);
             it.messages.insert(Message::Away(me));
         });
     }
     if state.losses[2] > 0 {
-        steps.may(format!("{message:?} is late"), |it| {
+        steps.add_optional(format!("{message:?} is late"), |it| {
             it.losses[2] -= 1;
             it.messages.remove(&message);
             it.messages.insert(Message::LatePut(me, expected));
@@ -219,15 +227,21 @@
 }
 
 /// The store takes a write if the version is the one expected.
-fn write(state: &mut State, me: BoxId, expected: u8, mutant: Option<Mutant>) {
-    let taken = state.claim.0 == expected || mutant == Some(Mutant::WriteBlindly);
-    if taken && state.claim.0 < MOST_VERSIONS {
+fn apply_write(state: &mut State, me: BoxId, expected: u8, mutant: Option<Mutant>) {
+    let is_applied = state.claim.0 == expected || mutant == Some(Mutant::WriteBlindly);
+    if is_applied && state.claim.0 < MAX_VERSION {
         state.claim = (state.claim.0 + 1, Some(me));
     }
 }
 
 /// A box learns what the claim is.
-fn found(state: &mut State, me: BoxId, version: u8, bound: Option<BoxId>, mutant: Option<Mutant>) {
+fn handle_found(
+    state: &mut State,
+    me: BoxId,
+    version: u8,
+    bound: Option<BoxId>,
+    mutant: Option<Mutant>,
+) {
     match bound {
         None => {
             state.phase[me] = Phase::Writing;
@@ -236,7 +250,7 @@
         Some(home) if home == me => {
             state.phase[me] = Phase::Done;
             if !state.ran[me] || mutant == Some(Mutant::RunAgain) {
-                run(state, me);
+                run_request(state, me);
             }
         }
         Some(home) => {
@@ -244,28 +258,28 @@
             if state.alive[home] {
                 state.messages.insert(Message::Relay(home));
             } else if mutant == Some(Mutant::RunUnknownHome) {
-                run(state, me);
+                run_request(state, me);
             }
         }
     }
 }
 
 /// A box learns that no answer came.
-fn away(state: &mut State, me: BoxId, mutant: Option<Mutant>) {
+fn handle_no_answer(state: &mut State, me: BoxId, mutant: Option<Mutant>) {
     if !state.alive[me] {
         return;
     }
-    let wrote = state.phase[me] == Phase::Writing;
-    if wrote && mutant == Some(Mutant::BelieveLostWrite) {
+    let was_writing = state.phase[me] == Phase::Writing;
+    if was_writing && mutant == Some(Mutant::BelieveLostWrite) {
         state.phase[me] = Phase::Done;
-        run(state, me);
+        run_request(state, me);
         return;
     }
     state.phase[me] = Phase::Waiting;
 }
 
 /// A box runs the request.
-fn run(state: &mut State, me: BoxId) {
+fn run_request(state: &mut State, me: BoxId) {
     state.ran[me] = true;
     state.runs = (state.runs + 1).min(2);
 }
--- a/crates/hollyspoke-spec/src/configuration.rs
+++ b/crates/hollyspoke-spec/src/configuration.rs
@@ -30,9 +30,9 @@
     /// It reads back, having expected a version.
     ReadingBack(u8),
     /// It has said that the file was accepted.
-    SaidAccepted,
+    ReportedAccepted,
     /// It has said that the file was not written.
-    SaidNotWritten,
+    ReportedNotWritten,
 }
 
 /// What is on its way.
@@ -64,7 +64,7 @@
     /// Lost answers and late writes left.
     pub losses: [u8; 2],
     /// Messages between boxes that may still be lost or repeated.
-    pub noise: u8,
+    pub message_faults: u8,
 }
 
 impl State {
@@ -84,41 +84,41 @@
         messages: BTreeSet::new(),
         restarts: 1,
         losses: [1, 1],
-        noise: 1,
+        message_faults: 1,
     };
     Specification {
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
             for operator in 0..2 {
-                apply(state, operator, &mut steps);
+                operator_steps(state, operator, &mut steps);
             }
-            boxes(state, &mut steps);
+            box_steps(state, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(broken),
-        unfinished: Box::new(|state| {
-            let behind = state.versions.iter().any(|it| *it != state.stored());
-            behind.then(|| "an accepted version is not in force everywhere".to_owned())
+        check_invariants: Box::new(check_invariants),
+        check_quiescence: Box::new(|state| {
+            let is_behind = state.versions.iter().any(|it| *it != state.stored());
+            is_behind.then(|| "an accepted version is not in force everywhere".to_owned())
         }),
     }
 }
 
 /// Gives the promise that a state breaks.
-fn broken(state: &State) -> Option<String> {
+fn check_invariants(state: &State) -> Option<String> {
     if let Some(number) = state.reverted {
         return Some(format!("box {number} went back to an older version"));
     }
     for operator in 0..2 {
-        let written = state.history.contains(&operator);
+        let is_written = state.history.contains(&operator);
         match state.applies[operator] {
-            Apply::SaidNotWritten if written => {
+            Apply::ReportedNotWritten if is_written => {
                 return Some("a file that was said not to be written is in force".to_owned());
             }
-            Apply::SaidAccepted if !written => {
+            Apply::ReportedAccepted if !is_written => {
                 return Some("a file that was said to be accepted never was".to_owned());
             }
             _ => {}
@@ -129,9 +129,9 @@
 }
 
 /// The steps of an operator's tool.
-fn apply(state: &State, operator: usize, steps: &mut Steps<'_, State>) {
+fn operator_steps(state: &State, operator: usize, steps: &mut Steps<'_, State>) {
     match state.applies[operator] {
-        Apply::Idle => steps.may(format!("operator {operator} applies"), |it| {
+        Apply::Idle => steps.add_optional(format!("operator {operator} applies"), |it| {
             let seen = it.stored();
             it.applies[operator] = Apply::Writing(seen);
             it.messages.insert(Message::Put(operator, seen));
@@ -139,22 +139,22 @@
         Apply::ReadingBack(expected) => {
             steps.add(format!("operator {operator} reads back"), |it| {
                 if it.history.contains(&operator) {
-                    it.applies[operator] = Apply::SaidAccepted;
+                    it.applies[operator] = Apply::ReportedAccepted;
                 } else if it.stored() == expected {
                     // The lost write may still take effect: the same write is made again.
                     it.applies[operator] = Apply::Writing(expected);
                     it.messages.insert(Message::Put(operator, expected));
                 } else {
-                    it.applies[operator] = Apply::SaidNotWritten;
+                    it.applies[operator] = Apply::ReportedNotWritten;
                 }
             });
         }
-        Apply::Writing(_) | Apply::SaidAccepted | Apply::SaidNotWritten => {}
+        Apply::Writing(_) | Apply::ReportedAccepted | Apply::ReportedNotWritten => {}
     }
 }
 
 /// Watchers see the store, boxes tell each other, and box 1 restarts.
-fn boxes(state: &State, steps: &mut Steps<'_, State>) {
+fn box_steps(state: &State, steps: &mut Steps<'_, State>) {
     for number in 0..2 {
         let stored = state.stored();
         if stored > state.versions[number] {
@@ -162,16 +162,16 @@
                 it.messages.insert(Message::Site(number, stored));
             });
         }
-        let theirs = state.versions[number];
+        let own_version = state.versions[number];
         let other = 1 - number;
-        if theirs > state.versions[other] {
-            steps.add(format!("box {number} passes version {theirs} on"), |it| {
-                it.messages.insert(Message::Site(other, theirs));
+        if own_version > state.versions[other] {
+            steps.add(format!("box {number} passes version {own_version} on"), |it| {
+                it.messages.insert(Message::Site(other, own_version));
             });
         }
     }
     if state.restarts > 0 {
-        steps.may("box 1 starts anew", |it| {
+        steps.add_optional("box 1 starts anew", |it| {
             it.restarts -= 1;
             it.versions[1] = 0;
         });
@@ -179,28 +179,33 @@
 }
 
 /// Delivers a message.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
     match message {
-        Message::Put(operator, expected) => put(state, operator, expected, mutant, steps),
+        Message::Put(operator, expected) => put_steps(state, operator, expected, mutant, steps),
         Message::LatePut(operator, expected) => {
             steps.add(format!("{message:?}"), |it| {
                 it.messages.remove(&message);
-                write(it, operator, expected, mutant);
+                apply_write(it, operator, expected, mutant);
             });
         }
         Message::Site(to, version) => {
             steps.add(format!("{message:?}"), |it| {
                 it.messages.remove(&message);
-                take(it, to, version, mutant);
+                receive_version(it, to, version, mutant);
             });
-            if state.noise > 0 {
-                steps.may(format!("{message:?} is lost"), |it| {
-                    it.noise -= 1;
+            if state.message_faults > 0 {
+                steps.add_optional(format!("{message:?} is lost"), |it| {
+                    it.message_faults -= 1;
                     it.messages.remove(&message);
                 });
-                steps.may(format!("{message:?} arrives twice"), |it| {
-                    it.noise -= 1;
-                    take(it, to, version, mutant);
+                steps.add_optional(format!("{message:?} arrives twice"), |it| {
+                    it.message_faults -= 1;
+                    receive_version(it, to, version, mutant);
                 });
             }
         }
@@ -208,9 +213,9 @@
 }
 
 /// A box is shown a version.
-fn take(state: &mut State, to: BoxId, version: u8, mutant: Option<Mutant>) {
-    let older = version <= state.versions[to];
-    if older && mutant != Some(Mutant::AcceptOlder) {
+fn receive_version(state: &mut State, to: BoxId, version: u8, mutant: Option<Mutant>) {
+    let is_older = version <= state.versions[to];
+    if is_older && mutant != Some(Mutant::AcceptOlder) {
         return;
     }
     if version < state.versions[to] {
@@ -220,7 +225,7 @@
 }
 
 /// A write reaches the store: it is answered, its answer is lost, or it takes effect late.
-fn put(
+fn put_steps(
     state: &State,
     operator: usize,
     expected: u8,
@@ -228,41 +233,41 @@
     steps: &mut Steps<'_, State>,
 ) {
     let message = Message::Put(operator, expected);
-    let unanswered = move |it: &mut State| {
+    let record_no_answer = move |it: &mut State| {
         it.applies[operator] = match mutant {
-            Some(Mutant::BelieveLostWrite) => Apply::SaidNotWritten,
+            Some(Mutant::BelieveLostWrite) => Apply::ReportedNotWritten,
             _ => Apply::ReadingBack(expected),
         };
     };
     steps.add(format!("{message:?}"), |it| {
         it.messages.remove(&message);
-        let taken = write(it, operator, expected, mutant);
+        let is_applied = apply_write(it, operator, expected, mutant);
         it.applies[operator] =
-            if taken { Apply::SaidAccepted } else { Apply::ReadingBack(expected) };
+            if is_applied { Apply::ReportedAccepted } else { Apply::ReadingBack(expected) };
     });
     if state.losses[0] > 0 {
-        steps.may(format!("{message:?} and its answer is lost"), |it| {
+        steps.add_optional(format!("{message:?} and its answer is lost"), |it| {
             it.losses[0] -= 1;
             it.messages.remove(&message);
-            write(it, operator, expected, mutant);
-            unanswered(it);
+            apply_write(it, operator, expected, mutant);
+            record_no_answer(it);
         });
     }
     if state.losses[1] > 0 {
-        steps.may(format!("{message:?} is late"), |it| {
+        steps.add_optional(format!("{message:?} is late"), |it| {
             it.losses[1] -= 1;
             it.messages.remove(&message);
             it.messages.insert(Message::LatePut(operator, expected));
-            unanswered(it);
+            record_no_answer(it);
         });
     }
 }
 
 /// The store takes a write if the version is the one expected.
-fn write(state: &mut State, operator: usize, expected: u8, mutant: Option<Mutant>) -> bool {
-    let taken = state.stored() == expected || mutant == Some(Mutant::WriteBlindly);
-    if taken && state.history.len() < 3 {
+fn apply_write(state: &mut State, operator: usize, expected: u8, mutant: Option<Mutant>) -> bool {
+    let is_applied = state.stored() == expected || mutant == Some(Mutant::WriteBlindly);
+    if is_applied && state.history.len() < 3 {
         state.history.push(operator);
     }
-    taken
+    is_applied
 }
--- a/crates/hollyspoke-spec/src/grants.rs
+++ b/crates/hollyspoke-spec/src/grants.rs
@@ -10,7 +10,7 @@
 use crate::search::{Specification, Steps};
 
 /// The most attempts of a request; after them the caller is told that it failed.
-const MOST_ATTEMPTS: u8 = 2;
+const MAX_ATTEMPTS: u8 = 2;
 
 /// One attempt of a front's request.
 pub type Ticket = (BoxId, u8);
@@ -82,7 +82,7 @@
     /// The attempt whose stream each engine holds.
     streams: [Option<Ticket>; 2],
     /// Whether a front gave an answer over a stream that was no longer its own.
-    stolen: bool,
+    used_fenced_grant: bool,
     /// What is on its way.
     messages: BTreeSet<Message>,
     /// Crashes left.
@@ -90,14 +90,14 @@
     /// Pauses left.
     pauses: u8,
     /// Callers that may still go.
-    goings: u8,
+    departures: u8,
     /// Messages that may still be lost or repeated.
-    noise: u8,
+    message_faults: u8,
 }
 
 impl State {
     /// Tells whether a box works.
-    fn works(&self, it: BoxId) -> bool {
+    fn is_running(&self, it: BoxId) -> bool {
         self.alive[it] && !self.paused[it]
     }
 
@@ -109,8 +109,8 @@
     /// Begins a front's next attempt, or gives up after the last.
     fn next_attempt(&mut self, front: BoxId) {
         self.attempt[front] += 1;
-        let more = self.attempt[front] < MOST_ATTEMPTS;
-        self.phase[front] = if more { Phase::Asking } else { Phase::Answered };
+        let has_more = self.attempt[front] < MAX_ATTEMPTS;
+        self.phase[front] = if has_more { Phase::Asking } else { Phase::Answered };
     }
 
     /// Takes an attempt out of the owner's ledger.
@@ -133,36 +133,38 @@
         ledger: [None; 2],
         fenced: BTreeSet::new(),
         streams: [None; 2],
-        stolen: false,
+        used_fenced_grant: false,
         messages: BTreeSet::new(),
         crashes: 1,
         pauses: 1,
-        goings: 1,
-        noise: 1,
+        departures: 1,
+        message_faults: 1,
     };
     Specification {
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
             for front in 0..2 {
-                if state.works(front) {
-                    fronts(state, front, mutant, &mut steps);
+                if state.is_running(front) {
+                    front_steps(state, front, mutant, &mut steps);
                 }
-                faults(state, front, &mut steps);
+                fault_steps(state, front, &mut steps);
             }
-            owner(state, mutant, &mut steps);
+            owner_steps(state, mutant, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             let mut steps = steps.finish();
             steps.iter_mut().for_each(|it| forget_dead_messages(&mut it.next));
             steps.retain(|it| it.next != *state);
             steps
         }),
-        broken: Box::new(|state| {
-            state.stolen.then(|| "a front went on under a grant taken from it".to_owned())
+        check_invariants: Box::new(|state| {
+            state
+                .used_fenced_grant
+                .then(|| "a front went on under a grant taken from it".to_owned())
         }),
-        unfinished: Box::new(unfinished),
+        check_quiescence: Box::new(check_quiescence),
     }
 }
 
@@ -186,23 +188,23 @@
 }
 
 /// Gives what is wrong with a state at rest.
-fn unfinished(state: &State) -> Option<String> {
-    let some_owner = state.works(0) || state.works(1);
+fn check_quiescence(state: &State) -> Option<String> {
+    let has_owner = state.is_running(0) || state.is_running(1);
     for (front, _) in state.streams.iter().flatten().copied() {
         let done = matches!(state.phase[front], Phase::Gone | Phase::Answered);
-        if some_owner && !state.paused[front] && (!state.alive[front] || done) {
+        if has_owner && !state.paused[front] && (!state.alive[front] || done) {
             return Some(format!("an engine holds memory for box {front}, which needs it no more"));
         }
     }
-    let waits = |it: BoxId| {
+    let is_waiting = |it: BoxId| {
         let waiting = matches!(state.phase[it], Phase::Asking | Phase::Granted(_));
-        state.works(it) && waiting
+        state.is_running(it) && waiting
     };
-    (waits(0) || waits(1)).then(|| "a caller waits for ever".to_owned())
+    (is_waiting(0) || is_waiting(1)).then(|| "a caller waits for ever".to_owned())
 }
 
 /// The steps of a front.
-fn fronts(state: &State, front: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn front_steps(state: &State, front: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let ticket = state.ticket(front);
     if state.stale[front] && mutant != Some(Mutant::SkipFence) {
         steps.add(format!("box {front} sees that it stood still"), |it| {
@@ -219,7 +221,7 @@
         return;
     }
     match state.phase[front] {
-        Phase::Idle => steps.may(format!("a caller comes to box {front}"), |it| {
+        Phase::Idle => steps.add_optional(format!("a caller comes to box {front}"), |it| {
             it.phase[front] = Phase::Asking;
             it.messages.insert(Message::Ask(ticket));
         }),
@@ -243,10 +245,10 @@
         }),
         Phase::Answered | Phase::Gone => {}
     }
-    let waits = !matches!(state.phase[front], Phase::Idle | Phase::Answered | Phase::Gone);
-    if waits && state.goings > 0 {
-        steps.may(format!("the caller of box {front} goes"), |it| {
-            it.goings -= 1;
+    let is_waiting = !matches!(state.phase[front], Phase::Idle | Phase::Answered | Phase::Gone);
+    if is_waiting && state.departures > 0 {
+        steps.add_optional(format!("the caller of box {front} goes"), |it| {
+            it.departures -= 1;
             if let Phase::Granted(engine) | Phase::Streaming(engine) = it.phase[front]
                 && mutant != Some(Mutant::ForgetCancel)
             {
@@ -259,16 +261,16 @@
 }
 
 /// A box crashes, stands still, or goes on.
-fn faults(state: &State, number: BoxId, steps: &mut Steps<'_, State>) {
+fn fault_steps(state: &State, number: BoxId, steps: &mut Steps<'_, State>) {
     if state.alive[number] && state.crashes > 0 {
-        steps.may(format!("box {number} crashes"), |it| {
+        steps.add_optional(format!("box {number} crashes"), |it| {
             it.crashes -= 1;
             it.alive[number] = false;
             it.paused[number] = false;
         });
     }
-    if state.works(number) && state.pauses > 0 {
-        steps.may(format!("box {number} stands still"), |it| {
+    if state.is_running(number) && state.pauses > 0 {
+        steps.add_optional(format!("box {number} stands still"), |it| {
             it.pauses -= 1;
             it.paused[number] = true;
         });
@@ -282,11 +284,11 @@
 }
 
 /// The steps of the owner, and of a box that takes its place.
-fn owner(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn owner_steps(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let owner = state.owner;
-    if !state.works(owner) {
+    if !state.is_running(owner) {
         let other = 1 - owner;
-        if state.works(other) {
+        if state.is_running(other) {
             steps.add(format!("box {other} becomes the owner"), |it| {
                 it.owner = other;
                 it.ledger = [None; 2];
@@ -297,7 +299,7 @@
     }
     for front in 0..2 {
         if let Some((attempt, engine)) = state.ledger[front]
-            && !state.works(front)
+            && !state.is_running(front)
             && mutant != Some(Mutant::GrantOutlivesFront)
         {
             steps.add(format!("the owner ends the grant of silent box {front}"), |it| {
@@ -308,20 +310,20 @@
         }
     }
     for engine in 0..2 {
-        sweep(state, engine, mutant, steps);
+        sweep_steps(state, engine, mutant, steps);
     }
 }
 
 /// The owner finds a stream on an engine that its ledger does not have.
-fn sweep(state: &State, engine: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn sweep_steps(state: &State, engine: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let Some(ticket) = state.streams[engine] else { return };
     let (front, attempt) = ticket;
     if state.ledger[front] == Some((attempt, engine)) {
         return;
     }
-    let uses = state.ticket(front) == ticket
+    let is_in_use = state.ticket(front) == ticket
         && matches!(state.phase[front], Phase::Granted(it) | Phase::Streaming(it) if it == engine);
-    if state.works(front) && uses && !state.fenced.contains(&ticket) {
+    if state.is_running(front) && is_in_use && !state.fenced.contains(&ticket) {
         steps.add(format!("box {front} declares its stream"), |it| {
             it.ledger[front] = Some((attempt, engine));
         });
@@ -333,23 +335,28 @@
     steps.add(format!("the owner sweeps engine {engine}"), |it| {
         it.messages.insert(Message::Cancel(ticket, engine));
         it.fenced.insert(ticket);
-        if it.works(front) {
+        if it.is_running(front) {
             it.messages.insert(Message::Fenced(ticket));
         }
     });
 }
 
 /// Delivers a message; it may also be lost, or stay to arrive again.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
-    let takes = match message {
-        Message::Ask(_) => state.works(state.owner),
-        Message::Grant((front, _), _) | Message::Fenced((front, _)) => state.works(front),
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
+    let is_deliverable = match message {
+        Message::Ask(_) => state.is_running(state.owner),
+        Message::Grant((front, _), _) | Message::Fenced((front, _)) => state.is_running(front),
         Message::Begin(..) | Message::Cancel(..) => true,
     };
-    if takes {
+    if is_deliverable {
         steps.add(format!("{message:?}"), |it| {
             it.messages.remove(&message);
-            arrive(it, message, mutant);
+            apply_message(it, message, mutant);
         });
     } else {
         steps.add(format!("{message:?} finds nobody"), |it| {
@@ -360,34 +367,34 @@
     // messages between boxes are lost for good.
     let between_boxes =
         matches!(message, Message::Ask(_) | Message::Grant(..) | Message::Fenced(_));
-    if between_boxes && state.noise > 0 {
-        steps.may(format!("{message:?} is lost"), |it| {
-            it.noise -= 1;
+    if between_boxes && state.message_faults > 0 {
+        steps.add_optional(format!("{message:?} is lost"), |it| {
+            it.message_faults -= 1;
             it.messages.remove(&message);
         });
-        if takes {
-            steps.may(format!("{message:?} arrives twice"), |it| {
-                it.noise -= 1;
-                arrive(it, message, mutant);
+        if is_deliverable {
+            steps.add_optional(format!("{message:?} arrives twice"), |it| {
+                it.message_faults -= 1;
+                apply_message(it, message, mutant);
             });
         }
     }
 }
 
 /// What a message does where it arrives.
-fn arrive(state: &mut State, message: Message, mutant: Option<Mutant>) {
+fn apply_message(state: &mut State, message: Message, mutant: Option<Mutant>) {
     match message {
-        Message::Ask(ticket) => asked(state, ticket),
+        Message::Ask(ticket) => handle_ask(state, ticket),
         Message::Grant(ticket, engine) => {
             let front = ticket.0;
-            let wanted = state.ticket(front) == ticket && state.phase[front] == Phase::Asking;
-            if wanted && (!state.stale[front] || mutant == Some(Mutant::SkipFence)) {
+            let is_expected = state.ticket(front) == ticket && state.phase[front] == Phase::Asking;
+            if is_expected && (!state.stale[front] || mutant == Some(Mutant::SkipFence)) {
                 state.phase[front] = Phase::Granted(engine);
             } else if state.ticket(front) != ticket || state.phase[front] == Phase::Gone {
                 state.release(ticket);
             }
         }
-        Message::Begin(ticket, engine) => begin(state, ticket, engine, mutant),
+        Message::Begin(ticket, engine) => handle_begin(state, ticket, engine, mutant),
         Message::Cancel(ticket, engine) => {
             if state.streams[engine] == Some(ticket) {
                 state.streams[engine] = None;
@@ -404,7 +411,7 @@
 }
 
 /// The owner is asked for an engine.
-fn asked(state: &mut State, ticket: Ticket) {
+fn handle_ask(state: &mut State, ticket: Ticket) {
     let front = ticket.0;
     if state.fenced.contains(&ticket) {
         return;
@@ -415,8 +422,8 @@
         }
         return;
     }
-    let late = state.ticket(front) != ticket || state.phase[front] != Phase::Asking;
-    if late {
+    let is_late = state.ticket(front) != ticket || state.phase[front] != Phase::Asking;
+    if is_late {
         // The front gives the grant of a late question back.
         return;
     }
@@ -428,20 +435,20 @@
 }
 
 /// An engine is told to begin a stream.
-fn begin(state: &mut State, ticket: Ticket, engine: usize, mutant: Option<Mutant>) {
+fn handle_begin(state: &mut State, ticket: Ticket, engine: usize, mutant: Option<Mutant>) {
     let front = ticket.0;
-    let wanted = state.ticket(front) == ticket && state.phase[front] == Phase::Granted(engine);
-    let sent_and_left = !state.alive[front] || (state.stale[front] && !wanted);
-    if state.streams[engine].is_none() && (wanted || sent_and_left) {
+    let is_expected = state.ticket(front) == ticket && state.phase[front] == Phase::Granted(engine);
+    let is_abandoned = !state.alive[front] || (state.stale[front] && !is_expected);
+    if state.streams[engine].is_none() && (is_expected || is_abandoned) {
         state.streams[engine] = Some(ticket);
     }
-    if !wanted || !state.works(front) {
+    if !is_expected || !state.is_running(front) {
         return;
     }
     if state.streams[engine] == Some(ticket) {
         // A grant that was taken back must not be used by a front that could know it.
-        let knew = state.fenced.contains(&ticket) && state.stale[front];
-        state.stolen |= knew && mutant == Some(Mutant::SkipFence);
+        let could_know = state.fenced.contains(&ticket) && state.stale[front];
+        state.used_fenced_grant |= could_know && mutant == Some(Mutant::SkipFence);
         state.phase[front] = Phase::Streaming(engine);
     } else {
         // The engine has no room: the owner learns, and the front asks again.
--- a/crates/hollyspoke-spec/src/keys.rs
+++ b/crates/hollyspoke-spec/src/keys.rs
@@ -25,9 +25,9 @@
 
 /// What the home keeps of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kept {
+pub enum KeyState {
     /// Nothing.
-    Nothing,
+    Absent,
     /// It runs.
     Running,
     /// It has ended, with an answer or not.
@@ -51,21 +51,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     /// Whether box 0 is still the incarnation that is the keys' home.
-    home_lives: bool,
+    is_home_alive: bool,
     /// Whether box 0 is up at all.
     up: bool,
     /// Whether box 1 takes the home for alive.
-    seen_alive: bool,
+    sees_home_alive: bool,
     /// What the home keeps.
-    kept: [Kept; REQUESTS],
+    key_states: [KeyState; REQUESTS],
     /// How often each request has run.
     runs: [u8; REQUESTS],
     /// Whether a caller was told that its request was not run after it had run.
-    lied: bool,
+    misreported: bool,
     /// What is on its way.
     messages: BTreeSet<Message>,
     /// Sendings left for each request.
-    sendings: [u8; REQUESTS],
+    sends_left: [u8; REQUESTS],
     /// Crashes left.
     crashes: u8,
     /// Answers of the service that may still be lost.
@@ -75,14 +75,14 @@
 /// Makes the specification.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
-        home_lives: true,
+        is_home_alive: true,
         up: true,
-        seen_alive: true,
-        kept: [Kept::Nothing; REQUESTS],
+        sees_home_alive: true,
+        key_states: [KeyState::Absent; REQUESTS],
         runs: [0; REQUESTS],
-        lied: false,
+        misreported: false,
         messages: BTreeSet::new(),
-        sendings: [3, 2],
+        sends_left: [3, 2],
         crashes: 1,
         losses: 1,
     };
@@ -90,33 +90,33 @@
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
-            callers(state, &mut steps);
-            faults(state, &mut steps);
+            caller_steps(state, &mut steps);
+            fault_steps(state, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(|state| {
+        check_invariants: Box::new(|state| {
             if state.runs[0] > 1 {
                 return Some("the request that must run at most once ran twice".to_owned());
             }
-            state.lied.then(|| "a request that ran was said to be not run".to_owned())
+            state.misreported.then(|| "a request that ran was said to be not run".to_owned())
         }),
-        unfinished: Box::new(|state| {
-            let waits = state.home_lives && state.kept.contains(&Kept::Running);
-            waits.then(|| "a request runs for ever".to_owned())
+        check_quiescence: Box::new(|state| {
+            let is_waiting = state.is_home_alive && state.key_states.contains(&KeyState::Running);
+            is_waiting.then(|| "a request runs for ever".to_owned())
         }),
     }
 }
 
 /// Callers send and send again, to either box.
-fn callers(state: &State, steps: &mut Steps<'_, State>) {
+fn caller_steps(state: &State, steps: &mut Steps<'_, State>) {
     for request in 0..REQUESTS {
         for to in 0..2 {
-            if state.sendings[request] > 0 {
-                steps.may(format!("R{request} is sent to box {to}"), |it| {
-                    it.sendings[request] -= 1;
+            if state.sends_left[request] > 0 {
+                steps.add_optional(format!("R{request} is sent to box {to}"), |it| {
+                    it.sends_left[request] -= 1;
                     it.messages.insert(Message::Send(request, to));
                 });
             }
@@ -125,46 +125,52 @@
 }
 
 /// The home crashes and comes back as another incarnation; box 1's view changes.
-fn faults(state: &State, steps: &mut Steps<'_, State>) {
+fn fault_steps(state: &State, steps: &mut Steps<'_, State>) {
     if state.crashes > 0 && state.up {
-        steps.may("box 0 crashes", |it| {
+        steps.add_optional("box 0 crashes", |it| {
             it.crashes -= 1;
             it.up = false;
-            it.home_lives = false;
-            it.kept = [Kept::Nothing; REQUESTS];
+            it.is_home_alive = false;
+            it.key_states = [KeyState::Absent; REQUESTS];
         });
     }
     if !state.up {
-        steps.may("box 0 starts anew", |it| it.up = true);
+        steps.add_optional("box 0 starts anew", |it| it.up = true);
     }
-    let other_view = !state.seen_alive;
-    steps.may(format!("box 1 takes the home for alive: {other_view}"), |it| {
-        it.seen_alive = other_view;
+    let other_view = !state.sees_home_alive;
+    steps.add_optional(format!("box 1 takes the home for alive: {other_view}"), |it| {
+        it.sees_home_alive = other_view;
     });
 }
 
 /// Delivers a message.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
     match message {
         Message::Send(request, 0) | Message::Relay(request) => {
             steps.add(format!("{message:?} reaches box 0"), |it| {
                 it.messages.remove(&message);
-                at_home(it, request);
+                handle_at_home(it, request);
             });
         }
         Message::Send(request, _) => {
             steps.add(format!("{message:?} reaches box 1"), |it| {
                 it.messages.remove(&message);
-                elsewhere(it, request, mutant);
+                handle_elsewhere(it, request, mutant);
             });
         }
-        Message::Call(request) => call(state, request, mutant, steps),
+        Message::Call(request) => call_steps(state, request, mutant, steps),
         Message::Answer(request) => {
             steps.add(format!("the answer to R{request} reaches the home"), |it| {
                 it.messages.remove(&message);
-                if it.kept[request] == Kept::Running {
-                    let forgets = mutant == Some(Mutant::ForgetAnswered);
-                    it.kept[request] = if forgets { Kept::Nothing } else { Kept::Ended };
+                if it.key_states[request] == KeyState::Running {
+                    let is_forgotten = mutant == Some(Mutant::ForgetAnswered);
+                    it.key_states[request] =
+                        if is_forgotten { KeyState::Absent } else { KeyState::Ended };
                 }
             });
         }
@@ -172,18 +178,18 @@
 }
 
 /// Box 0 gets a request.
-fn at_home(state: &mut State, request: usize) {
+fn handle_at_home(state: &mut State, request: usize) {
     // Another incarnation is not the home: it answers that the outcome is unknown.
-    let runs = state.home_lives && state.kept[request] == Kept::Nothing;
-    if runs {
-        state.kept[request] = Kept::Running;
+    let is_new = state.is_home_alive && state.key_states[request] == KeyState::Absent;
+    if is_new {
+        state.key_states[request] = KeyState::Running;
         state.messages.insert(Message::Call(request));
     }
 }
 
 /// Box 1 gets a request.
-fn elsewhere(state: &mut State, request: usize, mutant: Option<Mutant>) {
-    if state.seen_alive {
+fn handle_elsewhere(state: &mut State, request: usize, mutant: Option<Mutant>) {
+    if state.sees_home_alive {
         state.messages.insert(Message::Relay(request));
         return;
     }
@@ -194,29 +200,30 @@
 }
 
 /// The home's call reaches the service, or does not.
-fn call(state: &State, request: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn call_steps(state: &State, request: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let message = Message::Call(request);
     steps.add(format!("the service runs R{request}"), |it| {
         it.messages.remove(&message);
         it.runs[request] = (it.runs[request] + 1).min(2);
         it.messages.insert(Message::Answer(request));
     });
-    steps.may(format!("the service can't be connected to for R{request}"), |it| {
+    steps.add_optional(format!("the service can't be connected to for R{request}"), |it| {
         it.messages.remove(&message);
         // Nothing was sent: the caller is told so, and may send the key again.
-        it.kept[request] = Kept::Nothing;
+        it.key_states[request] = KeyState::Absent;
     });
     if state.losses > 0 {
-        steps.may(format!("the service runs R{request} and its answer is lost"), |it| {
+        steps.add_optional(format!("the service runs R{request} and its answer is lost"), |it| {
             it.losses -= 1;
             it.messages.remove(&message);
             it.runs[request] = (it.runs[request] + 1).min(2);
-            if it.kept[request] != Kept::Running {
+            if it.key_states[request] != KeyState::Running {
                 return;
             }
-            let lies = mutant == Some(Mutant::SayNotRun);
-            it.lied |= lies;
-            it.kept[request] = if lies { Kept::Nothing } else { Kept::Ended };
+            let is_misreported = mutant == Some(Mutant::SayNotRun);
+            it.misreported |= is_misreported;
+            it.key_states[request] =
+                if is_misreported { KeyState::Absent } else { KeyState::Ended };
         });
     }
 }
--- a/crates/hollyspoke-spec/src/orders.rs
+++ b/crates/hollyspoke-spec/src/orders.rs
@@ -10,7 +10,7 @@
 use crate::search::{Specification, Steps};
 
 /// The highest token.
-const MOST_TOKENS: u8 = 3;
+const MAX_TOKEN: u8 = 3;
 
 /// A safeguard that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Whether each box stands still.
     paused: [bool; 2],
     /// The token under which each box believes that it holds the lease.
-    believes: [Option<u8>; 2],
+    held_token: [Option<u8>; 2],
     /// Whether the lease has lapsed by each box's own clock.
     lapsed: [bool; 2],
     /// The token in the store, zero before the first.
@@ -41,9 +41,9 @@
     /// Orders on their way: engine and token.
     orders: BTreeSet<(usize, u8)>,
     /// The highest token whose order each engine has carried out.
-    seen: [u8; 2],
+    newest_token: [u8; 2],
     /// Whether an engine has carried out an older order after a newer one.
-    wrong: Option<usize>,
+    violating_engine: Option<usize>,
     /// Pauses left.
     pauses: u8,
     /// Crashes left.
@@ -55,13 +55,13 @@
     let initial = State {
         alive: [true; 2],
         paused: [false; 2],
-        believes: [None; 2],
+        held_token: [None; 2],
         lapsed: [false; 2],
         token: 0,
         expired: true,
         orders: BTreeSet::new(),
-        seen: [0; 2],
-        wrong: None,
+        newest_token: [0; 2],
+        violating_engine: None,
         pauses: 2,
         crashes: 1,
     };
@@ -71,73 +71,76 @@
             let mut steps = Steps::new(state);
             for me in 0..2 {
                 if state.alive[me] && !state.paused[me] {
-                    boxes(state, me, mutant, &mut steps);
+                    box_steps(state, me, mutant, &mut steps);
                 }
-                faults(state, me, &mut steps);
+                fault_steps(state, me, &mut steps);
             }
             for &(engine, token) in &state.orders {
-                order(engine, token, mutant, &mut steps);
+                order_steps(engine, token, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(|state| {
-            let engine = state.wrong?;
+        check_invariants: Box::new(|state| {
+            let engine = state.violating_engine?;
             Some(format!("engine {engine} carried out an older order after a newer one"))
         }),
-        unfinished: Box::new(|_| None),
+        check_quiescence: Box::new(|_| None),
     }
 }
 
 /// A box takes the lease, renews it, or orders.
-fn boxes(state: &State, me: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
-    if state.expired && state.believes[me].is_none() && state.token < MOST_TOKENS {
-        steps.may(format!("box {me} takes the lease"), |it| {
+fn box_steps(state: &State, me: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+    if state.expired && state.held_token[me].is_none() && state.token < MAX_TOKEN {
+        steps.add_optional(format!("box {me} takes the lease"), |it| {
             it.token += 1;
             it.expired = false;
-            it.believes[me] = Some(it.token);
+            it.held_token[me] = Some(it.token);
             it.lapsed[me] = false;
         });
     }
-    let Some(token) = state.believes[me] else { return };
+    let Some(token) = state.held_token[me] else { return };
     if state.lapsed[me] && mutant != Some(Mutant::SkipFence) {
         steps.add(format!("box {me} sees that its lease has lapsed"), |it| {
-            it.believes[me] = None;
+            it.held_token[me] = None;
         });
         return;
     }
     for engine in 0..2 {
-        let older_on_way =
+        let has_older_in_flight =
             state.orders.iter().any(|(other, older)| *other == engine && *older < token);
-        let waits = engine == 1 && older_on_way && mutant != Some(Mutant::NoWait);
-        if !waits {
-            steps.may(format!("box {me} orders engine {engine} with token {token}"), |it| {
-                it.orders.insert((engine, token));
-            });
+        let must_wait = engine == 1 && has_older_in_flight && mutant != Some(Mutant::NoWait);
+        if !must_wait {
+            steps.add_optional(
+                format!("box {me} orders engine {engine} with token {token}"),
+                |it| {
+                    it.orders.insert((engine, token));
+                },
+            );
         }
     }
 }
 
 /// Time passes for a lease, and boxes stand still, go on, or crash.
-fn faults(state: &State, me: BoxId, steps: &mut Steps<'_, State>) {
-    let holds = state.believes[me] == Some(state.token) && state.token > 0;
-    if holds && !state.expired {
+fn fault_steps(state: &State, me: BoxId, steps: &mut Steps<'_, State>) {
+    let is_holder = state.held_token[me] == Some(state.token) && state.token > 0;
+    if is_holder && !state.expired {
         // The holder's own time is shorter than the store's: it lapses here first.
         if !state.lapsed[me] {
-            steps.may(format!("the lease of box {me} lapses by its own clock"), |it| {
+            steps.add_optional(format!("the lease of box {me} lapses by its own clock"), |it| {
                 it.lapsed[me] = true;
             });
         } else {
-            steps.may("the lease expires for everybody", |it| it.expired = true);
+            steps.add_optional("the lease expires for everybody", |it| it.expired = true);
         }
     }
-    if !state.alive[me] && state.believes[me].is_some() {
-        steps.may(format!("the lease of dead box {me} expires"), |it| {
-            it.believes[me] = None;
+    if !state.alive[me] && state.held_token[me].is_some() {
+        steps.add_optional(format!("the lease of dead box {me} expires"), |it| {
+            it.held_token[me] = None;
             it.expired = true;
         });
     }
     if state.alive[me] && !state.paused[me] && state.pauses > 0 {
-        steps.may(format!("box {me} stands still"), |it| {
+        steps.add_optional(format!("box {me} stands still"), |it| {
             it.pauses -= 1;
             it.paused[me] = true;
         });
@@ -146,7 +149,7 @@
         steps.add(format!("box {me} goes on"), |it| it.paused[me] = false);
     }
     if state.alive[me] && state.crashes > 0 {
-        steps.may(format!("box {me} crashes"), |it| {
+        steps.add_optional(format!("box {me} crashes"), |it| {
             it.crashes -= 1;
             it.alive[me] = false;
             it.paused[me] = false;
@@ -155,17 +158,17 @@
 }
 
 /// An order reaches its engine.
-fn order(engine: usize, token: u8, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn order_steps(engine: usize, token: u8, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     steps.add(format!("engine {engine} gets the order with token {token}"), |it| {
         it.orders.remove(&(engine, token));
-        let older = token < it.seen[engine];
-        let refuses = engine == 0 && older && mutant != Some(Mutant::IgnoreToken);
-        if refuses {
+        let is_older = token < it.newest_token[engine];
+        let is_refused = engine == 0 && is_older && mutant != Some(Mutant::IgnoreToken);
+        if is_refused {
             return;
         }
-        if older {
-            it.wrong = Some(engine);
+        if is_older {
+            it.violating_engine = Some(engine);
         }
-        it.seen[engine] = it.seen[engine].max(token);
+        it.newest_token[engine] = it.newest_token[engine].max(token);
     });
 }
--- a/crates/hollyspoke-spec/src/search.rs
+++ b/crates/hollyspoke-spec/src/search.rs
@@ -5,22 +5,22 @@
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
 /// Gives the steps from a state.
-pub type StepsOf<S> = Box<dyn Fn(&S) -> Vec<Step<S>>>;
+pub type StepFunction<S> = Box<dyn Fn(&S) -> Vec<Step<S>>>;
 
 /// Gives what is wrong with a state.
-pub type WrongOf<S> = Box<dyn Fn(&S) -> Option<String>>;
+pub type CheckFunction<S> = Box<dyn Fn(&S) -> Option<String>>;
 
 /// A specification: where it begins, its steps, and what must hold.
 pub struct Specification<S> {
     /// The state at the beginning.
     pub initial: S,
     /// Gives the steps from a state, each with its name.
-    pub steps: StepsOf<S>,
+    pub steps: StepFunction<S>,
     /// Gives the promise that a state breaks.
-    pub broken: WrongOf<S>,
+    pub check_invariants: CheckFunction<S>,
     /// Gives what is wrong with a state in which everything has come to rest, faults aside: what
     /// should have been freed, answered or delivered by then.
-    pub unfinished: WrongOf<S>,
+    pub check_quiescence: CheckFunction<S>,
 }
 
 /// A step.
@@ -36,7 +36,7 @@
 
 /// What a search found.
 #[derive(Debug, Clone)]
-pub struct Found {
+pub struct Outcome {
     /// The states visited.
     pub states: usize,
     /// The most steps that some state needs at least.
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone)]
 pub struct Counterexample {
     /// What is wrong.
-    pub what: String,
+    pub violation: String,
     /// The steps.
     pub trace: Vec<String>,
 }
@@ -79,38 +79,38 @@
 
 impl<S: Clone + Eq + Hash + std::fmt::Debug> Specification<S> {
     /// Searches all states.
-    pub fn search(&self) -> Found {
+    pub fn search(&self) -> Outcome {
         let start = Visited { state: self.initial.clone(), depth: 0 };
         let (mut states, mut depth) = (0, 0);
-        let mut wrong = None;
+        let mut violating = None;
         for visited in bfs_reach(start, |it| self.next(it)) {
             states += 1;
             depth = depth.max(visited.depth);
-            if let Some(what) = self.wrong(&visited.state) {
-                wrong = Some((what, visited.state));
+            if let Some(violation) = self.violation(&visited.state) {
+                violating = Some((violation, visited.state));
                 break;
             }
         }
-        let counterexample =
-            wrong.map(|(what, state)| Counterexample { what, trace: self.trace(&state) });
-        Found { states, depth, counterexample }
+        let counterexample = violating
+            .map(|(violation, state)| Counterexample { violation, trace: self.trace(&state) });
+        Outcome { states, depth, counterexample }
     }
 
     /// Gives the shortest ways to states, up to a number, that no further step leads on from.
-    pub fn traces(&self, most: usize) -> Vec<Vec<String>> {
+    pub fn traces(&self, limit: usize) -> Vec<Vec<String>> {
         let start = Visited { state: self.initial.clone(), depth: 0 };
         let ends = bfs_reach(start, |it| self.next(it))
             .filter(|it| (self.steps)(&it.state).iter().all(|step| step.optional));
-        ends.take(most).map(|it| self.trace(&it.state)).collect()
+        ends.take(limit).map(|it| self.trace(&it.state)).collect()
     }
 
     /// Gives what is wrong with a state.
-    fn wrong(&self, state: &S) -> Option<String> {
-        if let Some(broken) = (self.broken)(state) {
-            return Some(broken);
+    fn violation(&self, state: &S) -> Option<String> {
+        if let Some(violation) = (self.check_invariants)(state) {
+            return Some(violation);
         }
-        let at_rest = (self.steps)(state).iter().all(|step| step.optional);
-        if at_rest { (self.unfinished)(state) } else { None }
+        let is_quiescent = (self.steps)(state).iter().all(|step| step.optional);
+        if is_quiescent { (self.check_quiescence)(state) } else { None }
     }
 
     /// Gives the states after one.
@@ -121,9 +121,9 @@
     }
 
     /// Gives the names of the steps on the shortest way to a state.
-    fn trace(&self, wanted: &S) -> Vec<String> {
+    fn trace(&self, target: &S) -> Vec<String> {
         let after = |state: &S| (self.steps)(state).into_iter().map(|it| it.next);
-        let path = bfs(&self.initial, |it| after(it).collect::<Vec<_>>(), |it| it == wanted);
+        let path = bfs(&self.initial, |it| after(it).collect::<Vec<_>>(), |it| it == target);
         let path = path.unwrap_or_default();
         let name = |pair: &[S]| {
             let steps = (self.steps)(&pair[0]);
@@ -155,7 +155,7 @@
     }
 
     /// Adds a step that may or may not happen: a fault, or somebody's choice.
-    pub fn may(&mut self, name: impl Into<String>, change: impl FnOnce(&mut S)) {
+    pub fn add_optional(&mut self, name: impl Into<String>, change: impl FnOnce(&mut S)) {
         self.push(name.into(), true, change);
     }
 
--- a/crates/hollyspoke-spec/src/stages.rs
+++ b/crates/hollyspoke-spec/src/stages.rs
@@ -9,10 +9,10 @@
 use crate::search::{Specification, Steps};
 
 /// The most decisions.
-const MOST_DECISIONS: u8 = 3;
+const MAX_DECISIONS: u8 = 3;
 
 /// The most copies of one order.
-const MOST_COPIES: u8 = 2;
+const MAX_COPIES: u8 = 2;
 
 /// A safeguard that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
     /// Nothing.
-    Rest,
+    Idle,
     /// To send the order, with the count that the engine told.
-    Told(u8),
+    Ready(u8),
     /// For the answer to the newest copy, sent with that count.
     Sent(u8),
 }
@@ -55,13 +55,13 @@
     /// What the holder waits for.
     phase: Phase,
     /// The copies on their way; each may take as long as it likes.
-    on_way: BTreeSet<Copy>,
+    in_flight: BTreeSet<Copy>,
     /// The orders that the engine has taken.
     count: u8,
     /// The newest decision that was carried out.
-    newest: u8,
+    newest_decision: u8,
     /// What went wrong.
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 /// Makes the specification.
@@ -69,83 +69,84 @@
     let initial = State {
         decisions: 0,
         copies: 0,
-        phase: Phase::Rest,
-        on_way: BTreeSet::new(),
+        phase: Phase::Idle,
+        in_flight: BTreeSet::new(),
         count: 0,
-        newest: 0,
-        wrong: None,
+        newest_decision: 0,
+        violation: None,
     };
     Specification {
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
-            holder(state, mutant, &mut steps);
-            for &copy in &state.on_way {
-                arrival(copy, mutant, &mut steps);
+            holder_steps(state, mutant, &mut steps);
+            for &copy in &state.in_flight {
+                arrival_steps(copy, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(|state| state.wrong.map(str::to_owned)),
-        unfinished: Box::new(|state| {
-            let waits = state.phase != Phase::Rest;
-            waits.then(|| "the holder waits for ever".to_owned())
+        check_invariants: Box::new(|state| state.violation.map(str::to_owned)),
+        check_quiescence: Box::new(|state| {
+            let is_waiting = state.phase != Phase::Idle;
+            is_waiting.then(|| "the holder waits for ever".to_owned())
         }),
     }
 }
 
 /// The holder decides, sends, or gives up waiting.
-fn holder(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn holder_steps(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     match state.phase {
-        Phase::Rest if state.decisions < MOST_DECISIONS => {
-            steps.may("the holder decides, and the engine tells its count", |it| {
+        Phase::Idle if state.decisions < MAX_DECISIONS => {
+            steps.add_optional("the holder decides, and the engine tells its count", |it| {
                 it.decisions += 1;
                 it.copies = 0;
-                it.phase = Phase::Told(it.count);
+                it.phase = Phase::Ready(it.count);
             });
         }
-        Phase::Rest => {}
-        Phase::Told(expected) => {
+        Phase::Idle => {}
+        Phase::Ready(expected) => {
             steps.add("the holder sends the order", |it| {
-                it.on_way.insert(Copy { decision: it.decisions, number: it.copies, expected });
+                it.in_flight.insert(Copy { decision: it.decisions, number: it.copies, expected });
                 it.copies += 1;
                 it.phase = Phase::Sent(expected);
             });
         }
         Phase::Sent(expected) => {
             steps.add("no answer comes in time", |it| {
-                let again = if mutant == Some(Mutant::NewCount) { it.count } else { expected };
-                let has_more = it.copies < MOST_COPIES;
-                it.phase = if has_more { Phase::Told(again) } else { Phase::Rest };
+                let retry_count =
+                    if mutant == Some(Mutant::NewCount) { it.count } else { expected };
+                let has_more = it.copies < MAX_COPIES;
+                it.phase = if has_more { Phase::Ready(retry_count) } else { Phase::Idle };
             });
         }
     }
 }
 
 /// A copy reaches the engine; its answer reaches the holder, or is lost.
-fn arrival(copy: Copy, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+fn arrival_steps(copy: Copy, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     steps.add(format!("the engine gets {copy:?}, and its answer is lost"), |it| {
         carry_out(it, copy, mutant);
     });
-    steps.may(format!("the engine gets and answers {copy:?}"), |it| {
+    steps.add_optional(format!("the engine gets and answers {copy:?}"), |it| {
         carry_out(it, copy, mutant);
         let is_awaited = copy.decision == it.decisions && copy.number + 1 == it.copies;
         if is_awaited && matches!(it.phase, Phase::Sent(_)) {
-            it.phase = Phase::Rest;
+            it.phase = Phase::Idle;
         }
     });
 }
 
 /// The engine carries an order out, if it has taken as many as are expected.
 fn carry_out(state: &mut State, copy: Copy, mutant: Option<Mutant>) {
-    state.on_way.remove(&copy);
+    state.in_flight.remove(&copy);
     if copy.expected != state.count && mutant != Some(Mutant::IgnoreCount) {
         return;
     }
-    if copy.decision < state.newest {
-        state.wrong = Some("an older decision was carried out after a newer one");
-    } else if copy.decision == state.newest {
-        state.wrong = Some("a decision was carried out twice");
+    if copy.decision < state.newest_decision {
+        state.violation = Some("an older decision was carried out after a newer one");
+    } else if copy.decision == state.newest_decision {
+        state.violation = Some("a decision was carried out twice");
     }
     state.count += 1;
-    state.newest = state.newest.max(copy.decision);
+    state.newest_decision = state.newest_decision.max(copy.decision);
 }
--- a/tests/tests/specification.rs
+++ b/tests/tests/specification.rs
@@ -3,12 +3,12 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-use hollyspoke_spec::search::{Found, Specification};
+use hollyspoke_spec::search::{Outcome, Specification};
 use hollyspoke_spec::{claims, configuration, grants, keys, orders, stages};
 
 /// Searches a part, prints its size, and asserts that nothing is wrong.
 fn holds<S: Clone + Eq + Hash + Debug>(part: &str, specification: &Specification<S>) {
-    let Found { states, depth, counterexample } = specification.search();
+    let Outcome { states, depth, counterexample } = specification.search();
     println!("{part}: {states} states, depth {depth}");
     assert!(counterexample.is_none(), "{part}: {counterexample:#?}");
 }
@@ -19,13 +19,13 @@
     specification: &Specification<S>,
     says: &str,
 ) {
-    let found = specification.search();
-    let Some(example) = found.counterexample else {
-        panic!("{mutant:?} is not caught in {} states", found.states);
+    let outcome = specification.search();
+    let Some(example) = outcome.counterexample else {
+        panic!("{mutant:?} is not caught in {} states", outcome.states);
     };
-    println!("{mutant:?}: {}", example.what);
+    println!("{mutant:?}: {}", example.violation);
     example.trace.iter().for_each(|it| println!("  {it}"));
-    assert!(example.what.contains(says), "{mutant:?}: {}", example.what);
+    assert!(example.violation.contains(says), "{mutant:?}: {}", example.violation);
 }
 
 /// Keys run at most once.
