--- a/crates/hollyspoke-model/src/baseline.rs
+++ b/crates/hollyspoke-model/src/baseline.rs
@@ -14,20 +14,20 @@
 use crate::engine::Engine;
 use crate::load::User;
 use crate::policy::{COOL_DOWN, Case};
-use crate::result::{FIRST_TOKEN, Figures, Seen, figures};
+use crate::result::{FIRST_TOKEN_TARGET, Figures, Observation, figures};
 use crate::world::Action;
 
 /// How often boxes see the engines' reports.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a full decode engine is left alone before it is asked again.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How long a prefill result, or a wait for memory, may last.
-const PATIENCE: Duration = Duration::from_secs(3);
+const MAX_MEMORY_WAIT: Duration = Duration::from_secs(3);
 
 /// The prefix blocks that an engine's cache holds.
-const CACHE_BLOCKS: usize = 4096;
+const CACHE_BLOCK_COUNT: usize = 4096;
 
 /// How a simple router chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -72,11 +72,11 @@
     /// A request comes, or looks for memory again.
     Begin(usize),
     /// An engine may have computed a prompt.
-    Computed(UpstreamId),
+    Prefilled(UpstreamId),
     /// A prefill result looks for memory.
     Import(usize),
     /// A transfer has ended.
-    Crossed(usize),
+    Transferred(usize),
     /// A stream has ended.
     Ended(usize),
     /// Reports come.
@@ -87,7 +87,7 @@
 
 /// A request under way.
 #[derive(Debug, Clone, Copy, Default)]
-struct Flight {
+struct InFlight {
     /// Its prefill engine.
     prefill: Option<UpstreamId>,
     /// Its decode engine.
@@ -125,7 +125,7 @@
     /// The KV cache of one token, in bytes.
     kv_bytes: f64,
     /// The requests.
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     /// The queue of [`Router::FirstCome`].
     waiting: VecDeque<usize>,
     /// What is due.
@@ -142,7 +142,7 @@
 pub fn run(user: &User, case: &Case, router: Router) -> Figures {
     let site = user.site();
     let engines: BTreeMap<UpstreamId, Engine> =
-        site.engines.iter().map(|it| (it.id(), Engine::new(it, CACHE_BLOCKS))).collect();
+        site.engines.iter().map(|it| (it.id(), Engine::new(it, CACHE_BLOCK_COUNT))).collect();
     let of = |prefills: bool| {
         let fits = |it: &&hollyspoke::site::Engine| it.role.prefills() == prefills;
         site.engines.iter().filter(fits).map(hollyspoke::site::Engine::id).collect()
@@ -157,29 +157,30 @@
         links: BTreeMap::new(),
         link: (user.plan.link as f64, 1.0),
         kv_bytes: user.plan.kv_bytes_per_token as f64,
-        flights: vec![Flight::default(); case.requests.len()],
+        in_flight: vec![InFlight::default(); case.requests.len()],
         waiting: VecDeque::new(),
         queue: BinaryHeap::new(),
         last: 0,
         useful: 0,
         random: Pcg64Mcg::seed_from_u64(case.seed),
     };
-    run.play();
-    let seen: Vec<Seen> = (0..run.flights.len()).map(|it| run.seen(it)).collect();
+    run.execute();
+    let observations: Vec<Observation> =
+        (0..run.in_flight.len()).map(|it| run.observe(it)).collect();
     let computed = run.engines.values().map(|it| it.computed).sum();
-    figures(&seen, case.span, computed, run.useful)
+    figures(&observations, case.span, computed, run.useful)
 }
 
 impl Run<'_> {
     /// Plays the case to its end.
-    fn play(&mut self) {
+    fn execute(&mut self) {
         self.report();
-        self.put(Time::ZERO + REPORT, Due::Reports);
+        self.schedule(Time::ZERO + REPORT_INTERVAL, Due::Reports);
         for number in 0..self.case.requests.len() {
-            self.put(self.case.requests[number].at, Due::Begin(number));
+            self.schedule(self.case.requests[number].at, Due::Begin(number));
         }
         for number in 0..self.case.faults.len() {
-            self.put(self.case.faults[number].0, Due::Fault(number));
+            self.schedule(self.case.faults[number].0, Due::Fault(number));
         }
         let end = Time::ZERO + self.case.span + COOL_DOWN;
         while let Some(Reverse((now, _, due))) = self.queue.pop() {
@@ -188,13 +189,13 @@
             }
             match due {
                 Due::Begin(number) => self.begin(now, number),
-                Due::Computed(engine) => self.computed(now, engine),
+                Due::Prefilled(engine) => self.finish_prefill(now, engine),
                 Due::Import(number) => self.import(now, number),
-                Due::Crossed(number) => self.crossed(now, number),
-                Due::Ended(number) => self.ended(now, number),
+                Due::Transferred(number) => self.finish_transfer(now, number),
+                Due::Ended(number) => self.finish_stream(now, number),
                 Due::Reports => {
                     self.report();
-                    self.put(now + REPORT, Due::Reports);
+                    self.schedule(now + REPORT_INTERVAL, Due::Reports);
                 }
                 Due::Fault(number) => self.fault(now, number),
             }
@@ -202,7 +203,7 @@
     }
 
     /// Puts something into the queue.
-    fn put(&mut self, at: Time, due: Due) {
+    fn schedule(&mut self, at: Time, due: Due) {
         self.last += 1;
         self.queue.push(Reverse((at, self.last, due)));
     }
@@ -244,7 +245,7 @@
     fn begin(&mut self, now: Time, number: usize) {
         if self.router == Router::FirstCome {
             self.waiting.push_back(number);
-            self.pump(now);
+            self.dispatch_waiting(now);
             return;
         }
         if self.router == Router::DecodeFirst && !self.reserve_first(now, number) {
@@ -267,21 +268,21 @@
                 continue;
             };
             if engine.reserve(ticket(number), tokens) {
-                self.flights[number].decode = Some(decode);
+                self.in_flight[number].decode = Some(decode);
                 return true;
             }
         }
-        if now.since(self.case.requests[number].at) > FIRST_TOKEN {
-            self.flights[number].refused = true;
-            self.flights[number].end = Some((now, false));
+        if now.since(self.case.requests[number].at) > FIRST_TOKEN_TARGET {
+            self.in_flight[number].refused = true;
+            self.in_flight[number].end = Some((now, false));
             return false;
         }
-        self.put(now + AGAIN, Due::Begin(number));
+        self.schedule(now + RETRY_DELAY, Due::Begin(number));
         false
     }
 
     /// Gives the prefill engines that are free the requests that wait longest.
-    fn pump(&mut self, now: Time) {
+    fn dispatch_waiting(&mut self, now: Time) {
         for engine in self.roles.0.clone() {
             let free = self.engines.get(&engine).is_some_and(|it| !it.dead && it.prompts() == 0);
             if !free {
@@ -307,47 +308,47 @@
             self.fail(now, number);
             return;
         };
-        self.flights[number].prefill = Some(id);
+        self.in_flight[number].prefill = Some(id);
         if let Some(next) = engine.prefill(now, ticket(number), &work, class) {
-            self.put(next, Due::Computed(id));
+            self.schedule(next, Due::Prefilled(id));
         }
     }
 
     /// Ends a prefill.
-    fn computed(&mut self, now: Time, id: UpstreamId) {
+    fn finish_prefill(&mut self, now: Time, id: UpstreamId) {
         let Some(engine) = self.engines.get_mut(&id) else { return };
         let (done, next) = engine.advance(now);
         if let Some(next) = next {
-            self.put(next, Due::Computed(id));
+            self.schedule(next, Due::Prefilled(id));
         }
         if let Some(done) = done {
             let number = done.number as usize;
-            self.flights[number].computed = Some(now);
+            self.in_flight[number].computed = Some(now);
             self.import(now, number);
         }
         if self.router == Router::FirstCome {
-            self.pump(now);
+            self.dispatch_waiting(now);
         }
     }
 
     /// Looks for decode memory, and begins the transfer when there is some.
     fn import(&mut self, now: Time, number: usize) {
-        let flight = self.flights[number];
-        let Some(from) = flight.prefill else { return };
-        let decode = match flight.decode {
+        let request_state = self.in_flight[number];
+        let Some(from) = request_state.prefill else { return };
+        let decode = match request_state.decode {
             Some(decode) => Some(decode),
-            None => self.room(number),
+            None => self.reserve_decode(number),
         };
         let Some(decode) = decode else {
-            let waited = flight.computed.map_or(Duration::ZERO, |it| now.since(it));
-            if waited > PATIENCE {
+            let waited = request_state.computed.map_or(Duration::ZERO, |it| now.since(it));
+            if waited > MAX_MEMORY_WAIT {
                 self.fail(now, number);
             } else {
-                self.put(now + AGAIN, Due::Import(number));
+                self.schedule(now + RETRY_DELAY, Due::Import(number));
             }
             return;
         };
-        self.flights[number].decode = Some(decode);
+        self.in_flight[number].decode = Some(decode);
         let exported = self.engines.get_mut(&from).and_then(|it| it.export(now, ticket(number)));
         let (Some(_), Some(source), Some(target)) =
             (exported, self.engines.get(&from), self.engines.get(&decode))
@@ -362,11 +363,11 @@
         let begin = self.links.get(&link).copied().unwrap_or(Time::ZERO).max(now);
         let end = begin + seconds(bytes / rate);
         self.links.insert(link, end);
-        self.put(end, Due::Crossed(number));
+        self.schedule(end, Due::Transferred(number));
     }
 
     /// Chooses a decode engine and reserves memory there, if it has room.
-    fn room(&mut self, number: usize) -> Option<UpstreamId> {
+    fn reserve_decode(&mut self, number: usize) -> Option<UpstreamId> {
         let tokens = u64::from(self.case.requests[number].tokens());
         let decode = self.choose(false)?;
         let engine = self.engines.get_mut(&decode).filter(|it| !it.dead)?;
@@ -374,9 +375,9 @@
     }
 
     /// Begins a stream.
-    fn crossed(&mut self, now: Time, number: usize) {
+    fn finish_transfer(&mut self, now: Time, number: usize) {
         let request = &self.case.requests[number];
-        let decode = self.flights[number].decode;
+        let decode = self.in_flight[number].decode;
         let held = decode.and_then(|it| self.engines.get_mut(&it));
         let Some(engine) = held.filter(|it| it.held.contains_key(&ticket(number))) else {
             self.fail(now, number);
@@ -384,28 +385,28 @@
         };
         let step = engine.token_time.mul_f64(engine.slow);
         self.useful += u64::from(request.prompt_tokens);
-        self.flights[number].first = Some(now + step);
-        self.flights[number].step = step;
-        self.put(now + step * request.length.max(1), Due::Ended(number));
+        self.in_flight[number].first = Some(now + step);
+        self.in_flight[number].step = step;
+        self.schedule(now + step * request.length.max(1), Due::Ended(number));
     }
 
     /// Ends a stream.
-    fn ended(&mut self, now: Time, number: usize) {
-        let decode = self.flights[number].decode;
+    fn finish_stream(&mut self, now: Time, number: usize) {
+        let decode = self.in_flight[number].decode;
         let held = decode.and_then(|it| self.engines.get_mut(&it)?.held.remove(&ticket(number)));
-        self.flights[number].end = Some((now, held.is_some()));
+        self.in_flight[number].end = Some((now, held.is_some()));
     }
 
     /// Ends a request that failed.
     fn fail(&mut self, now: Time, number: usize) {
-        let flight = self.flights[number];
-        for engine in [flight.prefill, flight.decode].into_iter().flatten() {
+        let request_state = self.in_flight[number];
+        for engine in [request_state.prefill, request_state.decode].into_iter().flatten() {
             let next = self.engines.get_mut(&engine).and_then(|it| it.cancel(now, ticket(number)));
             if let Some(next) = next {
-                self.put(next, Due::Computed(engine));
+                self.schedule(next, Due::Prefilled(engine));
             }
         }
-        self.flights[number].end = Some((now, false));
+        self.in_flight[number].end = Some((now, false));
     }
 
     /// Lets a fault begin or end; those that only touch boxes or the store do nothing here.
@@ -413,14 +414,15 @@
         match &self.case.faults[number].1 {
             Action::KillEngine(id) => {
                 if let Some(engine) = self.engines.get_mut(id) {
-                    engine.die();
+                    engine.crash();
                 }
-                let lost: Vec<usize> = (0..self.flights.len())
+                let lost: Vec<usize> = (0..self.in_flight.len())
                     .filter(|&it| {
-                        let flight = &self.flights[it];
-                        let there = flight.prefill == Some(*id) && flight.computed.is_none()
-                            || flight.decode == Some(*id);
-                        there && flight.end.is_none()
+                        let request_state = &self.in_flight[it];
+                        let there = request_state.prefill == Some(*id)
+                            && request_state.computed.is_none()
+                            || request_state.decode == Some(*id);
+                        there && request_state.end.is_none()
                     })
                     .collect();
                 lost.into_iter().for_each(|it| self.fail(now, it));
@@ -436,22 +438,22 @@
                 }
             }
             Action::SlowLinks(share) => self.link.1 = *share,
-            Action::Reports(reports) => self.reports = *reports,
+            Action::AnswerPolls(reports) => self.reports = *reports,
             _ => {}
         }
     }
 
     /// Gives a request as its caller saw it.
-    fn seen(&self, number: usize) -> Seen {
-        let (request, flight) = (&self.case.requests[number], &self.flights[number]);
-        Seen {
+    fn observe(&self, number: usize) -> Observation {
+        let (request, request_state) = (&self.case.requests[number], &self.in_flight[number]);
+        Observation {
             tenant: request.tenant,
             class: request.class,
-            first_token: flight.first.map(|it| it.since(request.at)),
-            between_tokens: flight.step,
-            whole: flight.end.is_some_and(|(_, whole)| whole),
-            refused: flight.refused,
-            again: false,
+            first_token: request_state.first.map(|it| it.since(request.at)),
+            between_tokens: request_state.step,
+            whole: request_state.end.is_some_and(|(_, whole)| whole),
+            refused: request_state.refused,
+            is_retry: false,
         }
     }
 }
--- a/crates/hollyspoke-model/src/bound.rs
+++ b/crates/hollyspoke-model/src/bound.rs
@@ -10,9 +10,10 @@
 /// memory over time. Against each, the cheapest requests are counted first, the last one in part.
 /// Prefix caches are taken to hold every common prefix already. The bound is loose: it lets a
 /// scheduler choose short requests alone, which no fair one may.
-pub fn choosing(user: &User, requests: &[Request], span: Duration) -> f64 {
-    let prefill = most(requests, prefill_seconds(user, span), |it| prefill_cost(user, it));
-    let memory = most(requests, memory_seconds(user, span), |it| memory_cost(user, it));
+pub fn size_selective(user: &User, requests: &[Request], span: Duration) -> f64 {
+    let prefill =
+        affordable_count(requests, prefill_seconds(user, span), |it| prefill_cost(user, it));
+    let memory = affordable_count(requests, memory_seconds(user, span), |it| memory_cost(user, it));
     prefill.min(memory).min(requests.len() as f64) / span.as_secs_f64()
 }
 
@@ -26,7 +27,7 @@
 }
 
 /// Counts the cheapest requests that a budget pays for.
-fn most(requests: &[Request], budget: f64, cost: impl Fn(&Request) -> f64) -> f64 {
+fn affordable_count(requests: &[Request], budget: f64, cost: impl Fn(&Request) -> f64) -> f64 {
     let mut costs: Vec<f64> = requests.iter().map(cost).collect();
     costs.sort_by(f64::total_cmp);
     let mut left = budget;
--- a/crates/hollyspoke-model/src/engine.rs
+++ b/crates/hollyspoke-model/src/engine.rs
@@ -10,11 +10,11 @@
 use hollyspoke::time::{Time, seconds};
 
 /// How long a prefill result is kept.
-pub const RESULT_LIFE: Duration = Duration::from_secs(3);
+pub const RESULT_TTL: Duration = Duration::from_secs(3);
 
 /// What an engine holds for a stream.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct Reservation {
     /// The answer's true length, in tokens.
     pub length: u32,
     /// The prompt's length, in tokens.
@@ -35,7 +35,7 @@
     /// The class, the lowest number first.
     class: u8,
     /// When it came.
-    came: Time,
+    arrived_at: Time,
     /// The prompt tokens still to compute.
     tokens: u32,
     /// Digests of its leading blocks.
@@ -58,7 +58,7 @@
     /// Whether it is dead.
     pub dead: bool,
     /// The streams that it holds.
-    pub held: BTreeMap<Ticket, Held>,
+    pub held: BTreeMap<Ticket, Reservation>,
     /// The prompts that wait.
     waiting: Vec<Prompt>,
     /// The prompt being computed, with its end.
@@ -108,7 +108,7 @@
         work: &Generate,
         class: u8,
     ) -> Option<Time> {
-        let held = Held {
+        let held = Reservation {
             length: length_of(&work.prompt).unwrap_or(work.max_tokens).min(work.max_tokens),
             prompt_tokens: work.prompt_tokens,
             tokens: 0,
@@ -117,7 +117,7 @@
         };
         self.held.insert(ticket, held);
         let prefix = work.prefix.clone();
-        let prompt = Prompt { ticket, class, came: now, tokens: work.prompt_tokens, prefix };
+        let prompt = Prompt { ticket, class, arrived_at: now, tokens: work.prompt_tokens, prefix };
         self.waiting.push(prompt);
         self.compute_next(now)
     }
@@ -139,13 +139,13 @@
             self.cache.remove(&oldest);
         }
         if let Some(held) = self.held.get_mut(&prompt.ticket) {
-            held.expires = Some(now + RESULT_LIFE);
+            held.expires = Some(now + RESULT_TTL);
         }
         (Some(prompt.ticket), self.compute_next(now))
     }
 
     /// Gives a prefill result away if it is there and not too old.
-    pub fn export(&mut self, now: Time, ticket: Ticket) -> Option<Held> {
+    pub fn export(&mut self, now: Time, ticket: Ticket) -> Option<Reservation> {
         let ready = self.held.get(&ticket)?.expires?;
         if now >= ready {
             self.held.remove(&ticket);
@@ -159,7 +159,8 @@
         if self.used() + tokens > self.memory_tokens {
             return false;
         }
-        let held = Held { length: 0, prompt_tokens: 0, tokens, expires: None, decoding: false };
+        let held =
+            Reservation { length: 0, prompt_tokens: 0, tokens, expires: None, decoding: false };
         self.held.insert(ticket, held);
         true
     }
@@ -185,7 +186,7 @@
     }
 
     /// Loses everything.
-    pub fn die(&mut self) {
+    pub fn crash(&mut self) {
         self.dead = true;
         self.held.clear();
         self.waiting.clear();
@@ -198,7 +199,7 @@
             return None;
         }
         let next = (0..self.waiting.len())
-            .min_by_key(|&it| (self.waiting[it].class, self.waiting[it].came))
+            .min_by_key(|&it| (self.waiting[it].class, self.waiting[it].arrived_at))
             .unwrap_or(0);
         let mut prompt = self.waiting.remove(next);
         let known = prompt.prefix.iter().take_while(|it| self.cache.contains_key(it)).count();
--- a/crates/hollyspoke-model/src/ledger.rs
+++ b/crates/hollyspoke-model/src/ledger.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum End {
     /// A whole answer.
-    Whole,
+    Complete,
     /// Refused as not run.
     NotRun {
         /// When to come back.
@@ -52,9 +52,9 @@
 
 /// A promise that was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct Violation(pub String);
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -72,54 +72,56 @@
     /// Requests of which some call was refused as not run before any other call was made.
     pub refused: BTreeMap<u64, bool>,
     /// The promises broken so far.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
 }
 
 impl Ledger {
     /// Notes that a request runs at a plain service.
-    pub fn run(&mut self, request: u64) {
+    pub fn record_run(&mut self, request: u64) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         let once = self.callers.values().any(|it| it.request == request && it.once);
         if once && *runs > 1 {
-            self.broken.push(Broken(format!("request {request} must run once and ran twice")));
+            self.violations
+                .push(Violation(format!("request {request} must run once and ran twice")));
         }
         self.check_refused(request);
     }
 
     /// Notes that a request's prompt is computed.
-    pub fn prefill(&mut self, request: u64) {
+    pub fn record_prefill(&mut self, request: u64) {
         *self.prefills.entry(request).or_default() += 1;
         self.check_refused(request);
     }
 
     /// Notes a reply to a caller.
-    pub fn reply(&mut self, now: Time, call: CallId, reply: &CallerReply) {
+    pub fn record_reply(&mut self, now: Time, call: CallId, reply: &CallerReply) {
         let Some(caller) = self.callers.get_mut(&call) else { return };
         if let Some((_, end)) = &caller.end {
-            let broken = format!("call {} was answered after its end {end:?}: {reply:?}", call.0);
-            self.broken.push(Broken(broken));
+            let violation =
+                format!("call {} was answered after its end {end:?}: {reply:?}", call.0);
+            self.violations.push(Violation(violation));
             return;
         }
         match reply {
             CallerReply::Token(text) => {
-                let wanted = format!("t{}", caller.tokens);
-                if **text != *wanted {
-                    let broken = format!("call {} got {text} where {wanted} was due", call.0);
-                    self.broken.push(Broken(broken));
+                let expected = format!("t{}", caller.tokens);
+                if **text != *expected {
+                    let violation = format!("call {} got {text} where {expected} was due", call.0);
+                    self.violations.push(Violation(violation));
                 }
                 caller.tokens += 1;
                 caller.first.get_or_insert(now);
             }
             CallerReply::Finished { tokens, .. } => {
                 if *tokens != caller.tokens {
-                    let broken =
+                    let violation =
                         format!("call {} got {} of {tokens} tokens", call.0, caller.tokens);
-                    self.broken.push(Broken(broken));
+                    self.violations.push(Violation(violation));
                 }
-                caller.end = Some((now, End::Whole));
+                caller.end = Some((now, End::Complete));
             }
-            CallerReply::Answer(_) => caller.end = Some((now, End::Whole)),
+            CallerReply::Answer(_) => caller.end = Some((now, End::Complete)),
             CallerReply::Relay { .. } => caller.end = Some((now, End::Relayed)),
             CallerReply::Problem(problem) => {
                 let end = match &problem.kind {
@@ -132,7 +134,7 @@
                 let request = caller.request;
                 caller.end = Some((now, end));
                 if not_run {
-                    self.note_refusal(request);
+                    self.record_refusal(request);
                 }
             }
         }
@@ -140,7 +142,7 @@
 
     /// Notes that a request was refused as not run: if this is its only call, it must not have
     /// run and must never run.
-    fn note_refusal(&mut self, request: u64) {
+    fn record_refusal(&mut self, request: u64) {
         let calls = self.callers.values().filter(|it| it.request == request).count();
         if calls == 1 {
             self.refused.insert(request, true);
@@ -156,8 +158,8 @@
         let calls = self.callers.values().filter(|it| it.request == request).count();
         let ran = self.runs.contains_key(&request) || self.prefills.contains_key(&request);
         if ran && calls == 1 {
-            let broken = format!("request {request} ran and was refused as not run");
-            self.broken.push(Broken(broken));
+            let violation = format!("request {request} ran and was refused as not run");
+            self.violations.push(Violation(violation));
         }
     }
 }
--- a/crates/hollyspoke-model/src/load.rs
+++ b/crates/hollyspoke-model/src/load.rs
@@ -56,7 +56,7 @@
 impl Plan {
     /// Makes the plan of a number of engines, half in each role, that are never full: for
     /// measuring the reducer and not the engines.
-    pub fn boundless(engines: usize) -> Plan {
+    pub fn unbounded(engines: usize) -> Plan {
         Plan {
             prefills: engines / 2,
             decodes: engines / 2,
@@ -109,8 +109,8 @@
                 leaving: false,
             });
         }
-        for (place, from) in self.data_centres.iter().enumerate() {
-            for to in &self.data_centres[place + 1..] {
+        for (index, from) in self.data_centres.iter().enumerate() {
+            for to in &self.data_centres[index + 1..] {
                 let (from, to) = (from.clone(), to.clone());
                 site.links.push(Link { from, to, bytes_per_second: self.link });
             }
@@ -128,12 +128,12 @@
     }
 
     /// Makes one engine.
-    fn engine(&self, sort: &str, number: usize, role: Role) -> Engine {
+    fn engine(&self, role_name: &str, number: usize, role: Role) -> Engine {
         Engine {
-            name: format!("{sort}-{number}"),
+            name: format!("{role_name}-{number}"),
             service: "llm".to_owned(),
             data_centre: self.data_centre(number),
-            address: format!("{sort}:{number}"),
+            address: format!("{role_name}:{number}"),
             role,
             memory_tokens: self.memory_tokens,
             prefill_rate: self.prefill_rate,
@@ -216,19 +216,19 @@
 const ANSWER_SPREAD: f64 = 0.6;
 
 /// The longest prompt, in tokens.
-const MOST_PROMPT: f64 = 8000.0;
+const MAX_PROMPT_TOKENS: f64 = 8000.0;
 
 /// The share of requests that begin with one of the common prefixes.
-const COMMON: f64 = 0.4;
+const COMMON_PREFIX_SHARE: f64 = 0.4;
 
 /// The number of common prefixes.
-const PREFIXES: u64 = 20;
+const COMMON_PREFIX_COUNT: u64 = 20;
 
 /// The length of a common prefix, in blocks.
-const PREFIX_BLOCKS: u64 = 8;
+const PREFIX_BLOCK_COUNT: u64 = 8;
 
 /// Requests drawn to find the mean sizes.
-const SAMPLE: usize = 20_000;
+const SAMPLE_COUNT: usize = 20_000;
 
 impl User {
     /// Bilbao: 10 engines, counters before reprints and schools.
@@ -284,9 +284,9 @@
     pub fn capacity(&self) -> f64 {
         let mut random = Pcg64Mcg::seed_from_u64(1);
         let sample: Vec<Request> =
-            (0..SAMPLE).map(|_| self.request(&mut random, Time::ZERO)).collect();
+            (0..SAMPLE_COUNT).map(|_| self.request(&mut random, Time::ZERO)).collect();
         let mean =
-            |of: &dyn Fn(&Request) -> f64| sample.iter().map(of).sum::<f64>() / SAMPLE as f64;
+            |of: &dyn Fn(&Request) -> f64| sample.iter().map(of).sum::<f64>() / SAMPLE_COUNT as f64;
         let prefill_rate = self.plan.prefill_rate as f64 * self.plan.prefills as f64;
         let prefill = prefill_rate / mean(&|it| f64::from(it.prompt_tokens));
         let token = self.plan.token_time.as_secs_f64();
@@ -299,8 +299,8 @@
     pub fn draw(&self, seed: u64, rates: &[(Time, f64)], until: Time) -> Vec<Request> {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut requests = Vec::new();
-        for (place, &(from, rate)) in rates.iter().enumerate() {
-            let end = rates.get(place + 1).map_or(until, |it| it.0);
+        for (index, &(from, rate)) in rates.iter().enumerate() {
+            let end = rates.get(index + 1).map_or(until, |it| it.0);
             let mut at = from;
             loop {
                 let pause: f64 = Exp1.sample(&mut random);
@@ -318,14 +318,14 @@
     fn request(&self, random: &mut Pcg64Mcg, at: Time) -> Request {
         let normal = |random: &mut Pcg64Mcg| -> f64 { StandardNormal.sample(random) };
         let prompt = self.prompt_median * (PROMPT_SPREAD * normal(random)).exp();
-        let mut prompt_tokens = prompt.clamp(16.0, MOST_PROMPT) as u32;
+        let mut prompt_tokens = prompt.clamp(16.0, MAX_PROMPT_TOKENS) as u32;
         let answer = self.answer_median * (ANSWER_SPREAD * normal(random)).exp();
         let length = answer.clamp(1.0, f64::from(self.max_tokens)) as u32;
         let mut prefix = Vec::new();
-        if random.random_bool(COMMON) {
-            let common = random.random_range(0..PREFIXES);
-            prefix.extend((0..PREFIX_BLOCKS).map(|block| common * 1000 + block));
-            prompt_tokens += BLOCK_TOKENS * PREFIX_BLOCKS as u32;
+        if random.random_bool(COMMON_PREFIX_SHARE) {
+            let common = random.random_range(0..COMMON_PREFIX_COUNT);
+            prefix.extend((0..PREFIX_BLOCK_COUNT).map(|block| common * 1000 + block));
+            prompt_tokens += BLOCK_TOKENS * PREFIX_BLOCK_COUNT as u32;
         }
         let mut draw = random.random::<f64>();
         let mut tenant = 0;
--- a/crates/hollyspoke-model/src/policy.rs
+++ b/crates/hollyspoke-model/src/policy.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::ledger::{Broken, Caller, End};
+use crate::ledger::{Caller, End, Violation};
 use crate::load::{Request, User};
-use crate::result::{Figures, Seen, figures};
+use crate::result::{Figures, Observation, figures};
 use crate::world::{Action, Sending, World, generate};
 
 /// How long boxes get to find each other before the load begins.
@@ -21,10 +21,10 @@
 pub const COOL_DOWN: Duration = Duration::from_secs(20);
 
 /// How often the callers look at their answers.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How often a refused caller comes back.
-const MOST_RETURNS: u32 = 2;
+const MAX_RETRIES: u32 = 2;
 
 /// A load with its faults.
 #[derive(Debug, Clone)]
@@ -43,11 +43,11 @@
 
 /// A sending under way.
 #[derive(Debug, Clone, Copy)]
-struct Open {
+struct OpenCall {
     /// The request's place in the case.
     request: usize,
     /// How often it has come back.
-    returns: u32,
+    retries: u32,
 }
 
 /// Runs a case with the product's reducers.
@@ -55,15 +55,15 @@
 /// # Errors
 ///
 /// When a promise is broken on the way.
-pub fn run(user: &User, case: &Case) -> Result<Figures, Broken> {
+pub fn run(user: &User, case: &Case) -> Result<Figures, Violation> {
     let mut world = World::new(user.site(), user.boxes, case.seed);
     world.run(Time::ZERO + WARM_UP)?;
     let begin = |at: Time| at + WARM_UP;
     for (at, action) in &case.faults {
-        world.plan(begin(*at), action.clone());
+        world.schedule_action(begin(*at), action.clone());
     }
     if let (Some((at, pause)), Some(owner)) = (case.owner_pause, world.owner()) {
-        world.plan(begin(at), Action::Pause(owner, pause));
+        world.schedule_action(begin(at), Action::Pause(owner, pause));
     }
     let mut random = Pcg64Mcg::seed_from_u64(case.seed ^ 0x5eed);
     let mut open = BTreeMap::new();
@@ -71,15 +71,15 @@
     for (number, request) in case.requests.iter().enumerate() {
         last_call += 1;
         send(&mut world, user, begin(request.at), number, request, request.to, CallId(last_call));
-        open.insert(CallId(last_call), Open { request: number, returns: 0 });
+        open.insert(CallId(last_call), OpenCall { request: number, retries: 0 });
     }
     let end = begin(Time::ZERO + case.span) + COOL_DOWN;
-    let last_return = begin(Time::ZERO + case.span);
-    let mut seen = Vec::new();
+    let retry_deadline = begin(Time::ZERO + case.span);
+    let mut observations = Vec::new();
     while world.now() < end {
-        let next = world.now() + LOOK;
+        let next = world.now() + POLL_INTERVAL;
         world.run(next)?;
-        let ended: Vec<(CallId, Open, Caller)> = open
+        let ended: Vec<(CallId, OpenCall, Caller)> = open
             .iter()
             .filter_map(|(&call, &it)| Some((call, it, world.ledger.callers.get(&call)?.clone())))
             .filter(|(.., caller)| caller.end.is_some())
@@ -87,27 +87,31 @@
         for (call, sending, caller) in ended {
             open.remove(&call);
             let request = &case.requests[sending.request];
-            seen.push(look(request, &caller, sending.returns > 0));
+            observations.push(observe(request, &caller, sending.retries > 0));
             let Some((at, End::NotRun { after: Some(after) })) = caller.end else { continue };
             let jitter = random.random_range(1.0..1.2);
-            let back = (at + after.mul_f64(jitter)).max(world.now());
-            if sending.returns < MOST_RETURNS && back < last_return {
+            let retry_at = (at + after.mul_f64(jitter)).max(world.now());
+            if sending.retries < MAX_RETRIES && retry_at < retry_deadline {
                 last_call += 1;
                 let to = random.random_range(0..user.boxes);
                 let call = CallId(last_call);
-                send(&mut world, user, back, last_call as usize, request, to, call);
-                open.insert(call, Open { returns: sending.returns + 1, ..sending });
+                send(&mut world, user, retry_at, last_call as usize, request, to, call);
+                open.insert(call, OpenCall { retries: sending.retries + 1, ..sending });
             }
         }
     }
     for (call, sending) in open {
         if let Some(caller) = world.ledger.callers.get(&call) {
-            seen.push(look(&case.requests[sending.request], caller, sending.returns > 0));
+            observations.push(observe(
+                &case.requests[sending.request],
+                caller,
+                sending.retries > 0,
+            ));
         }
     }
     let computed = world.engines.values().map(|it| it.computed).sum();
     let useful = world.useful_tokens;
-    Ok(figures(&seen, case.span, computed, useful))
+    Ok(figures(&observations, case.span, computed, useful))
 }
 
 /// Sends a request.
@@ -128,24 +132,24 @@
         work.prefix.clone_from(&request.prefix);
     }
     let sending = Sending { call, request: name + (call.0 << 20), at: to, arrival };
-    world.plan(at, Action::Send(Box::new(sending)));
+    world.schedule_action(at, Action::Send(Box::new(sending)));
 }
 
 /// Gives a sending as its caller saw it.
-fn look(request: &Request, caller: &Caller, again: bool) -> Seen {
+fn observe(request: &Request, caller: &Caller, is_retry: bool) -> Observation {
     let end = caller.end.as_ref();
-    let whole = matches!(end, Some((_, End::Whole)));
+    let whole = matches!(end, Some((_, End::Complete)));
     let span = match (caller.first, end) {
         (Some(first), Some((end, _))) => end.since(first),
         _ => Duration::ZERO,
     };
-    Seen {
+    Observation {
         tenant: request.tenant,
         class: request.class,
         first_token: caller.first.map(|it| it.since(caller.sent)),
         between_tokens: span / caller.tokens.saturating_sub(1).max(1),
         whole,
         refused: matches!(end, Some((_, End::NotRun { .. }))),
-        again,
+        is_retry,
     }
 }
--- a/crates/hollyspoke-model/src/result.rs
+++ b/crates/hollyspoke-model/src/result.rs
@@ -5,17 +5,17 @@
 use hdrhistogram::Histogram;
 
 /// The target for the first token.
-pub const FIRST_TOKEN: Duration = Duration::from_millis(1200);
+pub const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(1200);
 
 /// The target for the time between tokens.
-pub const BETWEEN_TOKENS: Duration = Duration::from_millis(35);
+pub const BETWEEN_TOKENS_TARGET: Duration = Duration::from_millis(35);
 
 /// The longest time that is told apart, in milliseconds.
-const MOST_MS: u64 = 600_000;
+const MAX_RECORDED_MS: u64 = 600_000;
 
 /// One sending of a request, as its caller saw it.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct Observation {
     /// The tenant.
     pub tenant: usize,
     /// The class.
@@ -29,15 +29,15 @@
     /// Whether it was refused as not run.
     pub refused: bool,
     /// Whether it is a refused request that came back.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
-impl Seen {
+impl Observation {
     /// Tells whether it was answered within both targets.
     pub fn is_good(&self) -> bool {
         self.whole
-            && self.first_token.is_some_and(|it| it <= FIRST_TOKEN)
-            && self.between_tokens <= BETWEEN_TOKENS
+            && self.first_token.is_some_and(|it| it <= FIRST_TOKEN_TARGET)
+            && self.between_tokens <= BETWEEN_TOKENS_TARGET
     }
 }
 
@@ -63,40 +63,47 @@
 }
 
 /// Works a run's figures out.
-pub fn figures(seen: &[Seen], span: Duration, computed: u64, useful: u64) -> Figures {
+pub fn figures(
+    observations: &[Observation],
+    span: Duration,
+    computed: u64,
+    useful: u64,
+) -> Figures {
     let seconds = span.as_secs_f64();
-    let count = |of: &dyn Fn(&Seen) -> bool| seen.iter().filter(|it| of(it)).count() as f64;
-    let total = (seen.len() as f64).max(1.0);
-    let mut times = Histogram::<u64>::new_with_bounds(1, MOST_MS, 3)
+    let count =
+        |of: &dyn Fn(&Observation) -> bool| observations.iter().filter(|it| of(it)).count() as f64;
+    let total = (observations.len() as f64).max(1.0);
+    let mut times = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_MS, 3)
         .unwrap_or_else(|error| unreachable!("the bounds are constants: {error}"));
-    for first in seen.iter().filter_map(|it| it.first_token) {
+    for first in observations.iter().filter_map(|it| it.first_token) {
         times.saturating_record(first.as_millis() as u64);
     }
     let wasted = computed.saturating_sub(useful) as f64 / (computed as f64).max(1.0);
     Figures {
-        offered: count(&|it| !it.again) / seconds,
-        goodput: count(&Seen::is_good) / seconds,
+        offered: count(&|it| !it.is_retry) / seconds,
+        goodput: count(&Observation::is_good) / seconds,
         goodput_first_class: count(&|it| it.is_good() && it.class == 0) / seconds,
         wasted,
         first_token: [50.0, 95.0, 99.0].map(|it| times.value_at_percentile(it)),
         refused: count(&|it| it.refused) / total,
         failed: count(&|it| !it.refused && !it.whole) / total,
-        fairness: fairness(seen),
+        fairness: fairness(observations),
     }
 }
 
 /// Gives the least share of a tenant's sendings that was good, by the greatest, within class 0.
-fn fairness(seen: &[Seen]) -> f64 {
+fn fairness(observations: &[Observation]) -> f64 {
     let mut shares = Vec::new();
-    let tenants = seen.iter().map(|it| it.tenant).max().map_or(0, |it| it + 1);
+    let tenants = observations.iter().map(|it| it.tenant).max().map_or(0, |it| it + 1);
     for tenant in 0..tenants {
-        let mine: Vec<&Seen> = seen.iter().filter(|it| it.tenant == tenant && !it.again).collect();
+        let mine: Vec<&Observation> =
+            observations.iter().filter(|it| it.tenant == tenant && !it.is_retry).collect();
         if !mine.is_empty() {
             let good = mine.iter().filter(|it| it.is_good()).count();
             shares.push(good as f64 / mine.len() as f64);
         }
     }
-    let most = shares.iter().copied().fold(0.0, f64::max);
-    let least = shares.iter().copied().fold(1.0, f64::min);
-    if most == 0.0 { 0.0 } else { least / most }
+    let greatest = shares.iter().copied().fold(0.0, f64::max);
+    let smallest = shares.iter().copied().fold(1.0, f64::min);
+    if greatest == 0.0 { 0.0 } else { smallest / greatest }
 }
--- a/crates/hollyspoke-model/src/store.rs
+++ b/crates/hollyspoke-model/src/store.rs
@@ -32,7 +32,7 @@
 
 /// What becomes of an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Done {
+pub enum Outcome {
     /// It is answered.
     Answered(Answer),
     /// Its answer is lost.
@@ -43,23 +43,23 @@
 
 impl Store {
     /// Takes an operation.
-    pub fn take(&mut self, operation: Operation) -> Done {
+    pub fn handle(&mut self, operation: Operation) -> Outcome {
         match &operation {
             Operation::Get { .. } => self.reads += 1,
             Operation::Put { .. } => self.writes += 1,
         }
         if self.faults.down {
-            return Done::Lost;
+            return Outcome::Lost;
         }
         let is_write = matches!(operation, Operation::Put { .. });
         if is_write && self.faults.late {
-            return Done::Late(operation);
+            return Outcome::Late(operation);
         }
         let answer = self.apply(operation);
         if is_write && self.faults.lose_answers {
-            return Done::Lost;
+            return Outcome::Lost;
         }
-        Done::Answered(answer)
+        Outcome::Answered(answer)
     }
 
     /// Carries an operation out.
--- a/crates/hollyspoke-model/src/world.rs
+++ b/crates/hollyspoke-model/src/world.rs
@@ -22,41 +22,41 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::engine::Engine;
-use crate::ledger::{Broken, Caller, End, Ledger};
-use due::{Crossing, Due, Entry, Flow};
+use crate::ledger::{Caller, End, Ledger, Violation};
+use due::{Due, Entry, Stream, Transfer};
 
 use crate::load::settings;
 use crate::network::Network;
-use crate::store::{Done, Store};
+use crate::store::{Outcome, Store};
 
 /// How often each box is told that time has passed.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a call to an engine or service takes on its way.
-const CALL: Duration = Duration::from_millis(1);
+const CALL_DELAY: Duration = Duration::from_millis(1);
 
 /// How long a box waits for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a store's answer takes.
-const STORE: Duration = Duration::from_millis(4);
+const STORE_DELAY: Duration = Duration::from_millis(4);
 
 /// How long a box waits for the store.
-const STORE_LIMIT: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The prefix blocks that an engine's cache holds.
-const CACHE_BLOCKS: usize = 4096;
+const CACHE_BLOCK_COUNT: usize = 4096;
 
 /// The rate of a link that the site does not name, in bytes a second.
-const DEFAULT_LINK: u64 = 10_000_000_000;
+const DEFAULT_LINK_BYTES_PER_S: u64 = 10_000_000_000;
 
 /// A place at which a box runs, life after life.
 #[derive(Debug, Clone)]
-struct Seat {
+struct BoxSlot {
     /// The reducer, while the box lives.
     node: Option<Node>,
     /// The number of the life.
-    life: u64,
+    generation: u64,
     /// Until when the box stands still.
     paused_until: Option<Time>,
     /// What came while it stood still.
@@ -79,7 +79,7 @@
     /// What is due.
     queue: BinaryHeap<Entry>,
     /// The boxes.
-    seats: Vec<Seat>,
+    slots: Vec<BoxSlot>,
     /// The engines.
     pub engines: BTreeMap<UpstreamId, Engine>,
     /// The engine at each address.
@@ -89,10 +89,10 @@
     /// The share of its rate that each link has.
     link_share: f64,
     /// Whether engines answer polls.
-    reports: bool,
+    answers_polls: bool,
     /// The share of calls that a plain service refuses to take, and of those that it runs without
     /// answering.
-    services: (f64, f64),
+    service_faults: (f64, f64),
     /// The store.
     pub store: Store,
     /// The network between boxes.
@@ -124,13 +124,13 @@
             now: Time::ZERO,
             last_order: 0,
             queue: BinaryHeap::new(),
-            seats: Vec::new(),
+            slots: Vec::new(),
             engines: BTreeMap::new(),
             addresses: BTreeMap::new(),
             links: BTreeMap::new(),
             link_share: 1.0,
-            reports: true,
-            services: (0.0, 0.0),
+            answers_polls: true,
+            service_faults: (0.0, 0.0),
             store: Store::default(),
             network: Network::default(),
             ledger: Ledger::default(),
@@ -144,15 +144,15 @@
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for engine in &world.site.site.engines {
-            world.engines.insert(engine.id(), Engine::new(engine, CACHE_BLOCKS));
+            world.engines.insert(engine.id(), Engine::new(engine, CACHE_BLOCK_COUNT));
             world.addresses.insert(engine.address.clone(), engine.id());
         }
         let data_centres = world.site.site.data_centres.clone();
         for number in 0..boxes {
             let data_centre = data_centres[number % data_centres.len()].clone();
-            world.seats.push(Seat {
+            world.slots.push(BoxSlot {
                 node: None,
-                life: 0,
+                generation: 0,
                 paused_until: None,
                 backlog: Vec::new(),
                 watching: false,
@@ -176,13 +176,13 @@
 
     /// Gives a box that owns some engines.
     pub fn owner(&self) -> Option<usize> {
-        let owns = |it: &Seat| it.node.as_ref().is_some_and(|it| !it.status().pools.is_empty());
-        self.seats.iter().position(owns)
+        let owns = |it: &BoxSlot| it.node.as_ref().is_some_and(|it| !it.status().pools.is_empty());
+        self.slots.iter().position(owns)
     }
 
     /// Gives a box's reducer, while it lives.
     pub fn node(&self, number: usize) -> Option<&Node> {
-        self.seats[number].node.as_ref()
+        self.slots[number].node.as_ref()
     }
 
     /// Gives a key whose home is a box, in the box's epoch; nothing while it is dead.
@@ -192,8 +192,8 @@
     }
 
     /// Has something happen from outside at a time.
-    pub fn plan(&mut self, at: Time, action: Action) {
-        self.put(at, Due::Action(Box::new(action)));
+    pub fn schedule_action(&mut self, at: Time, action: Action) {
+        self.schedule(at, Due::Action(Box::new(action)));
     }
 
     /// Runs until a time, or until a promise is broken.
@@ -201,16 +201,16 @@
     /// # Errors
     ///
     /// The first promise broken.
-    pub fn run(&mut self, until: Time) -> Result<(), Broken> {
+    pub fn run(&mut self, until: Time) -> Result<(), Violation> {
         while let Some(entry) = self.queue.peek() {
             if entry.at > until {
                 break;
             }
             let Some(entry) = self.queue.pop() else { break };
             self.now = self.now.max(entry.at);
-            self.happen(entry.due);
-            if let Some(broken) = self.ledger.broken.first() {
-                return Err(Broken(format!("at {} ms: {broken}", self.now.as_micros() / 1000)));
+            self.dispatch(entry.due);
+            if let Some(broken) = self.ledger.violations.first() {
+                return Err(Violation(format!("at {} ms: {broken}", self.now.as_micros() / 1000)));
             }
         }
         self.now = self.now.max(until);
@@ -231,86 +231,88 @@
     }
 
     /// Puts something into the queue.
-    fn put(&mut self, at: Time, due: Due) {
+    fn schedule(&mut self, at: Time, due: Due) {
         self.last_order += 1;
         self.queue.push(Entry { at, order: self.last_order, due });
     }
 
     /// Puts an event for a box's present life into the queue.
-    fn event(&mut self, after: Duration, front: (usize, u64), event: Event) {
-        self.put(self.now + after, Due::Event(front.0, front.1, Box::new(event)));
+    fn schedule_event(&mut self, after: Duration, front: (usize, u64), event: Event) {
+        self.schedule(self.now + after, Due::Event(front.0, front.1, Box::new(event)));
     }
 
     /// Does what is due.
-    fn happen(&mut self, due: Due) {
+    fn dispatch(&mut self, due: Due) {
         match due {
-            Due::Tick(number, life) => self.tick(number, life),
-            Due::Event(number, life, event) => self.deliver(number, life, *event),
-            Due::Computed(engine) => self.computed(engine),
-            Due::Crossed(crossing) => self.crossed(crossing),
-            Due::Token(flow) => self.token(flow),
+            Due::Tick(number, generation) => self.tick(number, generation),
+            Due::Event(number, generation, event) => self.deliver(number, generation, *event),
+            Due::Prefilled(engine) => self.finish_prefill(engine),
+            Due::Transferred(transfer) => self.finish_transfer(transfer),
+            Due::Token(stream) => self.emit_token(stream),
             Due::Cancelled(id, ticket) => {
                 let now = self.now;
                 let next = self.engines.get_mut(&id).and_then(|it| it.cancel(now, ticket));
                 if let Some(next) = next {
-                    self.put(next, Due::Computed(id));
+                    self.schedule(next, Due::Prefilled(id));
                 }
             }
-            Due::Runs(number, life, ticket, request) => self.runs(number, life, ticket, request),
+            Due::ServiceCall(number, generation, ticket, request) => {
+                self.run_service(number, generation, ticket, request)
+            }
             Due::Late(operation) => {
                 self.store.apply(operation);
             }
-            Due::Action(action) => self.act(*action),
+            Due::Action(action) => self.apply_action(*action),
         }
     }
 
     /// Ticks a box, and plans its next tick.
-    fn tick(&mut self, number: usize, life: u64) {
-        let seat = &mut self.seats[number];
-        if seat.life != life || seat.node.is_none() {
+    fn tick(&mut self, number: usize, generation: u64) {
+        let slot = &mut self.slots[number];
+        if slot.generation != generation || slot.node.is_none() {
             return;
         }
-        if let Some(until) = seat.paused_until {
+        if let Some(until) = slot.paused_until {
             if self.now < until {
-                self.put(until, Due::Tick(number, life));
+                self.schedule(until, Due::Tick(number, generation));
                 return;
             }
-            seat.paused_until = None;
-            let backlog = std::mem::take(&mut seat.backlog);
+            slot.paused_until = None;
+            let backlog = std::mem::take(&mut slot.backlog);
             for event in backlog {
-                self.deliver(number, life, event);
+                self.deliver(number, generation, event);
             }
         }
-        self.put(self.now + TICK, Due::Tick(number, life));
-        self.deliver(number, life, Event::Tick);
+        self.schedule(self.now + TICK_INTERVAL, Due::Tick(number, generation));
+        self.deliver(number, generation, Event::Tick);
     }
 
     /// Gives an event to a box, if it still lives the same life.
-    fn deliver(&mut self, number: usize, life: u64, event: Event) {
+    fn deliver(&mut self, number: usize, generation: u64, event: Event) {
         let now = self.now;
-        let seat = &mut self.seats[number];
-        if seat.life != life {
+        let slot = &mut self.slots[number];
+        if slot.generation != generation {
             return;
         }
-        if seat.paused_until.is_some_and(|until| now < until) {
-            seat.backlog.push(event);
+        if slot.paused_until.is_some_and(|until| now < until) {
+            slot.backlog.push(event);
             return;
         }
-        let Some(node) = &mut seat.node else { return };
+        let Some(node) = &mut slot.node else { return };
         let effects = node.step(now, event);
         let version = node.site().version;
-        if version < seat.version {
-            let broken = format!("box {number} went from version {} to {version}", seat.version);
-            self.ledger.broken.push(Broken(broken));
+        if version < slot.version {
+            let broken = format!("box {number} went from version {} to {version}", slot.version);
+            self.ledger.violations.push(Violation(broken));
         }
-        seat.version = version;
+        slot.version = version;
         for effect in effects {
-            self.carry_out((number, life), effect);
+            self.apply_effect((number, generation), effect);
         }
     }
 
     /// Carries out an effect of a box.
-    fn carry_out(&mut self, front: (usize, u64), effect: Effect) {
+    fn apply_effect(&mut self, front: (usize, u64), effect: Effect) {
         match effect {
             Effect::Send { to, address, message } => {
                 let event = |from: Incarnation| Event::Peer { from, message: message.clone() };
@@ -329,7 +331,7 @@
             Effect::Cancel { ticket, address } => {
                 self.dropped.insert(ticket);
                 if let Some(&engine) = self.addresses.get(&address) {
-                    self.put(self.now + CALL, Due::Cancelled(engine, ticket));
+                    self.schedule(self.now + CALL_DELAY, Due::Cancelled(engine, ticket));
                 }
             }
             Effect::Drop(ticket) => {
@@ -342,17 +344,20 @@
                 let text = String::from_utf8_lossy(&call.body).into_owned();
                 let request = text.parse().unwrap_or(0);
                 let after = Duration::from_millis(self.random.random_range(1..30));
-                self.put(self.now + after, Due::Runs(front.0, front.1, ticket, request));
+                self.schedule(
+                    self.now + after,
+                    Due::ServiceCall(front.0, front.1, ticket, request),
+                );
             }
             Effect::Reply { call, reply } => self.reply(call, reply),
-            Effect::Store { number, operation } => self.operate(front, number, operation),
+            Effect::Store { number, operation } => self.store_operation(front, number, operation),
             Effect::Watch(watching) => {
-                self.seats[front.0].watching = watching;
+                self.slots[front.0].watching = watching;
                 if watching {
-                    self.show_site(front);
+                    self.send_site(front);
                 }
             }
-            Effect::Fetch => self.show_site(front),
+            Effect::Fetch => self.send_site(front),
             Effect::Record(record) => self.records.push(*record),
             Effect::Note(note) => self.notes.push((self.now, note)),
             Effect::Exit => self.stop(front.0),
@@ -367,47 +372,48 @@
         address: &str,
         event: impl Fn(Incarnation) -> Event,
     ) {
-        let Some(other) = seat_of(address) else { return };
+        let Some(other) = slot_of(address) else { return };
         let Some(from) = self.node(front.0).map(Node::incarnation) else { return };
         let is_meant = self.node(other).is_some_and(|it| it.incarnation() == to);
         if !is_meant {
-            self.event(CALL * 2, front, Event::Unreachable(to));
+            self.schedule_event(CALL_DELAY * 2, front, Event::Unreachable(to));
             return;
         }
         if self.network.is_cut(front.0, other) {
-            self.event(CONNECT, front, Event::Unreachable(to));
+            self.schedule_event(CONNECT_TIMEOUT, front, Event::Unreachable(to));
             return;
         }
-        let stands_still = self.seats[other].paused_until.is_some_and(|it| it > self.now + CONNECT);
-        if stands_still {
+        let is_paused =
+            self.slots[other].paused_until.is_some_and(|it| it > self.now + CONNECT_TIMEOUT);
+        if is_paused {
             // No answer comes in time, though the message waits there.
-            self.event(CONNECT, front, Event::Unreachable(to));
+            self.schedule_event(CONNECT_TIMEOUT, front, Event::Unreachable(to));
         }
-        let life = self.seats[other].life;
+        let generation = self.slots[other].generation;
         for delay in self.network.deliveries(&mut self.random, front.0, other) {
-            self.event(delay, (other, life), event(from));
+            self.schedule_event(delay, (other, generation), event(from));
         }
     }
 
     /// Greets the box at an address.
     fn greet(&mut self, front: (usize, u64), address: &str) {
-        let Some(other) = seat_of(address) else { return };
+        let Some(other) = slot_of(address) else { return };
         let (Some(mine), Some(theirs)) = (self.node(front.0), self.node(other)) else { return };
         let (mine, theirs) = (mine.entry().clone(), theirs.entry().clone());
-        let life = self.seats[other].life;
+        let generation = self.slots[other].generation;
         for delay in self.network.deliveries(&mut self.random, front.0, other) {
-            self.event(delay, (other, life), Event::Seen(mine.clone()));
-            self.event(delay * 2, front, Event::Seen(theirs.clone()));
+            self.schedule_event(delay, (other, generation), Event::Seen(mine.clone()));
+            self.schedule_event(delay * 2, front, Event::Seen(theirs.clone()));
         }
     }
 
     /// Takes a reply to a caller, and passes the request on where it says so.
     fn reply(&mut self, call: CallId, reply: CallerReply) {
-        self.ledger.reply(self.now, call, &reply);
+        self.ledger.record_reply(self.now, call, &reply);
         let CallerReply::Relay { address, key, repeatable } = reply else { return };
         let Some(sending) = self.sendings.get(&call).cloned() else { return };
         let home = address.strip_prefix("call:").and_then(|it| it.parse::<usize>().ok());
-        let home = home.filter(|it| self.seats[*it].node.is_some());
+        let home = home.filter(|it| self.slots[*it].node.is_some());
         self.last_relay += 1;
         let mut arrival = sending.arrival.clone();
         arrival.claim = None;
@@ -425,36 +431,36 @@
         };
         let call = CallId(self.last_relay);
         let sending = Sending { call, at, arrival, ..sending };
-        self.plan(self.now + CALL, Action::Send(Box::new(sending)));
+        self.schedule_action(self.now + CALL_DELAY, Action::Send(Box::new(sending)));
     }
 
     /// Carries out an operation on the store.
-    fn operate(&mut self, front: (usize, u64), number: u64, operation: objects::Operation) {
-        let (after, answer) = match self.store.take(operation) {
-            Done::Answered(answer) => (STORE, answer),
-            Done::Lost => (STORE_LIMIT, objects::Answer::Away),
-            Done::Late(operation) => {
+    fn store_operation(&mut self, front: (usize, u64), number: u64, operation: objects::Operation) {
+        let (after, answer) = match self.store.handle(operation) {
+            Outcome::Answered(answer) => (STORE_DELAY, answer),
+            Outcome::Lost => (STORE_TIMEOUT, objects::Answer::Away),
+            Outcome::Late(operation) => {
                 let after = Duration::from_millis(self.random.random_range(500..6000));
-                self.put(self.now + after, Due::Late(operation));
-                (STORE_LIMIT, objects::Answer::Away)
+                self.schedule(self.now + after, Due::Late(operation));
+                (STORE_TIMEOUT, objects::Answer::Away)
             }
         };
-        self.event(after, front, Event::Store { number, answer });
+        self.schedule_event(after, front, Event::Store { number, answer });
     }
 
     /// Gives a box the site in the store, if the store answers.
-    fn show_site(&mut self, front: (usize, u64)) {
+    fn send_site(&mut self, front: (usize, u64)) {
         if self.store.faults.down {
-            self.event(STORE_LIMIT, front, Event::StoreReachable(false));
+            self.schedule_event(STORE_TIMEOUT, front, Event::StoreReachable(false));
             return;
         }
         let site = self.site.clone();
-        self.event(STORE, front, Event::Site(site));
+        self.schedule_event(STORE_DELAY, front, Event::Site(site));
     }
 
     /// Sends a caller's request.
-    fn begin(&mut self, sending: Sending) {
-        let life = self.seats[sending.at].life;
+    fn send_request(&mut self, sending: Sending) {
+        let generation = self.slots[sending.at].generation;
         let caller = Caller {
             request: sending.request,
             at: sending.at,
@@ -463,34 +469,34 @@
             tokens: 0,
             first: None,
             end: None,
-            gone: self.seats[sending.at].node.is_none(),
+            gone: self.slots[sending.at].node.is_none(),
         };
         self.ledger.callers.insert(sending.call, caller);
         let (call, at) = (sending.call, sending.at);
         let arrival = Box::new(sending.arrival.clone());
         self.sendings.insert(call, sending);
-        self.event(CALL, (at, life), Event::Arrive { call, arrival });
+        self.schedule_event(CALL_DELAY, (at, generation), Event::Arrive { call, arrival });
     }
 
     /// Closes a caller's connection.
-    fn go(&mut self, call: CallId) {
+    fn disconnect(&mut self, call: CallId) {
         let Some(caller) = self.ledger.callers.get_mut(&call) else { return };
         caller.gone = true;
         let at = caller.at;
-        let life = self.seats[at].life;
-        self.event(CALL, (at, life), Event::Gone(call));
+        let generation = self.slots[at].generation;
+        self.schedule_event(CALL_DELAY, (at, generation), Event::Gone(call));
     }
 
     /// Ends a box's life.
     fn stop(&mut self, number: usize) {
         let now = self.now;
-        let seat = &mut self.seats[number];
-        seat.node = None;
-        seat.life += 1;
-        seat.watching = false;
-        seat.backlog.clear();
-        seat.paused_until = None;
-        seat.version = 0;
+        let slot = &mut self.slots[number];
+        slot.node = None;
+        slot.generation += 1;
+        slot.watching = false;
+        slot.backlog.clear();
+        slot.paused_until = None;
+        slot.version = 0;
         let open = |it: &&mut Caller| it.at == number && it.end.is_none();
         for caller in self.ledger.callers.values_mut().filter(open) {
             caller.gone = true;
@@ -500,23 +506,23 @@
 
     /// Begins a box's next life.
     fn restart(&mut self, number: usize) {
-        if self.seats[number].node.is_some() {
+        if self.slots[number].node.is_some() {
             return;
         }
-        let seeds = (0..self.seats.len().max(2)).filter(|it| *it != number).take(3);
+        let seeds = (0..self.slots.len().max(2)).filter(|it| *it != number).take(3);
         let settings = Settings {
             incarnation: Incarnation(self.random.random()),
-            data_centre: self.seats[number].data_centre.clone(),
+            data_centre: self.slots[number].data_centre.clone(),
             seeds: seeds.map(|it| format!("box:{it}")).collect(),
             random_seed: self.random.random(),
             ..settings(number)
         };
-        let seat = &mut self.seats[number];
-        seat.life += 1;
-        seat.node = Some(Node::new(self.now, settings));
-        let life = seat.life;
+        let slot = &mut self.slots[number];
+        slot.generation += 1;
+        slot.node = Some(Node::new(self.now, settings));
+        let generation = slot.generation;
         let offset = Duration::from_micros(self.random.random_range(0..20_000));
-        self.put(self.now + offset, Due::Tick(number, life));
+        self.schedule(self.now + offset, Due::Tick(number, generation));
     }
 
     /// Finds the live engine at an address.
@@ -531,9 +537,10 @@
         if self.dropped.contains(&ticket) {
             return None;
         }
-        let lives = |it: &Seat| it.node.as_ref().is_some_and(|n| n.incarnation() == ticket.front);
-        let number = self.seats.iter().position(lives)?;
-        Some((number, self.seats[number].life))
+        let lives =
+            |it: &BoxSlot| it.node.as_ref().is_some_and(|n| n.incarnation() == ticket.front);
+        let number = self.slots.iter().position(lives)?;
+        Some((number, self.slots[number].generation))
     }
 
     /// Gives the size of a prefill result, in bytes.
@@ -549,11 +556,11 @@
             (a.min(b), a.max(b))
         };
         let named = self.site.site.links.iter().find(|it| ends(it) == link);
-        named.map_or(DEFAULT_LINK, |it| it.bytes_per_second) as f64
+        named.map_or(DEFAULT_LINK_BYTES_PER_S, |it| it.bytes_per_second) as f64
     }
 }
 
 /// Finds the seat of an address between boxes.
-fn seat_of(address: &str) -> Option<usize> {
+fn slot_of(address: &str) -> Option<usize> {
     address.strip_prefix("box:")?.parse().ok()
 }
--- a/crates/hollyspoke-model/src/world/action.rs
+++ b/crates/hollyspoke-model/src/world/action.rs
@@ -16,7 +16,7 @@
     /// A caller sends a request.
     Send(Box<Sending>),
     /// A caller closes its connection.
-    Go(CallId),
+    Disconnect(CallId),
     /// A box dies.
     Crash(usize),
     /// A dead box starts anew.
@@ -30,7 +30,7 @@
     /// The store's faults change.
     Store(Faults),
     /// The share of messages lost and repeated changes.
-    Noise(f64, f64),
+    MessageFaults(f64, f64),
     /// An engine dies.
     KillEngine(UpstreamId),
     /// An engine comes back empty.
@@ -40,10 +40,10 @@
     /// Every link's rate becomes this share of what the site says.
     SlowLinks(f64),
     /// Engines stop or start to answer polls.
-    Reports(bool),
+    AnswerPolls(bool),
     /// The share of calls that a plain service refuses to take, and of those that it runs without
     /// answering, changes.
-    Services(f64, f64),
+    ServiceFaults(f64, f64),
     /// The site that is in force is accepted by the store once more, as a new version.
     Apply,
 }
@@ -63,34 +63,34 @@
 
 impl World {
     /// Lets something happen from outside.
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Send(sending) => self.begin(*sending),
-            Action::Go(call) => self.go(call),
+            Action::Send(sending) => self.send_request(*sending),
+            Action::Disconnect(call) => self.disconnect(call),
             Action::Crash(number) => self.stop(number),
             Action::Restart(number) => self.restart(number),
             Action::Pause(number, time) => {
-                self.seats[number].paused_until = Some(self.now + time);
+                self.slots[number].paused_until = Some(self.now + time);
             }
             Action::Leave(number) => {
-                let life = self.seats[number].life;
-                self.deliver(number, life, Event::Leave);
+                let generation = self.slots[number].generation;
+                self.deliver(number, generation, Event::Leave);
             }
             Action::Cut(a, b, cut) => self.network.set_cut(a, b, cut),
             Action::Store(faults) => {
                 let was_down = self.store.faults.down;
                 self.store.faults = faults;
                 if was_down != faults.down {
-                    self.tell_watchers();
+                    self.notify_watchers();
                 }
             }
-            Action::Noise(loss, repeat) => {
+            Action::MessageFaults(loss, repeat) => {
                 self.network.loss = loss;
                 self.network.repeat = repeat;
             }
             Action::KillEngine(id) => {
                 if let Some(engine) = self.engines.get_mut(&id) {
-                    engine.die();
+                    engine.crash();
                 }
             }
             Action::ReviveEngine(id) => {
@@ -104,22 +104,22 @@
                 }
             }
             Action::SlowLinks(share) => self.link_share = share,
-            Action::Reports(reports) => self.reports = reports,
-            Action::Services(refused, lost) => self.services = (refused, lost),
+            Action::AnswerPolls(reports) => self.answers_polls = reports,
+            Action::ServiceFaults(refused, lost) => self.service_faults = (refused, lost),
             Action::Apply => {
                 let version = self.site.version + 1;
                 self.site = Arc::new(Versioned { version, site: self.site.site.clone() });
-                self.tell_watchers();
+                self.notify_watchers();
             }
         }
     }
 
     /// Shows the watching boxes what the store has, or that it is away.
-    fn tell_watchers(&mut self) {
-        for number in 0..self.seats.len() {
-            if self.seats[number].watching && self.seats[number].node.is_some() {
-                let life = self.seats[number].life;
-                self.show_site((number, life));
+    fn notify_watchers(&mut self) {
+        for number in 0..self.slots.len() {
+            if self.slots[number].watching && self.slots[number].node.is_some() {
+                let generation = self.slots[number].generation;
+                self.send_site((number, generation));
             }
         }
     }
--- a/crates/hollyspoke-model/src/world/due.rs
+++ b/crates/hollyspoke-model/src/world/due.rs
@@ -8,7 +8,7 @@
 use hollyspoke::store as objects;
 use hollyspoke::time::Time;
 
-use crate::engine::Held;
+use crate::engine::Reservation;
 use crate::world::Action;
 
 /// Something that is due.
@@ -19,15 +19,15 @@
     /// An event for a box's life.
     Event(usize, u64, Box<Event>),
     /// An engine may have computed a prompt.
-    Computed(UpstreamId),
+    Prefilled(UpstreamId),
     /// A transfer has ended.
-    Crossed(Crossing),
+    Transferred(Transfer),
     /// A token is due.
-    Token(Flow),
+    Token(Stream),
     /// A cancel reaches an engine.
     Cancelled(UpstreamId, Ticket),
     /// A call reaches a plain service.
-    Runs(usize, u64, Ticket, u64),
+    ServiceCall(usize, u64, Ticket, u64),
     /// A lost write takes effect.
     Late(objects::Operation),
     /// Something from outside.
@@ -36,7 +36,7 @@
 
 /// A transfer under way.
 #[derive(Debug, Clone)]
-pub(super) struct Crossing {
+pub(super) struct Transfer {
     /// The box that asked for it.
     pub(super) front: (usize, u64),
     /// The attempt.
@@ -44,12 +44,12 @@
     /// The decode engine.
     pub(super) to: UpstreamId,
     /// What crosses.
-    pub(super) held: Held,
+    pub(super) held: Reservation,
 }
 
 /// A stream under way.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Flow {
+pub(super) struct Stream {
     /// The box that reads it.
     pub(super) front: (usize, u64),
     /// The attempt.
--- a/crates/hollyspoke-model/src/world/upstream.rs
+++ b/crates/hollyspoke-model/src/world/upstream.rs
@@ -11,7 +11,7 @@
 use hollyspoke::time::{Time, seconds};
 use rand::Rng;
 
-use crate::world::{CALL, Crossing, Due, Flow, World};
+use crate::world::{CALL_DELAY, Due, Stream, Transfer, World};
 
 impl World {
     /// Gives an engine a prompt.
@@ -30,25 +30,25 @@
             self.fail(front, ticket, false);
             return;
         };
-        let next = engine.prefill(now + CALL, ticket, work, class);
-        self.ledger.prefill(request);
+        let next = engine.prefill(now + CALL_DELAY, ticket, work, class);
+        self.ledger.record_prefill(request);
         if let Some(next) = next {
-            self.put(next, Due::Computed(id));
+            self.schedule(next, Due::Prefilled(id));
         }
     }
 
     /// Ends a prompt's computation where it is due, and tells the front.
-    pub(super) fn computed(&mut self, id: UpstreamId) {
+    pub(super) fn finish_prefill(&mut self, id: UpstreamId) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&id) else { return };
         let (ticket, next) = engine.advance(now);
         if let Some(next) = next {
-            self.put(next, Due::Computed(id));
+            self.schedule(next, Due::Prefilled(id));
         }
         let Some(ticket) = ticket else { return };
         if let Some(front) = self.front_of(ticket) {
             let event = Event::Upstream { ticket, reply: Reply::Prefilled };
-            self.event(CALL, front, event);
+            self.schedule_event(CALL_DELAY, front, event);
         }
     }
 
@@ -67,7 +67,11 @@
             return;
         };
         if !engine.reserve(ticket, u64::from(tokens)) {
-            self.event(CALL * 2, front, Event::Upstream { ticket, reply: Reply::Full });
+            self.schedule_event(
+                CALL_DELAY * 2,
+                front,
+                Event::Upstream { ticket, reply: Reply::Full },
+            );
             return;
         }
         let to_centre = engine.data_centre;
@@ -88,17 +92,17 @@
         let begin = self.links.get(&link).copied().unwrap_or(Time::ZERO).max(now);
         let end = begin + seconds(bytes as f64 / rate);
         self.links.insert(link, end);
-        self.put(end + CALL, Due::Crossed(Crossing { front, ticket, to, held }));
+        self.schedule(end + CALL_DELAY, Due::Transferred(Transfer { front, ticket, to, held }));
     }
 
     /// Ends a transfer.
-    pub(super) fn crossed(&mut self, crossing: Crossing) {
-        let Crossing { front, ticket, to, held } = crossing;
+    pub(super) fn finish_transfer(&mut self, transfer: Transfer) {
+        let Transfer { front, ticket, to, held } = transfer;
         let Some(engine) = self.engines.get_mut(&to) else { return };
         let Some(mine) = engine.held.get_mut(&ticket) else { return };
         mine.length = held.length;
         mine.prompt_tokens = held.prompt_tokens;
-        self.event(CALL, front, Event::Upstream { ticket, reply: Reply::Imported });
+        self.schedule_event(CALL_DELAY, front, Event::Upstream { ticket, reply: Reply::Imported });
     }
 
     /// Begins a stream.
@@ -114,13 +118,13 @@
             return;
         };
         self.useful_tokens += u64::from(prompt_tokens);
-        self.put(self.now + step, Due::Token(Flow { front, ticket, engine, seq }));
+        self.schedule(self.now + step, Due::Token(Stream { front, ticket, engine, seq }));
     }
 
     /// Gives a token, or the end of a stream. A stream whose reader is gone stands still and its
     /// memory stays held until somebody cancels it.
-    pub(super) fn token(&mut self, flow: Flow) {
-        let Flow { front, ticket, engine: id, seq } = flow;
+    pub(super) fn emit_token(&mut self, stream: Stream) {
+        let Stream { front, ticket, engine: id, seq } = stream;
         if self.front_of(ticket) != Some(front) {
             return;
         }
@@ -133,40 +137,47 @@
         if seq >= length {
             engine.held.remove(&ticket);
             let reply = Reply::Finished { reason: "stop".into() };
-            self.event(CALL, front, Event::Upstream { ticket, reply });
+            self.schedule_event(CALL_DELAY, front, Event::Upstream { ticket, reply });
             return;
         }
         let reply = Reply::Token { seq, text: format!("t{seq}").into() };
-        self.event(CALL, front, Event::Upstream { ticket, reply });
-        self.put(self.now + step, Due::Token(Flow { seq: seq + 1, ..flow }));
+        self.schedule_event(CALL_DELAY, front, Event::Upstream { ticket, reply });
+        self.schedule(self.now + step, Due::Token(Stream { seq: seq + 1, ..stream }));
     }
 
     /// Runs a call at the plain service, and answers it.
-    pub(super) fn runs(&mut self, number: usize, life: u64, ticket: Ticket, request: u64) {
-        let (refused, lost) = self.services;
+    pub(super) fn run_service(
+        &mut self,
+        number: usize,
+        generation: u64,
+        ticket: Ticket,
+        request: u64,
+    ) {
+        let (refused, lost) = self.service_faults;
         if self.random.random_bool(refused) {
-            self.fail((number, life), ticket, false);
+            self.fail((number, generation), ticket, false);
             return;
         }
-        self.ledger.run(request);
+        self.ledger.record_run(request);
         if self.random.random_bool(lost) {
-            self.fail((number, life), ticket, true);
+            self.fail((number, generation), ticket, true);
             return;
         }
         let after = Duration::from_millis(self.random.random_range(1..30));
         let answer = Answer { status: 200, headers: Vec::new(), body: Arc::from([]) };
         let event = Event::Upstream { ticket, reply: Reply::Answered(answer) };
-        self.event(after, (number, life), event);
+        self.schedule_event(after, (number, generation), event);
     }
 
     /// Answers a box's poll of an engine.
     pub(super) fn poll(&mut self, front: (usize, u64), engine: UpstreamId) {
-        let report = self.engines.get(&engine).filter(|it| !it.dead && self.reports).map(|it| {
-            let streams = it.held.keys().copied().collect();
-            Report { used_tokens: it.used(), streams, leaving: false, state: None }
-        });
-        let after = if report.is_some() { CALL * 2 } else { Duration::from_millis(800) };
-        self.event(after, front, Event::Polled { engine, report });
+        let report =
+            self.engines.get(&engine).filter(|it| !it.dead && self.answers_polls).map(|it| {
+                let streams = it.held.keys().copied().collect();
+                Report { used_tokens: it.used(), streams, leaving: false, state: None }
+            });
+        let after = if report.is_some() { CALL_DELAY * 2 } else { Duration::from_millis(800) };
+        self.schedule_event(after, front, Event::Polled { engine, report });
     }
 
     /// Tells a box that a call failed.
@@ -176,6 +187,6 @@
             trace.mark_sent();
         }
         let reply = Reply::Failed { detail: "it failed".to_owned(), trace };
-        self.event(CALL * 2, front, Event::Upstream { ticket, reply });
+        self.schedule_event(CALL_DELAY * 2, front, Event::Upstream { ticket, reply });
     }
 }
--- a/tests/benches/capacity.rs
+++ b/tests/benches/capacity.rs
@@ -105,7 +105,7 @@
 
 /// Makes the site of a number of engines, half in each role.
 fn site(engines: usize) -> Site {
-    Plan::boundless(engines).site()
+    Plan::unbounded(engines).site()
 }
 
 /// A box under measurement, with its clock.
--- a/tests/benches/claims.rs
+++ b/tests/benches/claims.rs
@@ -34,7 +34,7 @@
             let at = begin + Duration::from_micros(1_000_000 / rate) * number as u32;
             let to = number as usize % BOXES;
             let sending = Sending { call: CallId(number), request: number, at: to, arrival };
-            world.plan(at, Action::Send(Box::new(sending)));
+            world.schedule_action(at, Action::Send(Box::new(sending)));
         }
         world.run(begin + SPAN + Duration::from_secs(5)).expect("no promise is broken");
         let mut times: Vec<u64> = world
@@ -42,7 +42,7 @@
             .callers
             .values()
             .filter_map(|it| match &it.end {
-                Some((end, End::Whole)) => Some(end.since(it.sent).as_millis() as u64),
+                Some((end, End::Complete)) => Some(end.since(it.sent).as_millis() as u64),
                 _ => None,
             })
             .collect();
--- a/tests/benches/policy.rs
+++ b/tests/benches/policy.rs
@@ -103,7 +103,9 @@
             vec![(from, Action::SlowEngine(prefill, 4.0)), (to, Action::SlowEngine(prefill, 1.0))]
         }
         Fault::LinksSlow => vec![(from, Action::SlowLinks(0.1)), (to, Action::SlowLinks(1.0))],
-        Fault::NoReports => vec![(from, Action::Reports(false)), (to, Action::Reports(true))],
+        Fault::NoReports => {
+            vec![(from, Action::AnswerPolls(false)), (to, Action::AnswerPolls(true))]
+        }
         Fault::StoreAway => vec![
             (from, Action::Store(Faults { down: true, ..Faults::default() })),
             (to, Action::Store(Faults::default())),
@@ -191,7 +193,7 @@
     let mut sums = (0.0, 0.0);
     for seed in SEEDS {
         let requests: Vec<Request> = case(user, cell, seed).requests;
-        sums.0 += bound::choosing(user, &requests, SPAN);
+        sums.0 += bound::size_selective(user, &requests, SPAN);
         sums.1 += bound::size_blind(user, &requests, SPAN);
     }
     (sums.0 / SEEDS.len() as f64, sums.1 / SEEDS.len() as f64)
--- a/tests/benches/reducer.rs
+++ b/tests/benches/reducer.rs
@@ -14,7 +14,7 @@
 
 /// Makes a box with a number of upstreams.
 fn node(upstreams: usize) -> Node {
-    let plan = Plan::boundless(upstreams);
+    let plan = Plan::unbounded(upstreams);
     let mut node = Node::new(Time::ZERO, settings(0));
     let site = Arc::new(Versioned { version: 1, site: plan.site() });
     node.step(Time::ZERO, Event::Site(site));
--- a/tests/tests/gossip.rs
+++ b/tests/tests/gossip.rs
@@ -15,7 +15,7 @@
     let plan = Plan { data_centres: vec!["north".to_owned()], ..Plan::default() };
     let mut world = World::new(plan.site(), BOXES, 5);
     for (at, action) in faults {
-        world.plan(Time::from_millis(at * 1000), action.clone());
+        world.schedule_action(Time::from_millis(at * 1000), action.clone());
     }
     world.run(Time::ZERO + Duration::from_secs(seconds)).map_err(|it| it.to_string())?;
     Ok(world)
--- a/tests/tests/promises.rs
+++ b/tests/tests/promises.rs
@@ -155,7 +155,10 @@
             vec![(at, Action::Store(faults)), (at + span, Action::Store(Faults::default()))]
         }
         Fault::Noise(loss, repeat, span) => {
-            vec![(at, Action::Noise(loss, repeat)), (at + span, Action::Noise(0.0, 0.0))]
+            vec![
+                (at, Action::MessageFaults(loss, repeat)),
+                (at + span, Action::MessageFaults(0.0, 0.0)),
+            ]
         }
         Fault::Engine(it, span) => vec![
             (at, Action::KillEngine(engine(it))),
@@ -166,11 +169,11 @@
             (at + span, Action::SlowEngine(engine(it), 1.0)),
         ],
         Fault::Reports(span) => {
-            vec![(at, Action::Reports(false)), (at + span, Action::Reports(true))]
+            vec![(at, Action::AnswerPolls(false)), (at + span, Action::AnswerPolls(true))]
         }
         Fault::Services(refused, lost, span) => {
-            let begin = Action::Services(refused, lost);
-            vec![(at, begin), (at + span, Action::Services(0.0, 0.0))]
+            let begin = Action::ServiceFaults(refused, lost);
+            vec![(at, begin), (at + span, Action::ServiceFaults(0.0, 0.0))]
         }
         Fault::Apply(span) => {
             vec![(at, Action::Apply), (at + 2, Action::Apply), (at + span, Action::Apply)]
@@ -180,8 +183,11 @@
 
 /// Gives what heals everything.
 fn healing() -> Vec<Action> {
-    let mut healing =
-        vec![Action::Store(Faults::default()), Action::Noise(0.0, 0.0), Action::Reports(true)];
+    let mut healing = vec![
+        Action::Store(Faults::default()),
+        Action::MessageFaults(0.0, 0.0),
+        Action::AnswerPolls(true),
+    ];
     for a in 0..BOXES {
         healing.push(Action::Restart(a));
         healing.extend((a + 1..BOXES).map(|b| Action::Cut(a, b, false)));
@@ -218,12 +224,12 @@
         let arrival = arrival.clone();
         Action::Send(Box::new(Sending { call, request: number, at: to, arrival }))
     };
-    world.plan(begun, sending(call(0), wanted.to));
+    world.schedule_action(begun, sending(call(0), wanted.to));
     for (place, &(after, to)) in wanted.again.iter().enumerate() {
-        world.plan(begun + Duration::from_millis(after), sending(call(place + 1), to));
+        world.schedule_action(begun + Duration::from_millis(after), sending(call(place + 1), to));
     }
     if let Some(gone) = wanted.gone {
-        world.plan(begun + Duration::from_millis(gone), Action::Go(call(0)));
+        world.schedule_action(begun + Duration::from_millis(gone), Action::Disconnect(call(0)));
     }
     Ok(())
 }
@@ -234,7 +240,7 @@
     world.run(at(2000)).map_err(|it| it.to_string())?;
     for (begin, fault) in &scenario.faults {
         for (at_ms, action) in actions(2000 + begin, fault) {
-            world.plan(at(at_ms), action);
+            world.schedule_action(at(at_ms), action);
         }
     }
     let mut requests: Vec<(u64, &Wanted)> =
@@ -247,7 +253,7 @@
     // The last faults end before the site is healed for good.
     world.run(at(2000 + SPAN_MS + 9500)).map_err(|it| it.to_string())?;
     for action in healing() {
-        world.plan(world.now(), action);
+        world.schedule_action(world.now(), action);
     }
     world.run(at(2000 + SPAN_MS + 9500 + QUIET_MS)).map_err(|it| it.to_string())?;
     check_end(&mut world)?;
@@ -317,13 +323,13 @@
             let arrival = generate(number, 100, 400, 400);
             let to = number as usize % BOXES;
             let sending = Sending { call: CallId(number), request: number, at: to, arrival };
-            world.plan(at(2000 + number * 10), Action::Send(Box::new(sending)));
+            world.schedule_action(at(2000 + number * 10), Action::Send(Box::new(sending)));
         }
-        world.plan(at(4000), Action::KillEngine(engine(2)));
+        world.schedule_action(at(4000), Action::KillEngine(engine(2)));
         world.run(at(40_000)).map_err(|it| it.to_string())?;
         let begun = world.ledger.callers.values().filter(|it| it.tokens > 0);
         for caller in begun {
-            let whole = matches!(caller.end, Some((_, End::Whole)));
+            let whole = matches!(caller.end, Some((_, End::Complete)));
             if !whole {
                 return Err(format!("seed {seed}: a begun answer was given up: {caller:?}"));
             }
--- a/tests/tests/tenants.rs
+++ b/tests/tests/tenants.rs
@@ -38,7 +38,7 @@
             let at = world.now() + pause * place as u32;
             let to = number as usize % BOXES;
             let sending = Sending { call: CallId(number), request: number, at: to, arrival };
-            world.plan(at, Action::Send(Box::new(sending)));
+            world.schedule_action(at, Action::Send(Box::new(sending)));
             names.insert(CallId(number), (*tenant).to_owned());
         }
     }
@@ -48,7 +48,7 @@
     for (call, caller) in &world.ledger.callers {
         let counts = counts.entry(names[call].clone()).or_default();
         match &caller.end {
-            Some((_, End::Whole)) => counts.0 += 1,
+            Some((_, End::Complete)) => counts.0 += 1,
             Some((_, End::NotRun { .. })) => counts.1 += 1,
             other => return Err(format!("call {} ended as {other:?}", call.0)),
         }
--- a/tests/tests/under_load.rs
+++ b/tests/tests/under_load.rs
@@ -28,7 +28,7 @@
 /// Engines that report nothing are still used while their requests succeed.
 #[test]
 fn reports_stopped() -> Result<(), String> {
-    let figures = run(0.8, vec![(second(3), Action::Reports(false))])?;
+    let figures = run(0.8, vec![(second(3), Action::AnswerPolls(false))])?;
     assert!(figures.goodput > figures.offered * 0.9, "{figures:?}");
     Ok(())
 }
