--- a/crates/hollyspoke-spec/src/grants.rs
+++ b/crates/hollyspoke-spec/src/grants.rs
@@ -1,75 +1,75 @@
-//! Grants and streams: no engine memory stays held by a request whose caller is gone.
+//! Grants and streams: no engine memory stays reserved by a request whose caller is gone.
 //!
-//! Bounds: two boxes, each the front of one request, either the owner; two engines with room for
-//! one stream each; one crash, one pause, one caller that goes, one engine that drops a stream;
-//! messages lost, repeated and reordered.
+//! Bounds: two boxes, each the front of one request, either the owner; two engines with memory
+//! for one stream each; one crash, one pause, one caller that disconnects; one message lost or
+//! duplicated; messages reordered.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// The most attempts of a request; after them the caller is told that it failed.
+/// The maximum number of attempts of a request; after them the front reports a failure.
 const MAX_ATTEMPTS: u8 = 2;
 
-/// One attempt of a front's request.
+/// One attempt of a front's request: the front and the attempt's number.
 pub type Ticket = (BoxId, u8);
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// The owner keeps the grants of a front that has gone silent.
+    /// The owner keeps the grants of a front that has timed out.
     GrantOutlivesFront,
-    /// A new owner does not sweep the engines' streams.
+    /// An owner does not sweep the engines for streams that its ledger lacks.
     NoSweep,
-    /// A caller's going frees nothing at the engine, and nobody asks again.
+    /// A caller's disconnect frees nothing at the engine, and the owner does not sweep.
     ForgetCancel,
-    /// A front that was paused goes on with a grant that was taken from it.
+    /// A front that was paused continues under a grant that was revoked.
     SkipFence,
 }
 
-/// What a front does with its request.
+/// The phase of a front's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// The caller has not come yet.
+    /// The caller has not connected yet.
     Idle,
-    /// It has asked the owner.
+    /// The front has asked the owner.
     Asking,
-    /// It has a grant for an engine.
+    /// The front has a grant for an engine.
     Granted(usize),
-    /// It reads the engine's stream.
+    /// The front receives the engine's stream.
     Streaming(usize),
-    /// It has given the whole answer.
+    /// The front has answered the caller, or reported a failure.
     Answered,
-    /// Its caller is gone.
+    /// The caller has disconnected.
     Gone,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     /// The front asks the owner.
     Ask(Ticket),
     /// The owner grants an engine.
     Grant(Ticket, usize),
-    /// The engine is to begin the stream.
+    /// The front starts the stream at the engine.
     Begin(Ticket, usize),
-    /// The engine is to free the stream.
+    /// A box cancels the stream at the engine.
     Cancel(Ticket, usize),
-    /// The owner takes the grant back.
+    /// The owner revokes the grant.
     Fenced(Ticket),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether each box lives.
+    /// Whether each box is alive.
     alive: [bool; 2],
-    /// Whether each box stands still.
+    /// Whether each box is paused.
     paused: [bool; 2],
-    /// Whether each box stood still and has not noticed yet.
+    /// Whether each box was paused and has not detected it yet.
     stale: [bool; 2],
-    /// What each front does.
+    /// The phase of each front's request.
     phase: [Phase; 2],
     /// The number of each front's attempt.
     attempt: [u8; 2],
@@ -77,43 +77,43 @@
     owner: BoxId,
     /// The attempt and the engine that the owner's ledger has for each front.
     ledger: [Option<(u8, usize)>; 2],
-    /// The attempts whose grants an owner has ended.
+    /// The attempts whose grants the owner has revoked.
     fenced: BTreeSet<Ticket>,
-    /// The attempt whose stream each engine holds.
+    /// The attempt whose stream reserves each engine's memory.
     streams: [Option<Ticket>; 2],
-    /// Whether a front gave an answer over a stream that was no longer its own.
+    /// Whether a front streamed under a grant that was revoked.
     used_fenced_grant: bool,
-    /// What is on its way.
+    /// The messages in transit.
     messages: BTreeSet<Message>,
-    /// Crashes left.
+    /// The number of crashes left.
     crashes: u8,
-    /// Pauses left.
+    /// The number of pauses left.
     pauses: u8,
-    /// Callers that may still go.
+    /// The number of callers that may still disconnect.
     departures: u8,
-    /// Messages that may still be lost or repeated.
+    /// The number of messages that may still be lost or duplicated.
     message_faults: u8,
 }
 
 impl State {
-    /// Tells whether a box works.
+    /// Returns whether a box is alive and not paused.
     fn is_running(&self, it: BoxId) -> bool {
         self.alive[it] && !self.paused[it]
     }
 
-    /// Gives the attempt that a front makes now.
+    /// Returns a front's current attempt.
     fn ticket(&self, front: BoxId) -> Ticket {
         (front, self.attempt[front])
     }
 
-    /// Begins a front's next attempt, or gives up after the last.
+    /// Starts a front's next attempt, or gives up after the last.
     fn next_attempt(&mut self, front: BoxId) {
         self.attempt[front] += 1;
         let has_more = self.attempt[front] < MAX_ATTEMPTS;
         self.phase[front] = if has_more { Phase::Asking } else { Phase::Answered };
     }
 
-    /// Takes an attempt out of the owner's ledger.
+    /// Removes an attempt from the owner's ledger.
     fn release(&mut self, ticket: Ticket) {
         if self.ledger[ticket.0].is_some_and(|(attempt, _)| attempt == ticket.1) {
             self.ledger[ticket.0] = None;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         alive: [true; 2],
@@ -168,7 +168,7 @@
     }
 }
 
-/// Drops the messages that change nothing whenever they arrive, so that fewer states differ.
+/// Drops messages that change nothing whenever they arrive, to reduce the number of states.
 fn forget_dead_messages(state: &mut State) {
     let messages = std::mem::take(&mut state.messages);
     let is_current = |(front, attempt): Ticket| state.attempt[front] == attempt;
@@ -187,7 +187,7 @@
     state.messages = kept.copied().collect();
 }
 
-/// Gives what is wrong with a state at rest.
+/// Describes memory that is not freed, or a caller that still waits, in a quiescent state.
 fn check_quiescence(state: &State) -> Option<String> {
     let has_owner = state.is_running(0) || state.is_running(1);
     for (front, _) in state.streams.iter().flatten().copied() {
@@ -203,7 +203,7 @@
     (is_waiting(0) || is_waiting(1)).then(|| "a caller waits for ever".to_owned())
 }
 
-/// The steps of a front.
+/// Adds the steps of a front.
 fn front_steps(state: &State, front: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let ticket = state.ticket(front);
     if state.stale[front] && mutant != Some(Mutant::SkipFence) {
@@ -239,7 +239,7 @@
                 it.streams[engine] = None;
                 it.phase[front] = Phase::Answered;
             } else {
-                // The stream was stopped: the front asks again and resumes.
+                // The stream was cancelled: the front asks again and resumes.
                 it.next_attempt(front);
             }
         }),
@@ -260,7 +260,7 @@
     }
 }
 
-/// A box crashes, stands still, or goes on.
+/// Adds a crash, a pause and a resumption of a box.
 fn fault_steps(state: &State, number: BoxId, steps: &mut Steps<'_, State>) {
     if state.alive[number] && state.crashes > 0 {
         steps.add_optional(format!("box {number} crashes"), |it| {
@@ -283,7 +283,7 @@
     }
 }
 
-/// The steps of the owner, and of a box that takes its place.
+/// Adds the steps of the owner, and of the box that replaces it.
 fn owner_steps(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let owner = state.owner;
     if !state.is_running(owner) {
@@ -314,7 +314,8 @@
     }
 }
 
-/// The owner finds a stream on an engine that its ledger does not have.
+/// Handles a stream on an engine that the owner's ledger lacks: its front declares it, or the
+/// owner cancels it.
 fn sweep_steps(state: &State, engine: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let Some(ticket) = state.streams[engine] else { return };
     let (front, attempt) = ticket;
@@ -341,7 +342,7 @@
     });
 }
 
-/// Delivers a message; it may also be lost, or stay to arrive again.
+/// Adds the delivery of a message; it may also be lost or duplicated.
 fn delivery_steps(
     state: &State,
     message: Message,
@@ -363,8 +364,8 @@
             it.messages.remove(&message);
         });
     }
-    // A call to an engine that fails is known to have failed and is made again, so that only
-    // messages between boxes are lost for good.
+    // A failed call to an engine is noticed and retried, so only messages between boxes are lost
+    // for good.
     let between_boxes =
         matches!(message, Message::Ask(_) | Message::Grant(..) | Message::Fenced(_));
     if between_boxes && state.message_faults > 0 {
@@ -381,7 +382,7 @@
     }
 }
 
-/// What a message does where it arrives.
+/// Applies a message at its recipient.
 fn apply_message(state: &mut State, message: Message, mutant: Option<Mutant>) {
     match message {
         Message::Ask(ticket) => handle_ask(state, ticket),
@@ -410,7 +411,7 @@
     }
 }
 
-/// The owner is asked for an engine.
+/// Handles a front's request for an engine at the owner.
 fn handle_ask(state: &mut State, ticket: Ticket) {
     let front = ticket.0;
     if state.fenced.contains(&ticket) {
@@ -424,7 +425,7 @@
     }
     let is_late = state.ticket(front) != ticket || state.phase[front] != Phase::Asking;
     if is_late {
-        // The front gives the grant of a late question back.
+        // The front returns a grant that answers a late request.
         return;
     }
     let other = state.ledger[1 - front].map(|(_, engine)| engine);
@@ -434,7 +435,7 @@
     state.messages.insert(Message::Grant(ticket, engine));
 }
 
-/// An engine is told to begin a stream.
+/// Handles the start of a stream at an engine.
 fn handle_begin(state: &mut State, ticket: Ticket, engine: usize, mutant: Option<Mutant>) {
     let front = ticket.0;
     let is_expected = state.ticket(front) == ticket && state.phase[front] == Phase::Granted(engine);
@@ -446,12 +447,12 @@
         return;
     }
     if state.streams[engine] == Some(ticket) {
-        // A grant that was taken back must not be used by a front that could know it.
+        // A front that could know that its grant is revoked must not use it.
         let could_know = state.fenced.contains(&ticket) && state.stale[front];
         state.used_fenced_grant |= could_know && mutant == Some(Mutant::SkipFence);
         state.phase[front] = Phase::Streaming(engine);
     } else {
-        // The engine has no room: the owner learns, and the front asks again.
+        // The engine has no free capacity: the owner releases the grant, and the front asks again.
         state.release(ticket);
         state.next_attempt(front);
     }
--- a/crates/hollyspoke-spec/src/keys.rs
+++ b/crates/hollyspoke-spec/src/keys.rs
@@ -1,78 +1,78 @@
-//! Keys: a request that must run at most once, sent to its home and sent again to any box.
+//! Keys: a request that must run at most once, sent to its home and resent to any box.
 //!
-//! Bounds: two boxes and two requests, each with box 0 as its home and up to three sendings; one
-//! crash and restart, one cut in a box's view, one lost answer, messages in any order. What a
-//! planned stop hands over, and when epochs are dropped, is left to the reducer's own tests.
+//! Bounds: two boxes and two requests, each with box 0 as its home and up to three sends; one
+//! crash and restart, any changes of box 1's view of the home, one lost answer, messages in any
+//! order. The handover at a planned stop and the expiry of epochs are left to the reducer's tests.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// The requests: the first must run at most once, the second may run again.
+/// The number of requests: request 0 must run at most once, request 1 is repeatable.
 pub const REQUESTS: usize = 2;
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A key whose home is not known to live is run.
+    /// A box runs a key whose home is not known to be alive.
     RunUnknownHome,
-    /// A call that failed after it was sent is said to be not run.
+    /// A call that failed after it was sent is reported as not run.
     SayNotRun,
-    /// The home forgets a key when it has answered.
+    /// The home forgets a key once it has answered.
     ForgetAnswered,
 }
 
-/// What the home keeps of a key.
+/// What the home knows of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyState {
-    /// Nothing.
+    /// The key is unknown.
     Absent,
-    /// It runs.
+    /// The request is running.
     Running,
-    /// It has ended, with an answer or not.
+    /// The request has ended, with or without an answer.
     Ended,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A request to a box, by a caller.
+    /// A caller's request to a box.
     Send(usize, BoxId),
-    /// A request that box 1 passes on to box 0.
+    /// A request that box 1 relays to box 0.
     Relay(usize),
-    /// The home's call of the service.
+    /// The home's call to the service.
     Call(usize),
     /// The service's answer to the home.
     Answer(usize),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether box 0 is still the incarnation that is the keys' home.
+    /// Whether box 0 is still in the incarnation that is the keys' home.
     is_home_alive: bool,
-    /// Whether box 0 is up at all.
+    /// Whether box 0 is running, in any incarnation.
     up: bool,
-    /// Whether box 1 takes the home for alive.
+    /// Whether box 1 sees the home as alive.
     sees_home_alive: bool,
-    /// What the home keeps.
+    /// The state of each key at the home.
     key_states: [KeyState; REQUESTS],
-    /// How often each request has run.
+    /// How often each request has run; 2 stands for more.
     runs: [u8; REQUESTS],
-    /// Whether a caller was told that its request was not run after it had run.
+    /// Whether a request that had run was reported as not run.
     misreported: bool,
-    /// What is on its way.
+    /// The messages in transit.
     messages: BTreeSet<Message>,
-    /// Sendings left for each request.
+    /// The number of sends left for each request.
     sends_left: [u8; REQUESTS],
-    /// Crashes left.
+    /// The number of crashes left.
     crashes: u8,
-    /// Answers of the service that may still be lost.
+    /// The number of the service's answers that may still be lost.
     losses: u8,
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         is_home_alive: true,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Callers send and send again, to either box.
+/// Adds the callers' sends and resends, to either box.
 fn caller_steps(state: &State, steps: &mut Steps<'_, State>) {
     for request in 0..REQUESTS {
         for to in 0..2 {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The home crashes and comes back as another incarnation; box 1's view changes.
+/// Adds the home's crash, its restart in another incarnation, and changes of box 1's view.
 fn fault_steps(state: &State, steps: &mut Steps<'_, State>) {
     if state.crashes > 0 && state.up {
         steps.add_optional("box 0 crashes", |it| {
@@ -143,7 +143,7 @@
     });
 }
 
-/// Delivers a message.
+/// Adds the delivery of a message.
 fn delivery_steps(
     state: &State,
     message: Message,
@@ -177,9 +177,9 @@
     }
 }
 
-/// Box 0 gets a request.
+/// Handles a request at box 0.
 fn handle_at_home(state: &mut State, request: usize) {
-    // Another incarnation is not the home: it answers that the outcome is unknown.
+    // Another incarnation is not the home and reports the outcome as unknown.
     let is_new = state.is_home_alive && state.key_states[request] == KeyState::Absent;
     if is_new {
         state.key_states[request] = KeyState::Running;
@@ -187,7 +187,7 @@
     }
 }
 
-/// Box 1 gets a request.
+/// Handles a request at box 1.
 fn handle_elsewhere(state: &mut State, request: usize, mutant: Option<Mutant>) {
     if state.sees_home_alive {
         state.messages.insert(Message::Relay(request));
@@ -199,7 +199,8 @@
     }
 }
 
-/// The home's call reaches the service, or does not.
+/// Adds the outcomes of the home's call to the service: it runs, fails to connect, or its answer
+/// is lost.
 fn call_steps(state: &State, request: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let message = Message::Call(request);
     steps.add(format!("the service runs R{request}"), |it| {
@@ -209,7 +210,7 @@
     });
     steps.add_optional(format!("the service can't be connected to for R{request}"), |it| {
         it.messages.remove(&message);
-        // Nothing was sent: the caller is told so, and may send the key again.
+        // Nothing was sent: the caller is informed and may resend the key.
         it.key_states[request] = KeyState::Absent;
     });
     if state.losses > 0 {
--- a/crates/hollyspoke-spec/src/lib.rs
+++ b/crates/hollyspoke-spec/src/lib.rs
@@ -1,9 +1,9 @@
-//! A small specification of the core protocol, apart from the code, for exhaustive search.
+//! A small specification of the core protocol, independent of the code, for exhaustive search.
 //!
-//! It has six parts, since the parts share no state: keys, claims, grants, orders, stages, and
-//! configuration. Each part has its own bounds (two boxes throughout) and is searched whole.
-//! Beside the specification stand mutants, each of which leaves one safeguard out; the search
-//! must find a counterexample for each.
+//! It has six parts that share no state: keys, claims, grants, orders, stages, and configuration.
+//! Each part has its own bounds (at most two boxes), and all its reachable states are searched.
+//! Each part also has mutants, which omit one safeguard each; the search must find a
+//! counterexample for every mutant.
 
 pub mod claims;
 pub mod configuration;
@@ -13,5 +13,5 @@
 pub mod search;
 pub mod stages;
 
-/// A box; there are two, 0 and 1.
+/// The number of a box: 0 or 1.
 pub type BoxId = usize;
--- a/crates/hollyspoke-spec/src/search.rs
+++ b/crates/hollyspoke-spec/src/search.rs
@@ -1,65 +1,65 @@
-//! Exhaustive search of a specification's states, breadth first.
+//! Exhaustive breadth-first search of a specification's states.
 
 use std::hash::{Hash, Hasher};
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// Gives the steps from a state.
+/// Returns the steps from a state.
 pub type StepFunction<S> = Box<dyn Fn(&S) -> Vec<Step<S>>>;
 
-/// Gives what is wrong with a state.
+/// Checks a state and describes the violation, if there is one.
 pub type CheckFunction<S> = Box<dyn Fn(&S) -> Option<String>>;
 
-/// A specification: where it begins, its steps, and what must hold.
+/// A specification: its initial state, its steps, and the properties that must hold.
 pub struct Specification<S> {
-    /// The state at the beginning.
+    /// The initial state.
     pub initial: S,
-    /// Gives the steps from a state, each with its name.
+    /// Returns the named steps from a state.
     pub steps: StepFunction<S>,
-    /// Gives the promise that a state breaks.
+    /// Describes the invariant that a state violates, if any.
     pub check_invariants: CheckFunction<S>,
-    /// Gives what is wrong with a state in which everything has come to rest, faults aside: what
-    /// should have been freed, answered or delivered by then.
+    /// Describes what is unfinished in a quiescent state, one with optional steps only: memory,
+    /// requests or messages that should have been freed, answered or delivered by then.
     pub check_quiescence: CheckFunction<S>,
 }
 
-/// A step.
+/// A step from one state to the next.
 #[derive(Debug, Clone)]
 pub struct Step<S> {
-    /// Its name in traces.
+    /// The name in traces.
     pub name: String,
-    /// Whether it is a fault or somebody's free choice, which need not happen.
+    /// Whether the step need not happen: a fault, or a choice of a caller or a box.
     pub optional: bool,
-    /// The state after it.
+    /// The state after the step.
     pub next: S,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The states visited.
+    /// The number of states visited.
     pub states: usize,
-    /// The most steps that some state needs at least.
+    /// The greatest distance of a state from the initial state, in steps.
     pub depth: usize,
-    /// The shortest way to a state that is wrong.
+    /// The shortest trace to a state that violates a property.
     pub counterexample: Option<Counterexample>,
 }
 
-/// A way to a state that is wrong.
+/// A trace to a state that violates a property.
 #[derive(Debug, Clone)]
 pub struct Counterexample {
-    /// What is wrong.
+    /// A description of the violation.
     pub violation: String,
-    /// The steps.
+    /// The names of the steps, in order.
     pub trace: Vec<String>,
 }
 
-/// A state with the number of steps to it, which does not count when states are compared.
+/// A state and its depth. Equality and hash ignore the depth.
 #[derive(Debug, Clone)]
 struct Visited<S> {
     /// The state.
     state: S,
-    /// The steps to it.
+    /// The number of steps from the initial state.
     depth: usize,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl<S: Clone + Eq + Hash + std::fmt::Debug> Specification<S> {
-    /// Searches all states.
+    /// Searches all reachable states, up to the first violation.
     pub fn search(&self) -> Outcome {
         let start = Visited { state: self.initial.clone(), depth: 0 };
         let (mut states, mut depth) = (0, 0);
@@ -96,7 +96,7 @@
         Outcome { states, depth, counterexample }
     }
 
-    /// Gives the shortest ways to states, up to a number, that no further step leads on from.
+    /// Returns the shortest traces to quiescent states, up to `limit` of them.
     pub fn traces(&self, limit: usize) -> Vec<Vec<String>> {
         let start = Visited { state: self.initial.clone(), depth: 0 };
         let ends = bfs_reach(start, |it| self.next(it))
@@ -104,7 +104,7 @@
         ends.take(limit).map(|it| self.trace(&it.state)).collect()
     }
 
-    /// Gives what is wrong with a state.
+    /// Describes the property that a state violates, if any.
     fn violation(&self, state: &S) -> Option<String> {
         if let Some(violation) = (self.check_invariants)(state) {
             return Some(violation);
@@ -113,14 +113,14 @@
         if is_quiescent { (self.check_quiescence)(state) } else { None }
     }
 
-    /// Gives the states after one.
+    /// Returns the successors of a state.
     fn next(&self, visited: &Visited<S>) -> Vec<Visited<S>> {
         let depth = visited.depth + 1;
         let steps = (self.steps)(&visited.state);
         steps.into_iter().map(|step| Visited { state: step.next, depth }).collect()
     }
 
-    /// Gives the names of the steps on the shortest way to a state.
+    /// Returns the names of the steps on the shortest path to a state.
     fn trace(&self, target: &S) -> Vec<String> {
         let after = |state: &S| (self.steps)(state).into_iter().map(|it| it.next);
         let path = bfs(&self.initial, |it| after(it).collect::<Vec<_>>(), |it| it == target);
@@ -134,37 +134,37 @@
     }
 }
 
-/// The steps of one state as they are gathered.
+/// Collects the steps from one state.
 #[derive(Debug)]
 pub struct Steps<'a, S> {
-    /// The state.
+    /// The state before the steps.
     state: &'a S,
-    /// The steps so far.
+    /// The steps collected so far.
     steps: Vec<Step<S>>,
 }
 
 impl<'a, S: Clone + PartialEq> Steps<'a, S> {
-    /// Begins without steps.
+    /// Creates an empty collection.
     pub fn new(state: &'a S) -> Steps<'a, S> {
         Steps { state, steps: Vec::new() }
     }
 
-    /// Adds a step that the protocol takes sooner or later.
+    /// Adds a step that the protocol takes eventually.
     pub fn add(&mut self, name: impl Into<String>, change: impl FnOnce(&mut S)) {
         self.push(name.into(), false, change);
     }
 
-    /// Adds a step that may or may not happen: a fault, or somebody's choice.
+    /// Adds a step that need not happen: a fault, or a choice of a caller or a box.
     pub fn add_optional(&mut self, name: impl Into<String>, change: impl FnOnce(&mut S)) {
         self.push(name.into(), true, change);
     }
 
-    /// Gives the steps.
+    /// Returns the collected steps.
     pub fn finish(self) -> Vec<Step<S>> {
         self.steps
     }
 
-    /// Adds a step, if it changes anything.
+    /// Adds a step if it changes the state.
     fn push(&mut self, name: String, optional: bool, change: impl FnOnce(&mut S)) {
         let mut next = self.state.clone();
         change(&mut next);
