--- a/crates/hollyspoke-spec/src/claims.rs
+++ b/crates/hollyspoke-spec/src/claims.rs
@@ -1,85 +1,86 @@
-//! Claims: a caller's own key, sent to both boxes, bound in the store by a conditional write.
+//! Claims: a key chosen by the caller, sent to both boxes and bound to one of them by a
+//! conditional write in the store.
 //!
-//! Bounds: two boxes with one sending each and one more at either; one crash, one pause, one lost
-//! read, one lost answer of a write, one late write.
+//! Bounds: two boxes with one send each; one crash, one lost read, one lost answer to a write, one
+//! late write.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A write without an answer is taken to have taken effect.
+    /// A box treats an unanswered write as having taken effect.
     BelieveLostWrite,
-    /// A claim of a home that is gone is run anew.
+    /// A box reruns a request whose claim names a dead home.
     RunUnknownHome,
-    /// The claim is written without a condition.
+    /// A box writes the claim unconditionally.
     WriteBlindly,
-    /// A box that finds its own claim runs it although it runs already.
+    /// A box that finds its own claim runs the request although it has already run it.
     RunAgain,
 }
 
-/// What a box does with the request.
+/// The phase of the request at a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Nothing yet.
+    /// The request has not arrived.
     Idle,
-    /// It reads the claim.
+    /// The box is reading the claim.
     Reading,
-    /// It writes the claim.
+    /// The box is writing the claim.
     Writing,
-    /// It waits before it reads again, after no answer.
+    /// The store did not answer; the box waits before it reads again.
     Waiting,
-    /// It is done with its own sending.
+    /// The box has run or relayed the request, or given it up.
     Done,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A read, by a box.
+    /// A read by a box.
     Get(BoxId),
-    /// What a read found.
+    /// The answer to a read: the box, the version, and the box to which the request is bound.
     Found(BoxId, u8, Option<BoxId>),
-    /// A write, by a box, expecting a version.
+    /// A write by a box, conditional on a version.
     Put(BoxId, u8),
-    /// A write that was given up on and may still take effect.
+    /// A write that has timed out and may still take effect.
     LatePut(BoxId, u8),
-    /// An answer to a write.
+    /// The answer to a write.
     PutAnswer(BoxId),
-    /// The word that no answer came.
+    /// The store did not answer in time.
     Away(BoxId),
-    /// The request, passed on to the box to which it is bound.
+    /// The request, relayed to the box to which it is bound.
     Relay(BoxId),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether each box lives as the incarnation that it was.
+    /// Whether each box is alive in its first incarnation.
     pub alive: [bool; 2],
-    /// What each box does.
+    /// The phase of the request at each box.
     pub phase: [Phase; 2],
     /// Whether each box has run the request under its own key.
     pub ran: [bool; 2],
     /// The claim object: its version, and the box to which the request is bound.
     pub claim: (u8, Option<BoxId>),
-    /// How often the request has run.
+    /// How often the request has run; 2 stands for more.
     pub runs: u8,
-    /// What is on its way.
+    /// The messages in transit.
     pub messages: BTreeSet<Message>,
-    /// Crashes left.
+    /// The number of crashes left.
     pub crashes: u8,
-    /// Lost reads, lost answers and late writes left.
+    /// The numbers of lost reads, lost answers and late writes left.
     pub losses: [u8; 3],
 }
 
-/// The highest version that is searched.
+/// The highest version of the claim in the search.
 const MAX_VERSION: u8 = 4;
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         alive: [true; 2],
@@ -114,7 +115,7 @@
     }
 }
 
-/// Boxes get the request, go on after a wait, and crash.
+/// Adds the arrival of the request at each box, the reread after a wait, and crashes.
 fn box_steps(state: &State, steps: &mut Steps<'_, State>) {
     for me in 0..2 {
         if !state.alive[me] {
@@ -135,13 +136,13 @@
     }
 }
 
-/// Begins a read.
+/// Starts a read of the claim.
 fn begin_read(state: &mut State, me: BoxId) {
     state.phase[me] = Phase::Reading;
     state.messages.insert(Message::Get(me));
 }
 
-/// Delivers a message.
+/// Adds the delivery of a message.
 fn delivery_steps(
     state: &State,
     message: Message,
@@ -186,7 +187,7 @@
         }),
         Message::Relay(me) => steps.add(name, |it| {
             it.messages.remove(&message);
-            // A box that has died answers nothing; the caller is told that nobody can tell.
+            // A dead box does not answer; the outcome is reported as unknown.
             if it.alive[me] && !it.ran[me] {
                 run_request(it, me);
             }
@@ -194,7 +195,7 @@
     }
 }
 
-/// A write reaches the store: it is answered, its answer is lost, or it takes effect late.
+/// Adds the outcomes of a write: it is answered, its answer is lost, or it takes effect late.
 fn put_steps(
     state: &State,
     me: BoxId,
@@ -226,7 +227,7 @@
     }
 }
 
-/// The store takes a write if the version is the one expected.
+/// Applies a write if the store has the expected version.
 fn apply_write(state: &mut State, me: BoxId, expected: u8, mutant: Option<Mutant>) {
     let is_applied = state.claim.0 == expected || mutant == Some(Mutant::WriteBlindly);
     if is_applied && state.claim.0 < MAX_VERSION {
@@ -234,7 +235,7 @@
     }
 }
 
-/// A box learns what the claim is.
+/// Handles the answer to a box's read.
 fn handle_found(
     state: &mut State,
     me: BoxId,
@@ -264,7 +265,7 @@
     }
 }
 
-/// A box learns that no answer came.
+/// Handles the lack of an answer at a box.
 fn handle_no_answer(state: &mut State, me: BoxId, mutant: Option<Mutant>) {
     if !state.alive[me] {
         return;
@@ -278,7 +279,7 @@
     state.phase[me] = Phase::Waiting;
 }
 
-/// A box runs the request.
+/// Runs the request at a box.
 fn run_request(state: &mut State, me: BoxId) {
     state.ran[me] = true;
     state.runs = (state.runs + 1).min(2);
--- a/crates/hollyspoke-spec/src/configuration.rs
+++ b/crates/hollyspoke-spec/src/configuration.rs
@@ -1,80 +1,81 @@
-//! Configuration: operators race, answers are lost, versions reach boxes in any order.
+//! Configuration: operators apply files concurrently, answers are lost, and versions reach boxes in
+//! any order.
 //!
-//! Bounds: two operators with one apply each, both having seen version zero or what is there when
-//! they begin; two boxes, one of which restarts once; one lost answer, one late write; messages
-//! lost, repeated and reordered.
+//! Bounds: two operators with one apply each, based on the version stored when it starts; two boxes,
+//! one of which restarts once; one lost answer, one late write; one message lost or duplicated;
+//! messages reordered.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// An older version is taken.
+    /// A box accepts an older version.
     AcceptOlder,
-    /// A write without an answer is said to have failed.
+    /// The tool reports an unanswered write as failed.
     BelieveLostWrite,
-    /// A write is made without a condition.
+    /// The tool writes unconditionally.
     WriteBlindly,
 }
 
-/// What an operator's tool does.
+/// The phase of an operator's apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Apply {
-    /// Not begun.
+    /// The apply has not started.
     Idle,
-    /// It writes, expecting a version.
+    /// The tool is writing, conditional on a version.
     Writing(u8),
-    /// It reads back, having expected a version.
+    /// The tool reads back after a write conditional on a version.
     ReadingBack(u8),
-    /// It has said that the file was accepted.
+    /// The tool has reported the file as accepted.
     ReportedAccepted,
-    /// It has said that the file was not written.
+    /// The tool has reported the file as not written.
     ReportedNotWritten,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// An operator's write, expecting a version.
+    /// An operator's write, conditional on a version.
     Put(usize, u8),
-    /// A write that may take effect late.
+    /// A write that has timed out and may still take effect.
     LatePut(usize, u8),
-    /// A version on its way to a box.
+    /// A version announced to a box.
     Site(BoxId, u8),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     /// The operator whose file each version in the store is; the first is version 1.
     pub history: Vec<usize>,
-    /// What each operator's tool does.
+    /// The phase of each operator's apply.
     pub applies: [Apply; 2],
-    /// The version in force at each box, zero for none.
+    /// The version in force at each box; zero means none.
     pub versions: [u8; 2],
-    /// The box that has gone back to an older version.
+    /// A box that reverted to an older version.
     pub reverted: Option<BoxId>,
-    /// What is on its way.
+    /// The messages in transit.
     pub messages: BTreeSet<Message>,
-    /// Restarts left.
+    /// The number of restarts left.
     pub restarts: u8,
-    /// Lost answers and late writes left.
+    /// The numbers of lost answers and late writes left.
     pub losses: [u8; 2],
-    /// Messages between boxes that may still be lost or repeated.
+    /// The number of messages between boxes that may still be lost or duplicated.
     pub message_faults: u8,
 }
 
 impl State {
-    /// Gives the version in the store.
+    /// Returns the version in the store.
     fn stored(&self) -> u8 {
         self.history.len() as u8
     }
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         history: Vec::new(),
@@ -107,7 +108,7 @@
     }
 }
 
-/// Gives the promise that a state breaks.
+/// Describes the invariant that a state violates, if any.
 fn check_invariants(state: &State) -> Option<String> {
     if let Some(number) = state.reverted {
         return Some(format!("box {number} went back to an older version"));
@@ -124,11 +125,11 @@
             _ => {}
         }
     }
-    // Both saw the same version: only one of them may have written on it.
+    // Of two applies that are based on the same version, only one may have written.
     None
 }
 
-/// The steps of an operator's tool.
+/// Adds the steps of an operator's tool.
 fn operator_steps(state: &State, operator: usize, steps: &mut Steps<'_, State>) {
     match state.applies[operator] {
         Apply::Idle => steps.add_optional(format!("operator {operator} applies"), |it| {
@@ -141,7 +142,7 @@
                 if it.history.contains(&operator) {
                     it.applies[operator] = Apply::ReportedAccepted;
                 } else if it.stored() == expected {
-                    // The lost write may still take effect: the same write is made again.
+                    // The lost write may still take effect, so the same write is repeated.
                     it.applies[operator] = Apply::Writing(expected);
                     it.messages.insert(Message::Put(operator, expected));
                 } else {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Watchers see the store, boxes tell each other, and box 1 restarts.
+/// Adds the store's notifications, announcements between boxes, and the restart of box 1.
 fn box_steps(state: &State, steps: &mut Steps<'_, State>) {
     for number in 0..2 {
         let stored = state.stored();
@@ -178,7 +179,7 @@
     }
 }
 
-/// Delivers a message.
+/// Adds the delivery of a message.
 fn delivery_steps(
     state: &State,
     message: Message,
@@ -212,7 +213,7 @@
     }
 }
 
-/// A box is shown a version.
+/// Handles an announced version at a box.
 fn receive_version(state: &mut State, to: BoxId, version: u8, mutant: Option<Mutant>) {
     let is_older = version <= state.versions[to];
     if is_older && mutant != Some(Mutant::AcceptOlder) {
@@ -224,7 +225,7 @@
     state.versions[to] = version;
 }
 
-/// A write reaches the store: it is answered, its answer is lost, or it takes effect late.
+/// Adds the outcomes of a write: it is answered, its answer is lost, or it takes effect late.
 fn put_steps(
     state: &State,
     operator: usize,
@@ -263,7 +264,7 @@
     }
 }
 
-/// The store takes a write if the version is the one expected.
+/// Applies a write if the store has the expected version. Returns whether it did.
 fn apply_write(state: &mut State, operator: usize, expected: u8, mutant: Option<Mutant>) -> bool {
     let is_applied = state.stored() == expected || mutant == Some(Mutant::WriteBlindly);
     if is_applied && state.history.len() < 3 {
--- a/crates/hollyspoke-spec/src/orders.rs
+++ b/crates/hollyspoke-spec/src/orders.rs
@@ -1,56 +1,56 @@
 //! Orders to engines under a lease whose holder may be paused.
 //!
-//! Bounds: two boxes, up to three tokens; engine 0 compares the tokens of orders, engine 1 does
-//! not; two pauses, one crash; orders stay on their way as long as they like, but for engine 1 no
-//! longer than the longest order, which a new holder waits out.
+//! Bounds: two boxes, up to three fencing tokens; engine 0 compares the tokens of orders, engine 1
+//! does not; two pauses, one crash. Orders to engine 0 have an unbounded delay. Orders to engine 1
+//! have a maximum delay, and a new holder waits that long.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// The highest token.
+/// The highest fencing token.
 const MAX_TOKEN: u8 = 3;
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A holder does not look at its own clock before it orders.
+    /// A holder sends orders without checking by its own clock that its lease is still valid.
     SkipFence,
-    /// An engine that should compares no tokens.
+    /// Engine 0 does not compare tokens.
     IgnoreToken,
-    /// A new holder does not wait out the orders of the old one.
+    /// A new holder does not wait for the old holder's orders to arrive.
     NoWait,
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether each box lives.
+    /// Whether each box is alive.
     alive: [bool; 2],
-    /// Whether each box stands still.
+    /// Whether each box is paused.
     paused: [bool; 2],
-    /// The token under which each box believes that it holds the lease.
+    /// The token with which each box believes to hold the lease.
     held_token: [Option<u8>; 2],
     /// Whether the lease has lapsed by each box's own clock.
     lapsed: [bool; 2],
-    /// The token in the store, zero before the first.
+    /// The token in the store; zero before the first lease.
     token: u8,
-    /// Whether the lease in the store has stood unrenewed for its whole time.
+    /// Whether the lease in the store has expired.
     expired: bool,
-    /// Orders on their way: engine and token.
+    /// The orders in transit: engine and token.
     orders: BTreeSet<(usize, u8)>,
     /// The highest token whose order each engine has carried out.
     newest_token: [u8; 2],
-    /// Whether an engine has carried out an older order after a newer one.
+    /// An engine that carried out an older order after a newer one.
     violating_engine: Option<usize>,
-    /// Pauses left.
+    /// The number of pauses left.
     pauses: u8,
-    /// Crashes left.
+    /// The number of crashes left.
     crashes: u8,
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         alive: [true; 2],
@@ -88,7 +88,7 @@
     }
 }
 
-/// A box takes the lease, renews it, or orders.
+/// Adds the steps of a box: it acquires the lease, detects that it lapsed, or sends orders.
 fn box_steps(state: &State, me: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     if state.expired && state.held_token[me].is_none() && state.token < MAX_TOKEN {
         steps.add_optional(format!("box {me} takes the lease"), |it| {
@@ -120,11 +120,11 @@
     }
 }
 
-/// Time passes for a lease, and boxes stand still, go on, or crash.
+/// Adds the expiry of a lease, and pauses, resumptions and crashes of a box.
 fn fault_steps(state: &State, me: BoxId, steps: &mut Steps<'_, State>) {
     let is_holder = state.held_token[me] == Some(state.token) && state.token > 0;
     if is_holder && !state.expired {
-        // The holder's own time is shorter than the store's: it lapses here first.
+        // The holder uses a shorter duration than the store, so the lease lapses here first.
         if !state.lapsed[me] {
             steps.add_optional(format!("the lease of box {me} lapses by its own clock"), |it| {
                 it.lapsed[me] = true;
@@ -157,7 +157,7 @@
     }
 }
 
-/// An order reaches its engine.
+/// Adds the arrival of an order at its engine.
 fn order_steps(engine: usize, token: u8, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     steps.add(format!("engine {engine} gets the order with token {token}"), |it| {
         it.orders.remove(&(engine, token));
--- a/crates/hollyspoke-spec/src/stages.rs
+++ b/crates/hollyspoke-spec/src/stages.rs
@@ -1,70 +1,70 @@
-//! Orders to one engine to change its stage, which may be carried out late or have their answers
-//! lost, at an engine that compares the count of orders and no tokens.
+//! Orders to one engine to change its stage. An order may be carried out late or lose its answer;
+//! the engine compares the count of orders, not fencing tokens.
 //!
-//! Bounds: three decisions, two copies of each order. Who may decide at all is the matter of
-//! [`crate::orders`]; a new holder's decisions follow on the old one's here.
+//! Bounds: three decisions, two copies of each order. [`crate::orders`] covers who may
+//! decide; here a new holder's decisions continue the old one's.
 
 use std::collections::BTreeSet;
 
 use crate::search::{Specification, Steps};
 
-/// The most decisions.
+/// The maximum number of decisions.
 const MAX_DECISIONS: u8 = 3;
 
-/// The most copies of one order.
+/// The maximum number of copies of one order.
 const MAX_COPIES: u8 = 2;
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// The engine does not compare the count.
     IgnoreCount,
-    /// An order that got no answer is sent again with the count as it is then.
+    /// The holder resends an unanswered order with the engine's current count.
     NewCount,
 }
 
-/// What the holder waits for.
+/// The phase of the lease holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Nothing.
+    /// No order is pending.
     Idle,
-    /// To send the order, with the count that the engine told.
+    /// The order is ready to send, with the count that the engine reported.
     Ready(u8),
-    /// For the answer to the newest copy, sent with that count.
+    /// The newest copy, with this count, awaits its answer.
     Sent(u8),
 }
 
-/// A copy of an order on its way.
+/// A copy of an order in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Copy {
-    /// The decision.
+    /// The number of the decision.
     decision: u8,
-    /// Which copy of the order it is.
+    /// The number of the copy.
     number: u8,
-    /// The count that the engine must have.
+    /// The count of orders that the engine must have.
     expected: u8,
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The decisions so far.
+    /// The number of decisions so far.
     decisions: u8,
-    /// The copies sent of the newest order.
+    /// The number of copies sent of the newest order.
     copies: u8,
-    /// What the holder waits for.
+    /// The phase of the lease holder.
     phase: Phase,
-    /// The copies on their way; each may take as long as it likes.
+    /// The copies in transit, each with an unbounded delay.
     in_flight: BTreeSet<Copy>,
-    /// The orders that the engine has taken.
+    /// The number of orders that the engine has carried out.
     count: u8,
-    /// The newest decision that was carried out.
+    /// The newest decision that the engine has carried out.
     newest_decision: u8,
-    /// What went wrong.
+    /// The invariant that was violated.
     violation: Option<&'static str>,
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         decisions: 0,
@@ -93,7 +93,7 @@
     }
 }
 
-/// The holder decides, sends, or gives up waiting.
+/// Adds the holder's steps: it decides, sends, or times out.
 fn holder_steps(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     match state.phase {
         Phase::Idle if state.decisions < MAX_DECISIONS => {
@@ -122,7 +122,7 @@
     }
 }
 
-/// A copy reaches the engine; its answer reaches the holder, or is lost.
+/// Adds the arrival of a copy at the engine; the answer reaches the holder or is lost.
 fn arrival_steps(copy: Copy, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     steps.add(format!("the engine gets {copy:?}, and its answer is lost"), |it| {
         carry_out(it, copy, mutant);
@@ -136,7 +136,7 @@
     });
 }
 
-/// The engine carries an order out, if it has taken as many as are expected.
+/// Carries out an order if the engine's count is the expected one.
 fn carry_out(state: &mut State, copy: Copy, mutant: Option<Mutant>) {
     state.in_flight.remove(&copy);
     if copy.expected != state.count && mutant != Some(Mutant::IgnoreCount) {
