--- a/crates/hollyspoke-model/src/engine.rs
+++ b/crates/hollyspoke-model/src/engine.rs
@@ -9,10 +9,10 @@
 use hollyspoke::site::DataCentreId;
 use hollyspoke::time::{Time, seconds};
 
-/// How long a prefill result is kept.
+/// How long an engine keeps a prefill result.
 pub const RESULT_TTL: Duration = Duration::from_secs(3);
 
-/// What an engine holds for a stream.
+/// The state that an engine keeps for a stream.
 #[derive(Debug, Clone)]
 pub struct Reservation {
     /// The answer's true length, in tokens.
@@ -21,58 +21,58 @@
     pub prompt_tokens: u32,
     /// The memory reserved, in tokens.
     pub tokens: u64,
-    /// Whether the prefill result is ready to be fetched, and until when.
+    /// When the prefill result expires; absent until the result is ready.
     pub expires: Option<Time>,
-    /// Whether the stream is being generated.
+    /// Whether the stream is being decoded.
     pub decoding: bool,
 }
 
-/// A prompt that waits to be computed or is.
+/// A prompt that is queued or being prefilled.
 #[derive(Debug, Clone)]
 struct Prompt {
-    /// The stream.
+    /// The ticket of the stream.
     ticket: Ticket,
-    /// The class, the lowest number first.
+    /// The priority class; the lowest number is served first.
     class: u8,
-    /// When it came.
+    /// When the prompt arrived.
     arrived_at: Time,
-    /// The prompt tokens still to compute.
+    /// The number of prompt tokens still to compute.
     tokens: u32,
-    /// Digests of its leading blocks.
+    /// The digests of the prompt's leading blocks.
     prefix: Vec<u64>,
 }
 
-/// A fake engine.
+/// A fake engine for prefill and decode.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: DataCentreId,
-    /// Its memory for streams, in tokens.
+    /// The memory for streams, in tokens.
     pub memory_tokens: u64,
-    /// How fast it computes prompts, in tokens a second.
+    /// The prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// How long a token takes.
+    /// The decode time of a token.
     pub token_time: Duration,
-    /// How much slower everything is.
+    /// The factor by which prefill and decode are slowed down.
     pub slow: f64,
-    /// Whether it is dead.
+    /// Whether the engine is dead.
     pub dead: bool,
-    /// The streams that it holds.
+    /// The streams and their state.
     pub held: BTreeMap<Ticket, Reservation>,
-    /// The prompts that wait.
+    /// The queued prompts.
     waiting: Vec<Prompt>,
-    /// The prompt being computed, with its end.
+    /// The prompt being prefilled, and when it ends.
     computing: Option<(Prompt, Time)>,
-    /// The prefixes in its cache, with the time of their last use.
+    /// The cached prefix blocks, with the time when each was last computed.
     cache: BTreeMap<u64, Time>,
-    /// How many prefixes its cache holds.
+    /// The capacity of the prefix cache, in blocks.
     cache_blocks: usize,
-    /// Prompt tokens computed so far.
+    /// The number of prompt tokens computed so far.
     pub computed: u64,
 }
 
 impl Engine {
-    /// Makes an engine that holds nothing.
+    /// Creates an idle engine.
     pub fn new(engine: &hollyspoke::site::Engine, cache_blocks: usize) -> Engine {
         Engine {
             data_centre: DataCentreId::of(&engine.data_centre),
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Gives the memory in use, in tokens.
+    /// Returns the memory in use, in tokens.
     pub fn used(&self) -> u64 {
         self.held.values().map(|it| it.tokens).sum()
     }
 
-    /// Gives the number of prompts waiting or being computed.
+    /// Returns the number of prompts that are queued or being prefilled.
     pub fn prompts(&self) -> usize {
         self.waiting.len() + usize::from(self.computing.is_some())
     }
 
-    /// Takes a prompt; gives when to call [`Engine::advance`], if that is not known already.
+    /// Queues a prompt. Returns when to call [`Engine::advance`], unless a call is already due.
     pub fn prefill(
         &mut self,
         now: Time,
@@ -122,7 +122,7 @@
         self.compute_next(now)
     }
 
-    /// Ends the prompt being computed if it is due; gives its stream and the next time to call.
+    /// Finishes the current prefill if it is due. Returns its stream and the next time to call.
     pub fn advance(&mut self, now: Time) -> (Option<Ticket>, Option<Time>) {
         let due = self.computing.as_ref().is_some_and(|(_, end)| *end <= now);
         if !due {
@@ -144,7 +144,7 @@
         (Some(prompt.ticket), self.compute_next(now))
     }
 
-    /// Gives a prefill result away if it is there and not too old.
+    /// Removes and returns a prefill result that is ready and has not expired.
     pub fn export(&mut self, now: Time, ticket: Ticket) -> Option<Reservation> {
         let ready = self.held.get(&ticket)?.expires?;
         if now >= ready {
@@ -154,7 +154,7 @@
         self.held.remove(&ticket)
     }
 
-    /// Reserves memory for a stream; false when there is no room.
+    /// Reserves memory for a stream; returns false without free capacity.
     pub fn reserve(&mut self, ticket: Ticket, tokens: u64) -> bool {
         if self.used() + tokens > self.memory_tokens {
             return false;
@@ -165,7 +165,7 @@
         true
     }
 
-    /// Frees all that is held for a stream; gives the next time to call [`Engine::advance`].
+    /// Frees all state of a stream. Returns the next time to call [`Engine::advance`].
     pub fn cancel(&mut self, now: Time, ticket: Ticket) -> Option<Time> {
         self.held.remove(&ticket);
         self.waiting.retain(|it| it.ticket != ticket);
@@ -180,12 +180,12 @@
         self.compute_next(now)
     }
 
-    /// Frees the prefill results that are too old.
+    /// Frees expired prefill results.
     pub fn expire(&mut self, now: Time) {
         self.held.retain(|_, it| it.expires.is_none_or(|at| now < at));
     }
 
-    /// Loses everything.
+    /// Marks the engine as dead and drops its streams and prompts; the prefix cache stays.
     pub fn crash(&mut self) {
         self.dead = true;
         self.held.clear();
@@ -193,7 +193,7 @@
         self.computing = None;
     }
 
-    /// Begins the next prompt, the lowest class first; gives its end.
+    /// Starts the next prefill, the lowest class first. Returns when it ends.
     fn compute_next(&mut self, now: Time) -> Option<Time> {
         if self.computing.is_some() || self.waiting.is_empty() {
             return None;
@@ -211,12 +211,12 @@
     }
 }
 
-/// Writes a prompt whose answer has a length; `name` makes it one of its own.
+/// Builds a prompt that encodes the length of its answer; `name` makes it unique.
 pub fn prompt(name: u64, length: u32) -> String {
     format!("{name}:{length}")
 }
 
-/// Reads the length of the answer from a prompt.
+/// Parses the length of the answer from a prompt.
 fn length_of(prompt: &str) -> Option<u32> {
     prompt.rsplit(':').next()?.parse().ok()
 }
--- a/crates/hollyspoke-model/src/ledger.rs
+++ b/crates/hollyspoke-model/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What really happened, kept apart from the reducers, and the promises checked against it.
+//! A record of what happened, independent of the reducers, and the guarantees checked against it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,48 +9,48 @@
 use hollyspoke::outcome::ProblemKind;
 use hollyspoke::time::Time;
 
-/// One call of a caller, as the caller sees it.
+/// One call, as its caller observes it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The request that it belongs to: several calls may be sendings of one request.
+    /// The request; several calls may be sends of one request.
     pub request: u64,
-    /// The box that it was sent to.
+    /// The box to which the call was sent.
     pub at: usize,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent: Time,
     /// Whether the request must run at most once.
     pub once: bool,
-    /// The tokens received.
+    /// The number of tokens received.
     pub tokens: u32,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first: Option<Time>,
-    /// The end, once it has come.
+    /// When and how the call ended; absent while it is open.
     pub end: Option<(Time, End)>,
-    /// Whether the caller is gone, or its box is.
+    /// Whether the caller has disconnected, or its box is dead.
     pub gone: bool,
 }
 
 /// How a call ended for its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum End {
-    /// A whole answer.
+    /// The answer is complete.
     Complete,
-    /// Refused as not run.
+    /// The request is refused as not run.
     NotRun {
-        /// When to come back.
+        /// The delay after which to retry, if one was given.
         after: Option<Duration>,
     },
-    /// Sent, and failed.
+    /// The request was sent and failed.
     Failed,
-    /// Nobody can tell.
+    /// The outcome is unknown.
     Unknown,
-    /// Taken over by a later call.
+    /// A later call superseded this one.
     Superseded,
-    /// Passed on to another box.
+    /// The request was relayed to another box.
     Relayed,
 }
 
-/// A promise that was broken.
+/// A description of a violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation(pub String);
 
@@ -60,23 +60,23 @@
     }
 }
 
-/// All that happened.
+/// The record of all calls and runs.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    /// The calls.
+    /// The calls by their number.
     pub callers: BTreeMap<CallId, Caller>,
     /// How often each request ran at a plain service.
     pub runs: BTreeMap<u64, u32>,
-    /// How many prefills each request had.
+    /// How often each request was prefilled.
     pub prefills: BTreeMap<u64, u32>,
-    /// Requests of which some call was refused as not run before any other call was made.
+    /// The requests whose only call so far was refused as not run.
     pub refused: BTreeMap<u64, bool>,
-    /// The promises broken so far.
+    /// The violations so far.
     pub violations: Vec<Violation>,
 }
 
 impl Ledger {
-    /// Notes that a request runs at a plain service.
+    /// Records that a request runs at a plain service.
     pub fn record_run(&mut self, request: u64) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
@@ -88,13 +88,13 @@
         self.check_refused(request);
     }
 
-    /// Notes that a request's prompt is computed.
+    /// Records that a request is prefilled.
     pub fn record_prefill(&mut self, request: u64) {
         *self.prefills.entry(request).or_default() += 1;
         self.check_refused(request);
     }
 
-    /// Notes a reply to a caller.
+    /// Records a reply to a caller.
     pub fn record_reply(&mut self, now: Time, call: CallId, reply: &CallerReply) {
         let Some(caller) = self.callers.get_mut(&call) else { return };
         if let Some((_, end)) = &caller.end {
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Notes that a request was refused as not run: if this is its only call, it must not have
-    /// run and must never run.
+    /// Records that a request was refused as not run. If this is its only call, the request must
+    /// not have run and must never run.
     fn record_refusal(&mut self, request: u64) {
         let calls = self.callers.values().filter(|it| it.request == request).count();
         if calls == 1 {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Checks that a request refused as not run has not run.
+    /// Checks that a request refused as not run has not run, unless it was sent again.
     fn check_refused(&mut self, request: u64) {
         if !self.refused.contains_key(&request) {
             return;
--- a/crates/hollyspoke-model/src/lib.rs
+++ b/crates/hollyspoke-model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reducers in virtual time against small fakes at their interface: engines, plain services, the
-//! store, the network between boxes, and callers.
+//! Runs reducers in virtual time against small fakes: engines, plain services, the store, the
+//! network between boxes, and callers.
 //!
-//! Property tests drive it with faults and check the promises after every step; the policy
-//! figures come from the same fakes. It is no bench for whole sites: nothing here has sockets.
+//! Property tests inject faults and check the guarantees after every step; the policy figures come
+//! from the same fakes. Nothing here opens sockets, so it doesn't measure whole sites.
 
 pub mod baseline;
 pub mod bound;
--- a/crates/hollyspoke-model/src/network.rs
+++ b/crates/hollyspoke-model/src/network.rs
@@ -1,4 +1,4 @@
-//! A fake network between boxes in virtual time: delay, loss, repetition, and cuts.
+//! A fake network between boxes in virtual time: delay, loss, duplication, and cuts.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// A fake network.
+/// A fake network between boxes.
 #[derive(Debug, Clone)]
 pub struct Network {
-    /// The least delay of a message.
+    /// The minimum delay of a message.
     pub delay: Duration,
-    /// How much longer a message may take, by chance; reorders messages.
+    /// The maximum random delay on top of the minimum; it reorders messages.
     pub jitter: Duration,
     /// The share of messages lost.
     pub loss: f64,
-    /// The share of messages that arrive twice.
+    /// The share of messages that are duplicated.
     pub repeat: f64,
     /// The pairs of boxes that can't reach each other, the lower number first.
     cuts: BTreeSet<(usize, usize)>,
@@ -34,7 +34,7 @@
 }
 
 impl Network {
-    /// Cuts or joins two boxes.
+    /// Cuts the connection between two boxes, or restores it.
     pub fn set_cut(&mut self, a: usize, b: usize, cut: bool) {
         let pair = (a.min(b), a.max(b));
         if cut {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Tells whether two boxes are cut off from each other.
+    /// Returns whether the connection between two boxes is cut.
     pub fn is_cut(&self, a: usize, b: usize) -> bool {
         self.cuts.contains(&(a.min(b), a.max(b)))
     }
 
-    /// Gives the delays after which copies of a message arrive; none when it is lost.
+    /// Returns the delay of each copy of a message; none if the message is lost.
     pub fn deliveries(&self, random: &mut Pcg64Mcg, from: usize, to: usize) -> Vec<Duration> {
         if self.is_cut(from, to) || random.random_bool(self.loss) {
             return Vec::new();
--- a/crates/hollyspoke-model/src/result.rs
+++ b/crates/hollyspoke-model/src/result.rs
@@ -1,39 +1,39 @@
-//! What a run of a policy came to.
+//! The results of a run of a policy.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// The target for the first token.
+/// The target time to the first token.
 pub const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(1200);
 
 /// The target for the time between tokens.
 pub const BETWEEN_TOKENS_TARGET: Duration = Duration::from_millis(35);
 
-/// The longest time that is told apart, in milliseconds.
+/// The longest time that the histogram records, in milliseconds; longer times count as this.
 const MAX_RECORDED_MS: u64 = 600_000;
 
-/// One sending of a request, as its caller saw it.
+/// One send of a request, as its caller observed it.
 #[derive(Debug, Clone, Copy)]
 pub struct Observation {
-    /// The tenant.
+    /// The number of the tenant.
     pub tenant: usize,
-    /// The class.
+    /// The priority class.
     pub class: u8,
-    /// From sending to the first token, if one came.
+    /// The time from the send to the first token; absent if no token arrived.
     pub first_token: Option<Duration>,
     /// The mean time between tokens.
     pub between_tokens: Duration,
-    /// Whether the answer was whole.
+    /// Whether the answer was complete.
     pub whole: bool,
-    /// Whether it was refused as not run.
+    /// Whether the request was refused as not run.
     pub refused: bool,
-    /// Whether it is a refused request that came back.
+    /// Whether this is a retry of a refused request.
     pub is_retry: bool,
 }
 
 impl Observation {
-    /// Tells whether it was answered within both targets.
+    /// Returns whether the answer was complete and within both targets.
     pub fn is_good(&self) -> bool {
         self.whole
             && self.first_token.is_some_and(|it| it <= FIRST_TOKEN_TARGET)
@@ -41,28 +41,28 @@
     }
 }
 
-/// A run's figures.
+/// The figures of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Figures {
-    /// Requests a second that came, without those that came back.
+    /// Requests per second that arrived, without retries.
     pub offered: f64,
-    /// Requests a second that were answered within both targets.
+    /// Requests per second that were answered within both targets.
     pub goodput: f64,
-    /// The same for class 0 alone.
+    /// The goodput of class 0 only.
     pub goodput_first_class: f64,
     /// The share of computed prompt tokens whose result was never decoded.
     pub wasted: f64,
-    /// First-token times in milliseconds: median, 95 and 99 in 100.
+    /// First-token times in milliseconds: 50th, 95th and 99th percentile.
     pub first_token: [u64; 3],
-    /// The share of sendings that were refused as not run.
+    /// The share of sends that were refused as not run.
     pub refused: f64,
-    /// The share of sendings that failed after they were sent, or never ended.
+    /// The share of sends that failed or never ended.
     pub failed: f64,
-    /// The least share of a tenant's sendings that was good, by the greatest.
+    /// The smallest share of a tenant's first sends that met the targets, divided by the greatest.
     pub fairness: f64,
 }
 
-/// Works a run's figures out.
+/// Computes the figures of a run.
 pub fn figures(
     observations: &[Observation],
     span: Duration,
@@ -91,7 +91,8 @@
     }
 }
 
-/// Gives the least share of a tenant's sendings that was good, by the greatest, within class 0.
+/// Returns the smallest share of a tenant's first sends that met the targets, divided by the
+/// greatest; zero if no send did.
 fn fairness(observations: &[Observation]) -> f64 {
     let mut shares = Vec::new();
     let tenants = observations.iter().map(|it| it.tenant).max().map_or(0, |it| it + 1);
--- a/crates/hollyspoke-model/src/store.rs
+++ b/crates/hollyspoke-model/src/store.rs
@@ -4,14 +4,14 @@
 
 use hollyspoke::store::{Answer, Operation};
 
-/// What goes wrong at the store.
+/// The faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Nothing is answered or done.
+    /// Operations are neither applied nor answered.
     pub down: bool,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their answers are lost.
     pub lose_answers: bool,
-    /// Writes take effect only after their answer was given up on.
+    /// Writes take effect only after the caller has timed out.
     pub late: bool,
 }
 
@@ -20,29 +20,29 @@
 pub struct Store {
     /// The objects, with their versions.
     objects: BTreeMap<(String, String), (u64, String)>,
-    /// The last version given.
+    /// The last version assigned.
     version: u64,
-    /// What goes wrong.
+    /// The current faults.
     pub faults: Faults,
-    /// Reads so far.
+    /// The number of reads so far.
     pub reads: u64,
-    /// Writes so far.
+    /// The number of writes so far.
     pub writes: u64,
 }
 
-/// What becomes of an operation.
+/// The outcome of an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is answered.
+    /// The operation is answered.
     Answered(Answer),
-    /// Its answer is lost.
+    /// The answer is lost.
     Lost,
-    /// Its answer is lost, and it takes effect later, when it is applied again.
+    /// The answer is lost, and the operation takes effect when the caller applies it later.
     Late(Operation),
 }
 
 impl Store {
-    /// Takes an operation.
+    /// Handles an operation, subject to the current faults.
     pub fn handle(&mut self, operation: Operation) -> Outcome {
         match &operation {
             Operation::Get { .. } => self.reads += 1,
@@ -62,7 +62,7 @@
         Outcome::Answered(answer)
     }
 
-    /// Carries an operation out.
+    /// Applies an operation, regardless of faults.
     pub fn apply(&mut self, operation: Operation) -> Answer {
         match operation {
             Operation::Get { kind, name } => match self.objects.get(&(kind, name)) {
