--- a/crates/hollyspoke-model/src/world.rs
+++ b/crates/hollyspoke-model/src/world.rs
@@ -1,4 +1,4 @@
-//! Boxes, engines, services, store, network and callers in one virtual time.
+//! A simulation of boxes, engines, services, the store, the network and callers in virtual time.
 
 mod action;
 mod due;
@@ -29,96 +29,95 @@
 use crate::network::Network;
 use crate::store::{Outcome, Store};
 
-/// How often each box is told that time has passed.
+/// The interval between the ticks of a box.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a call to an engine or service takes on its way.
+/// The delay of a call to an engine or service.
 const CALL_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a box waits for a connection.
+/// The timeout of a connection between boxes.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a store's answer takes.
+/// The delay of the store's answer.
 const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// How long a box waits for the store.
+/// The timeout of an operation on the store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The prefix blocks that an engine's cache holds.
+/// The capacity of an engine's prefix cache, in blocks.
 const CACHE_BLOCK_COUNT: usize = 4096;
 
-/// The rate of a link that the site does not name, in bytes a second.
+/// The rate of a link that the site doesn't list, in bytes per second.
 const DEFAULT_LINK_BYTES_PER_S: u64 = 10_000_000_000;
 
-/// A place at which a box runs, life after life.
+/// A slot in which a box runs, one generation after another.
 #[derive(Debug, Clone)]
 struct BoxSlot {
-    /// The reducer, while the box lives.
+    /// The reducer; absent while the box is dead.
     node: Option<Node>,
-    /// The number of the life.
+    /// The generation, which changes with every start and stop.
     generation: u64,
-    /// Until when the box stands still.
+    /// When the current pause ends, if there is one.
     paused_until: Option<Time>,
-    /// What came while it stood still.
+    /// The events that arrived during the pause.
     backlog: Vec<Event>,
-    /// Whether it holds the watch.
+    /// Whether the box watches the store.
     watching: bool,
-    /// The version in force at the last step.
+    /// The version in force after the last step.
     version: u64,
-    /// Its data centre.
+    /// The data centre.
     data_centre: String,
 }
 
-/// The world.
+/// The state of the simulation.
 #[derive(Debug)]
 pub struct World {
-    /// The time.
+    /// The virtual time.
     now: Time,
-    /// The number of the last entry.
+    /// The order number of the last entry in the queue.
     last_order: u64,
-    /// What is due.
+    /// The events that are due.
     queue: BinaryHeap<Entry>,
-    /// The boxes.
+    /// The slots of the boxes.
     slots: Vec<BoxSlot>,
     /// The engines.
     pub engines: BTreeMap<UpstreamId, Engine>,
     /// The engine at each address.
     addresses: BTreeMap<String, UpstreamId>,
-    /// When each link is free.
+    /// When each link becomes free.
     links: BTreeMap<(DataCentreId, DataCentreId), Time>,
-    /// The share of its rate that each link has.
+    /// The share of its configured rate that each link has.
     link_share: f64,
     /// Whether engines answer polls.
     answers_polls: bool,
-    /// The share of calls that a plain service refuses to take, and of those that it runs without
-    /// answering.
+    /// The shares of calls that a plain service refuses, and that it runs without answering.
     service_faults: (f64, f64),
     /// The store.
     pub store: Store,
     /// The network between boxes.
     pub network: Network,
-    /// What really happened.
+    /// The record of what happened.
     pub ledger: Ledger,
     /// The requests' records.
     pub records: Vec<Record>,
-    /// What boxes noted for operators, and when.
+    /// The notes of boxes for operators, and when they were made.
     pub notes: Vec<(Time, String)>,
-    /// Prompt tokens whose stream was generated.
+    /// The number of prompt tokens whose stream was decoded.
     pub useful_tokens: u64,
-    /// The site that the store has accepted.
+    /// The site that the store accepted last.
     site: Arc<Versioned>,
-    /// Attempts that a box has dropped.
+    /// The attempts that boxes have dropped.
     dropped: BTreeSet<Ticket>,
-    /// The sendings, for passing on.
+    /// The sends by call, for relays.
     sendings: BTreeMap<CallId, Sending>,
-    /// The number of the last call made for passing on.
+    /// The number of the last call made for a relay.
     last_relay: u64,
-    /// Chance.
+    /// The random number generator.
     random: Pcg64Mcg,
 }
 
 impl World {
-    /// Makes a world with boxes in the site's data centres in turn, all knowing each other soon.
+    /// Creates a world with boxes spread over the site's data centres in turn.
     pub fn new(site: Site, boxes: usize, seed: u64) -> World {
         let mut world = World {
             now: Time::ZERO,
@@ -164,43 +163,43 @@
         world
     }
 
-    /// Gives the time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Gives the version that the store has accepted last.
+    /// Returns the version that the store accepted last.
     pub fn accepted(&self) -> u64 {
         self.site.version
     }
 
-    /// Gives a box that owns some engines.
+    /// Returns a box that owns some engines.
     pub fn owner(&self) -> Option<usize> {
         let owns = |it: &BoxSlot| it.node.as_ref().is_some_and(|it| !it.status().pools.is_empty());
         self.slots.iter().position(owns)
     }
 
-    /// Gives a box's reducer, while it lives.
+    /// Returns a box's reducer, unless the box is dead.
     pub fn node(&self, number: usize) -> Option<&Node> {
         self.slots[number].node.as_ref()
     }
 
-    /// Gives a key whose home is a box, in the box's epoch; nothing while it is dead.
+    /// Returns a key whose home is a box, in the box's epoch, unless the box is dead.
     pub fn key(&self, number: usize, nonce: u64) -> Option<Key> {
         let entry = self.node(number)?.entry();
         Some(Key { home: entry.incarnation, epoch: entry.beat.epoch, nonce })
     }
 
-    /// Has something happen from outside at a time.
+    /// Schedules an external action.
     pub fn schedule_action(&mut self, at: Time, action: Action) {
         self.schedule(at, Due::Action(Box::new(action)));
     }
 
-    /// Runs until a time, or until a promise is broken.
+    /// Runs until a time, or until a guarantee is violated.
     ///
     /// # Errors
     ///
-    /// The first promise broken.
+    /// The first violation.
     pub fn run(&mut self, until: Time) -> Result<(), Violation> {
         while let Some(entry) = self.queue.peek() {
             if entry.at > until {
@@ -217,7 +216,7 @@
         Ok(())
     }
 
-    /// Gives the memory that engines hold now, in tokens, and their streams.
+    /// Returns the engines with streams, their reserved memory in tokens, and their stream counts.
     pub fn held(&mut self) -> Vec<(UpstreamId, u64, usize)> {
         let now = self.now;
         let mut held = Vec::new();
@@ -230,18 +229,18 @@
         held
     }
 
-    /// Puts something into the queue.
+    /// Adds an event to the queue.
     fn schedule(&mut self, at: Time, due: Due) {
         self.last_order += 1;
         self.queue.push(Entry { at, order: self.last_order, due });
     }
 
-    /// Puts an event for a box's present life into the queue.
+    /// Adds an event for a box's current generation to the queue, after a delay.
     fn schedule_event(&mut self, after: Duration, front: (usize, u64), event: Event) {
         self.schedule(self.now + after, Due::Event(front.0, front.1, Box::new(event)));
     }
 
-    /// Does what is due.
+    /// Handles a due event.
     fn dispatch(&mut self, due: Due) {
         match due {
             Due::Tick(number, generation) => self.tick(number, generation),
@@ -266,7 +265,7 @@
         }
     }
 
-    /// Ticks a box, and plans its next tick.
+    /// Ticks a box and schedules its next tick.
     fn tick(&mut self, number: usize, generation: u64) {
         let slot = &mut self.slots[number];
         if slot.generation != generation || slot.node.is_none() {
@@ -287,7 +286,7 @@
         self.deliver(number, generation, Event::Tick);
     }
 
-    /// Gives an event to a box, if it still lives the same life.
+    /// Delivers an event to a box if it is still in the same generation.
     fn deliver(&mut self, number: usize, generation: u64, event: Event) {
         let now = self.now;
         let slot = &mut self.slots[number];
@@ -311,7 +310,7 @@
         }
     }
 
-    /// Carries out an effect of a box.
+    /// Applies an effect of a box.
     fn apply_effect(&mut self, front: (usize, u64), effect: Effect) {
         match effect {
             Effect::Send { to, address, message } => {
@@ -337,7 +336,7 @@
             Effect::Drop(ticket) => {
                 self.dropped.insert(ticket);
             }
-            // Engines of this world take no orders, and report no state that would call for one.
+            // Fake engines accept no orders, and report no state that would require one.
             Effect::Order { .. } => {}
             Effect::Poll { engine, .. } => self.poll(front, engine),
             Effect::Call { ticket, call, .. } => {
@@ -364,7 +363,7 @@
         }
     }
 
-    /// Sends a message from box to box.
+    /// Sends a message from one box to another.
     fn send(
         &mut self,
         front: (usize, u64),
@@ -386,7 +385,7 @@
         let is_paused =
             self.slots[other].paused_until.is_some_and(|it| it > self.now + CONNECT_TIMEOUT);
         if is_paused {
-            // No answer comes in time, though the message waits there.
+            // No answer arrives in time, though the message stays queued at the paused box.
             self.schedule_event(CONNECT_TIMEOUT, front, Event::Unreachable(to));
         }
         let generation = self.slots[other].generation;
@@ -395,7 +394,7 @@
         }
     }
 
-    /// Greets the box at an address.
+    /// Exchanges member entries with the box at an address.
     fn greet(&mut self, front: (usize, u64), address: &str) {
         let Some(other) = slot_of(address) else { return };
         let (Some(mine), Some(theirs)) = (self.node(front.0), self.node(other)) else { return };
@@ -407,7 +406,7 @@
         }
     }
 
-    /// Takes a reply to a caller, and passes the request on where it says so.
+    /// Records a reply to a caller, and relays the request if the reply says so.
     fn reply(&mut self, call: CallId, reply: CallerReply) {
         self.ledger.record_reply(self.now, call, &reply);
         let CallerReply::Relay { address, key, repeatable } = reply else { return };
@@ -434,7 +433,7 @@
         self.schedule_action(self.now + CALL_DELAY, Action::Send(Box::new(sending)));
     }
 
-    /// Carries out an operation on the store.
+    /// Applies an operation to the store and schedules its answer.
     fn store_operation(&mut self, front: (usize, u64), number: u64, operation: objects::Operation) {
         let (after, answer) = match self.store.handle(operation) {
             Outcome::Answered(answer) => (STORE_DELAY, answer),
@@ -448,7 +447,7 @@
         self.schedule_event(after, front, Event::Store { number, answer });
     }
 
-    /// Gives a box the site in the store, if the store answers.
+    /// Sends a box the stored site, or reports the store as unreachable.
     fn send_site(&mut self, front: (usize, u64)) {
         if self.store.faults.down {
             self.schedule_event(STORE_TIMEOUT, front, Event::StoreReachable(false));
@@ -478,7 +477,7 @@
         self.schedule_event(CALL_DELAY, (at, generation), Event::Arrive { call, arrival });
     }
 
-    /// Closes a caller's connection.
+    /// Disconnects a caller.
     fn disconnect(&mut self, call: CallId) {
         let Some(caller) = self.ledger.callers.get_mut(&call) else { return };
         caller.gone = true;
@@ -487,7 +486,7 @@
         self.schedule_event(CALL_DELAY, (at, generation), Event::Gone(call));
     }
 
-    /// Ends a box's life.
+    /// Stops a box and ends its generation.
     fn stop(&mut self, number: usize) {
         let now = self.now;
         let slot = &mut self.slots[number];
@@ -504,7 +503,7 @@
         }
     }
 
-    /// Begins a box's next life.
+    /// Starts a dead box in its next generation.
     fn restart(&mut self, number: usize) {
         if self.slots[number].node.is_some() {
             return;
@@ -525,14 +524,14 @@
         self.schedule(self.now + offset, Due::Tick(number, generation));
     }
 
-    /// Finds the live engine at an address.
+    /// Returns the engine at an address, unless it is dead.
     fn engine_at(&mut self, address: &str) -> Option<(UpstreamId, &mut Engine)> {
         let id = *self.addresses.get(address)?;
         let engine = self.engines.get_mut(&id).filter(|it| !it.dead)?;
         Some((id, engine))
     }
 
-    /// Finds the box whose attempt a ticket is, if it still lives and waits for it.
+    /// Returns the box of a ticket's attempt, if the box is alive and has not dropped the attempt.
     fn front_of(&self, ticket: Ticket) -> Option<(usize, u64)> {
         if self.dropped.contains(&ticket) {
             return None;
@@ -543,13 +542,13 @@
         Some((number, self.slots[number].generation))
     }
 
-    /// Gives the size of a prefill result, in bytes.
+    /// Returns the size of a prefill result, in bytes.
     fn kv_bytes(&self, prompt_tokens: u32) -> u64 {
         let per_token = self.site.site.models.first().map_or(0, |it| it.kv_bytes_per_token);
         per_token * u64::from(prompt_tokens)
     }
 
-    /// Gives a link's rate, in bytes a second.
+    /// Returns a link's configured rate, in bytes per second.
     fn link_rate(&self, link: (DataCentreId, DataCentreId)) -> f64 {
         let ends = |it: &hollyspoke::site::Link| {
             let (a, b) = (DataCentreId::of(&it.from), DataCentreId::of(&it.to));
@@ -560,7 +559,7 @@
     }
 }
 
-/// Finds the seat of an address between boxes.
+/// Parses the slot's number from the peer address of a box.
 fn slot_of(address: &str) -> Option<usize> {
     address.strip_prefix("box:")?.parse().ok()
 }
--- a/crates/hollyspoke-model/src/world/action.rs
+++ b/crates/hollyspoke-model/src/world/action.rs
@@ -1,4 +1,4 @@
-//! What happens in the world from outside: callers' requests and faults.
+//! External actions on the world: callers' requests and faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::store::Faults;
 use crate::world::World;
 
-/// Something that happens in the world from outside.
+/// An external action on the world.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// A caller sends a request.
@@ -19,50 +19,49 @@
     Disconnect(CallId),
     /// A box dies.
     Crash(usize),
-    /// A dead box starts anew.
+    /// A dead box restarts.
     Restart(usize),
-    /// A box stands still for a while.
+    /// A box pauses for a duration.
     Pause(usize, Duration),
-    /// A box begins its planned stop.
+    /// A box starts its planned stop.
     Leave(usize),
-    /// Two boxes can't reach each other, or can again.
+    /// The connection between two boxes is cut or restored.
     Cut(usize, usize, bool),
     /// The store's faults change.
     Store(Faults),
-    /// The share of messages lost and repeated changes.
+    /// The shares of messages that are lost and duplicated change.
     MessageFaults(f64, f64),
     /// An engine dies.
     KillEngine(UpstreamId),
-    /// An engine comes back empty.
+    /// A dead engine restarts without streams.
     ReviveEngine(UpstreamId),
-    /// An engine becomes so many times slower.
+    /// An engine becomes slower by a factor.
     SlowEngine(UpstreamId, f64),
-    /// Every link's rate becomes this share of what the site says.
+    /// Every link's rate becomes this share of its configured rate.
     SlowLinks(f64),
-    /// Engines stop or start to answer polls.
+    /// Engines start or stop answering polls.
     AnswerPolls(bool),
-    /// The share of calls that a plain service refuses to take, and of those that it runs without
-    /// answering, changes.
+    /// The shares of calls that a plain service refuses, and that it runs without answering, change.
     ServiceFaults(f64, f64),
-    /// The site that is in force is accepted by the store once more, as a new version.
+    /// The store accepts the current site again, as a new version.
     Apply,
 }
 
-/// A caller's sending of a request.
+/// One send of a caller's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sending {
-    /// The connection's number.
+    /// The number of the call.
     pub call: CallId,
-    /// The request; several sendings may belong to one.
+    /// The number of the request; several sends may share it.
     pub request: u64,
-    /// The box.
+    /// The number of the box.
     pub at: usize,
-    /// What is sent. The prompt or body names the request.
+    /// The request as it arrives. Its prompt or body holds the request's number.
     pub arrival: Arrival,
 }
 
 impl World {
-    /// Lets something happen from outside.
+    /// Applies an external action.
     pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send(sending) => self.send_request(*sending),
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Shows the watching boxes what the store has, or that it is away.
+    /// Sends the watching boxes the stored site, or reports the store as unreachable.
     fn notify_watchers(&mut self) {
         for number in 0..self.slots.len() {
             if self.slots[number].watching && self.slots[number].node.is_some() {
@@ -125,7 +124,7 @@
     }
 }
 
-/// Makes an arrival of a request for tokens; `length` is the answer's true length.
+/// Builds the arrival of a request for tokens; `length` is the answer's true length.
 pub fn generate(request: u64, prompt_tokens: u32, max_tokens: u32, length: u32) -> Arrival {
     let prompt = crate::engine::prompt(request, length);
     let work = Generate {
@@ -146,7 +145,7 @@
     }
 }
 
-/// Makes an arrival of a call that must run at most once.
+/// Builds the arrival of a call that must run at most once.
 pub fn hold(request: u64) -> Arrival {
     let call = hollyspoke::event::Call {
         method: "POST".to_owned(),
--- a/crates/hollyspoke-model/src/world/due.rs
+++ b/crates/hollyspoke-model/src/world/due.rs
@@ -1,4 +1,4 @@
-//! What is due in the world, in the order of time.
+//! The event queue of the world, in order of time.
 
 use std::cmp::Ordering;
 
@@ -11,18 +11,18 @@
 use crate::engine::Reservation;
 use crate::world::Action;
 
-/// Something that is due.
+/// An event of the simulation. Boxes are given by number and generation.
 #[derive(Debug, Clone)]
 pub(super) enum Due {
-    /// A box's tick.
+    /// A tick of a box.
     Tick(usize, u64),
-    /// An event for a box's life.
+    /// An event for a box in one generation.
     Event(usize, u64, Box<Event>),
-    /// An engine may have computed a prompt.
+    /// An engine may have finished a prefill.
     Prefilled(UpstreamId),
-    /// A transfer has ended.
+    /// A transfer of KV cache has ended.
     Transferred(Transfer),
-    /// A token is due.
+    /// The next token of a stream is due.
     Token(Stream),
     /// A cancel reaches an engine.
     Cancelled(UpstreamId, Ticket),
@@ -30,44 +30,44 @@
     ServiceCall(usize, u64, Ticket, u64),
     /// A lost write takes effect.
     Late(objects::Operation),
-    /// Something from outside.
+    /// An external action.
     Action(Box<Action>),
 }
 
-/// A transfer under way.
+/// A transfer of KV cache in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Transfer {
-    /// The box that asked for it.
+    /// The number and generation of the box that requested it.
     pub(super) front: (usize, u64),
-    /// The attempt.
+    /// The ticket of the attempt.
     pub(super) ticket: Ticket,
     /// The decode engine.
     pub(super) to: UpstreamId,
-    /// What crosses.
+    /// The state of the stream that is transferred.
     pub(super) held: Reservation,
 }
 
-/// A stream under way.
+/// A stream in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Stream {
-    /// The box that reads it.
+    /// The number and generation of the box that receives it.
     pub(super) front: (usize, u64),
-    /// The attempt.
+    /// The ticket of the attempt.
     pub(super) ticket: Ticket,
-    /// The engine.
+    /// The engine that decodes it.
     pub(super) engine: UpstreamId,
-    /// The place of the token due.
+    /// The position of the next token.
     pub(super) seq: u32,
 }
 
-/// An entry of the queue of what is due.
+/// An entry of the event queue.
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
-    /// When.
+    /// When the event is due.
     pub(super) at: Time,
-    /// The order among those at one time.
+    /// The order among events at the same time.
     pub(super) order: u64,
-    /// What.
+    /// The event.
     pub(super) due: Due,
 }
 
@@ -87,7 +87,7 @@
 
 impl Ord for Entry {
     fn cmp(&self, other: &Entry) -> Ordering {
-        // The heap gives the greatest first: the earliest is the greatest.
+        // The heap pops the greatest entry, so the earliest one compares as the greatest.
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
--- a/crates/hollyspoke-model/src/world/upstream.rs
+++ b/crates/hollyspoke-model/src/world/upstream.rs
@@ -1,4 +1,4 @@
-//! Boxes' calls of engines and plain services in the world.
+//! Calls from boxes to engines and plain services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::world::{CALL_DELAY, Due, Stream, Transfer, World};
 
 impl World {
-    /// Gives an engine a prompt.
+    /// Sends a prompt to an engine.
     pub(super) fn prefill(
         &mut self,
         front: (usize, u64),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Ends a prompt's computation where it is due, and tells the front.
+    /// Finishes an engine's current prefill if it is due, and reports it to the front.
     pub(super) fn finish_prefill(&mut self, id: UpstreamId) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&id) else { return };
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Begins a transfer.
+    /// Starts a transfer.
     pub(super) fn import(
         &mut self,
         front: (usize, u64),
@@ -95,7 +95,7 @@
         self.schedule(end + CALL_DELAY, Due::Transferred(Transfer { front, ticket, to, held }));
     }
 
-    /// Ends a transfer.
+    /// Finishes a transfer.
     pub(super) fn finish_transfer(&mut self, transfer: Transfer) {
         let Transfer { front, ticket, to, held } = transfer;
         let Some(engine) = self.engines.get_mut(&to) else { return };
@@ -105,7 +105,7 @@
         self.schedule_event(CALL_DELAY, front, Event::Upstream { ticket, reply: Reply::Imported });
     }
 
-    /// Begins a stream.
+    /// Starts a stream.
     pub(super) fn decode(&mut self, front: (usize, u64), ticket: Ticket, address: &str, seq: u32) {
         let begun = self.engine_at(address).and_then(|(id, engine)| {
             let step = engine.token_time.mul_f64(engine.slow);
@@ -121,8 +121,8 @@
         self.schedule(self.now + step, Due::Token(Stream { front, ticket, engine, seq }));
     }
 
-    /// Gives a token, or the end of a stream. A stream whose reader is gone stands still and its
-    /// memory stays held until somebody cancels it.
+    /// Sends the next token, or the end of a stream. A stream whose front is gone stalls, and its
+    /// memory stays reserved until a box cancels it.
     pub(super) fn emit_token(&mut self, stream: Stream) {
         let Stream { front, ticket, engine: id, seq } = stream;
         if self.front_of(ticket) != Some(front) {
@@ -145,7 +145,7 @@
         self.schedule(self.now + step, Due::Token(Stream { seq: seq + 1, ..stream }));
     }
 
-    /// Runs a call at the plain service, and answers it.
+    /// Runs a call at a plain service and answers it, subject to the service's faults.
     pub(super) fn run_service(
         &mut self,
         number: usize,
@@ -180,7 +180,7 @@
         self.schedule_event(after, front, Event::Polled { engine, report });
     }
 
-    /// Tells a box that a call failed.
+    /// Reports a failed call to a box.
     pub(super) fn fail(&mut self, front: (usize, u64), ticket: Ticket, sent: bool) {
         let mut trace = Trace::clean();
         if sent {
