--- a/crates/hollyspoke-model/src/engine.rs
+++ b/crates/hollyspoke-model/src/engine.rs
@@ -9,70 +9,70 @@
 use hollyspoke::site::DataCentreId;
 use hollyspoke::time::{Time, seconds};
 
-/// How long a prefill result is kept.
-pub const RESULT_LIFE: Duration = Duration::from_secs(3);
+/// How long an engine keeps a prefill result.
+pub const RESULT_TTL: Duration = Duration::from_secs(3);
 
-/// What an engine holds for a stream.
+/// The state that an engine keeps for a stream.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct Reservation {
     /// The answer's true length, in tokens.
     pub length: u32,
     /// The prompt's length, in tokens.
     pub prompt_tokens: u32,
     /// The memory reserved, in tokens.
     pub tokens: u64,
-    /// Whether the prefill result is ready to be fetched, and until when.
+    /// When the prefill result expires; absent until the result is ready.
     pub expires: Option<Time>,
-    /// Whether the stream is being generated.
+    /// Whether the stream is being decoded.
     pub decoding: bool,
 }
 
-/// A prompt that waits to be computed or is.
+/// A prompt that is queued or being prefilled.
 #[derive(Debug, Clone)]
 struct Prompt {
-    /// The stream.
+    /// The ticket of the stream.
     ticket: Ticket,
-    /// The class, the lowest number first.
+    /// The priority class; the lowest number is served first.
     class: u8,
-    /// When it came.
-    came: Time,
-    /// The prompt tokens still to compute.
+    /// When the prompt arrived.
+    arrived_at: Time,
+    /// The number of prompt tokens still to compute.
     tokens: u32,
-    /// Digests of its leading blocks.
+    /// The digests of the prompt's leading blocks.
     prefix: Vec<u64>,
 }
 
-/// A fake engine.
+/// A fake engine for prefill and decode.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: DataCentreId,
-    /// Its memory for streams, in tokens.
+    /// The memory for streams, in tokens.
     pub memory_tokens: u64,
-    /// How fast it computes prompts, in tokens a second.
+    /// The prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// How long a token takes.
+    /// The decode time of a token.
     pub token_time: Duration,
-    /// How much slower everything is.
+    /// The factor by which prefill and decode are slowed down.
     pub slow: f64,
-    /// Whether it is dead.
+    /// Whether the engine is dead.
     pub dead: bool,
-    /// The streams that it holds.
-    pub held: BTreeMap<Ticket, Held>,
-    /// The prompts that wait.
+    /// The streams and their state.
+    pub held: BTreeMap<Ticket, Reservation>,
+    /// The queued prompts.
     waiting: Vec<Prompt>,
-    /// The prompt being computed, with its end.
+    /// The prompt being prefilled, and when it ends.
     computing: Option<(Prompt, Time)>,
-    /// The prefixes in its cache, with the time of their last use.
+    /// The cached prefix blocks, with the time when each was last computed.
     cache: BTreeMap<u64, Time>,
-    /// How many prefixes its cache holds.
+    /// The capacity of the prefix cache, in blocks.
     cache_blocks: usize,
-    /// Prompt tokens computed so far.
+    /// The number of prompt tokens computed so far.
     pub computed: u64,
 }
 
 impl Engine {
-    /// Makes an engine that holds nothing.
+    /// Creates an idle engine.
     pub fn new(engine: &hollyspoke::site::Engine, cache_blocks: usize) -> Engine {
         Engine {
             data_centre: DataCentreId::of(&engine.data_centre),
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Gives the memory in use, in tokens.
+    /// Returns the memory in use, in tokens.
     pub fn used(&self) -> u64 {
         self.held.values().map(|it| it.tokens).sum()
     }
 
-    /// Gives the number of prompts waiting or being computed.
+    /// Returns the number of prompts that are queued or being prefilled.
     pub fn prompts(&self) -> usize {
         self.waiting.len() + usize::from(self.computing.is_some())
     }
 
-    /// Takes a prompt; gives when to call [`Engine::advance`], if that is not known already.
+    /// Queues a prompt. Returns when to call [`Engine::advance`], unless a call is already due.
     pub fn prefill(
         &mut self,
         now: Time,
@@ -108,7 +108,7 @@
         work: &Generate,
         class: u8,
     ) -> Option<Time> {
-        let held = Held {
+        let held = Reservation {
             length: length_of(&work.prompt).unwrap_or(work.max_tokens).min(work.max_tokens),
             prompt_tokens: work.prompt_tokens,
             tokens: 0,
@@ -117,12 +117,12 @@
         };
         self.held.insert(ticket, held);
         let prefix = work.prefix.clone();
-        let prompt = Prompt { ticket, class, came: now, tokens: work.prompt_tokens, prefix };
+        let prompt = Prompt { ticket, class, arrived_at: now, tokens: work.prompt_tokens, prefix };
         self.waiting.push(prompt);
         self.compute_next(now)
     }
 
-    /// Ends the prompt being computed if it is due; gives its stream and the next time to call.
+    /// Finishes the current prefill if it is due. Returns its stream and the next time to call.
     pub fn advance(&mut self, now: Time) -> (Option<Ticket>, Option<Time>) {
         let due = self.computing.as_ref().is_some_and(|(_, end)| *end <= now);
         if !due {
@@ -139,13 +139,13 @@
             self.cache.remove(&oldest);
         }
         if let Some(held) = self.held.get_mut(&prompt.ticket) {
-            held.expires = Some(now + RESULT_LIFE);
+            held.expires = Some(now + RESULT_TTL);
         }
         (Some(prompt.ticket), self.compute_next(now))
     }
 
-    /// Gives a prefill result away if it is there and not too old.
-    pub fn export(&mut self, now: Time, ticket: Ticket) -> Option<Held> {
+    /// Removes and returns a prefill result that is ready and has not expired.
+    pub fn export(&mut self, now: Time, ticket: Ticket) -> Option<Reservation> {
         let ready = self.held.get(&ticket)?.expires?;
         if now >= ready {
             self.held.remove(&ticket);
@@ -154,17 +154,18 @@
         self.held.remove(&ticket)
     }
 
-    /// Reserves memory for a stream; false when there is no room.
+    /// Reserves memory for a stream; returns false without free capacity.
     pub fn reserve(&mut self, ticket: Ticket, tokens: u64) -> bool {
         if self.used() + tokens > self.memory_tokens {
             return false;
         }
-        let held = Held { length: 0, prompt_tokens: 0, tokens, expires: None, decoding: false };
+        let held =
+            Reservation { length: 0, prompt_tokens: 0, tokens, expires: None, decoding: false };
         self.held.insert(ticket, held);
         true
     }
 
-    /// Frees all that is held for a stream; gives the next time to call [`Engine::advance`].
+    /// Frees all state of a stream. Returns the next time to call [`Engine::advance`].
     pub fn cancel(&mut self, now: Time, ticket: Ticket) -> Option<Time> {
         self.held.remove(&ticket);
         self.waiting.retain(|it| it.ticket != ticket);
@@ -179,26 +180,26 @@
         self.compute_next(now)
     }
 
-    /// Frees the prefill results that are too old.
+    /// Frees expired prefill results.
     pub fn expire(&mut self, now: Time) {
         self.held.retain(|_, it| it.expires.is_none_or(|at| now < at));
     }
 
-    /// Loses everything.
-    pub fn die(&mut self) {
+    /// Marks the engine as dead and drops its streams and prompts; the prefix cache stays.
+    pub fn crash(&mut self) {
         self.dead = true;
         self.held.clear();
         self.waiting.clear();
         self.computing = None;
     }
 
-    /// Begins the next prompt, the lowest class first; gives its end.
+    /// Starts the next prefill, the lowest class first. Returns when it ends.
     fn compute_next(&mut self, now: Time) -> Option<Time> {
         if self.computing.is_some() || self.waiting.is_empty() {
             return None;
         }
         let next = (0..self.waiting.len())
-            .min_by_key(|&it| (self.waiting[it].class, self.waiting[it].came))
+            .min_by_key(|&it| (self.waiting[it].class, self.waiting[it].arrived_at))
             .unwrap_or(0);
         let mut prompt = self.waiting.remove(next);
         let known = prompt.prefix.iter().take_while(|it| self.cache.contains_key(it)).count();
@@ -210,12 +211,12 @@
     }
 }
 
-/// Writes a prompt whose answer has a length; `name` makes it one of its own.
+/// Builds a prompt that encodes the length of its answer; `name` makes it unique.
 pub fn prompt(name: u64, length: u32) -> String {
     format!("{name}:{length}")
 }
 
-/// Reads the length of the answer from a prompt.
+/// Parses the length of the answer from a prompt.
 fn length_of(prompt: &str) -> Option<u32> {
     prompt.rsplit(':').next()?.parse().ok()
 }
--- a/crates/hollyspoke-model/src/ledger.rs
+++ b/crates/hollyspoke-model/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What really happened, kept apart from the reducers, and the promises checked against it.
+//! A record of what happened, independent of the reducers, and the guarantees checked against it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,117 +9,119 @@
 use hollyspoke::outcome::ProblemKind;
 use hollyspoke::time::Time;
 
-/// One call of a caller, as the caller sees it.
+/// One call, as its caller observes it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The request that it belongs to: several calls may be sendings of one request.
+    /// The request; several calls may be sends of one request.
     pub request: u64,
-    /// The box that it was sent to.
+    /// The box to which the call was sent.
     pub at: usize,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent: Time,
     /// Whether the request must run at most once.
     pub once: bool,
-    /// The tokens received.
+    /// The number of tokens received.
     pub tokens: u32,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first: Option<Time>,
-    /// The end, once it has come.
+    /// When and how the call ended; absent while it is open.
     pub end: Option<(Time, End)>,
-    /// Whether the caller is gone, or its box is.
+    /// Whether the caller has disconnected, or its box is dead.
     pub gone: bool,
 }
 
 /// How a call ended for its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum End {
-    /// A whole answer.
-    Whole,
-    /// Refused as not run.
+    /// The answer is complete.
+    Complete,
+    /// The request is refused as not run.
     NotRun {
-        /// When to come back.
+        /// The delay after which to retry, if one was given.
         after: Option<Duration>,
     },
-    /// Sent, and failed.
+    /// The request was sent and failed.
     Failed,
-    /// Nobody can tell.
+    /// The outcome is unknown.
     Unknown,
-    /// Taken over by a later call.
+    /// A later call superseded this one.
     Superseded,
-    /// Passed on to another box.
+    /// The request was relayed to another box.
     Relayed,
 }
 
-/// A promise that was broken.
+/// A description of a violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct Violation(pub String);
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// All that happened.
+/// The record of all calls and runs.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    /// The calls.
+    /// The calls by their number.
     pub callers: BTreeMap<CallId, Caller>,
     /// How often each request ran at a plain service.
     pub runs: BTreeMap<u64, u32>,
-    /// How many prefills each request had.
+    /// How often each request was prefilled.
     pub prefills: BTreeMap<u64, u32>,
-    /// Requests of which some call was refused as not run before any other call was made.
+    /// The requests whose only call so far was refused as not run.
     pub refused: BTreeMap<u64, bool>,
-    /// The promises broken so far.
-    pub broken: Vec<Broken>,
+    /// The violations so far.
+    pub violations: Vec<Violation>,
 }
 
 impl Ledger {
-    /// Notes that a request runs at a plain service.
-    pub fn run(&mut self, request: u64) {
+    /// Records that a request runs at a plain service.
+    pub fn record_run(&mut self, request: u64) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         let once = self.callers.values().any(|it| it.request == request && it.once);
         if once && *runs > 1 {
-            self.broken.push(Broken(format!("request {request} must run once and ran twice")));
+            self.violations
+                .push(Violation(format!("request {request} must run once and ran twice")));
         }
         self.check_refused(request);
     }
 
-    /// Notes that a request's prompt is computed.
-    pub fn prefill(&mut self, request: u64) {
+    /// Records that a request is prefilled.
+    pub fn record_prefill(&mut self, request: u64) {
         *self.prefills.entry(request).or_default() += 1;
         self.check_refused(request);
     }
 
-    /// Notes a reply to a caller.
-    pub fn reply(&mut self, now: Time, call: CallId, reply: &CallerReply) {
+    /// Records a reply to a caller.
+    pub fn record_reply(&mut self, now: Time, call: CallId, reply: &CallerReply) {
         let Some(caller) = self.callers.get_mut(&call) else { return };
         if let Some((_, end)) = &caller.end {
-            let broken = format!("call {} was answered after its end {end:?}: {reply:?}", call.0);
-            self.broken.push(Broken(broken));
+            let violation =
+                format!("call {} was answered after its end {end:?}: {reply:?}", call.0);
+            self.violations.push(Violation(violation));
             return;
         }
         match reply {
             CallerReply::Token(text) => {
-                let wanted = format!("t{}", caller.tokens);
-                if **text != *wanted {
-                    let broken = format!("call {} got {text} where {wanted} was due", call.0);
-                    self.broken.push(Broken(broken));
+                let expected = format!("t{}", caller.tokens);
+                if **text != *expected {
+                    let violation = format!("call {} got {text} where {expected} was due", call.0);
+                    self.violations.push(Violation(violation));
                 }
                 caller.tokens += 1;
                 caller.first.get_or_insert(now);
             }
             CallerReply::Finished { tokens, .. } => {
                 if *tokens != caller.tokens {
-                    let broken =
+                    let violation =
                         format!("call {} got {} of {tokens} tokens", call.0, caller.tokens);
-                    self.broken.push(Broken(broken));
+                    self.violations.push(Violation(violation));
                 }
-                caller.end = Some((now, End::Whole));
+                caller.end = Some((now, End::Complete));
             }
-            CallerReply::Answer(_) => caller.end = Some((now, End::Whole)),
+            CallerReply::Answer(_) => caller.end = Some((now, End::Complete)),
             CallerReply::Relay { .. } => caller.end = Some((now, End::Relayed)),
             CallerReply::Problem(problem) => {
                 let end = match &problem.kind {
@@ -132,15 +134,15 @@
                 let request = caller.request;
                 caller.end = Some((now, end));
                 if not_run {
-                    self.note_refusal(request);
+                    self.record_refusal(request);
                 }
             }
         }
     }
 
-    /// Notes that a request was refused as not run: if this is its only call, it must not have
-    /// run and must never run.
-    fn note_refusal(&mut self, request: u64) {
+    /// Records that a request was refused as not run. If this is its only call, the request must
+    /// not have run and must never run.
+    fn record_refusal(&mut self, request: u64) {
         let calls = self.callers.values().filter(|it| it.request == request).count();
         if calls == 1 {
             self.refused.insert(request, true);
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Checks that a request refused as not run has not run.
+    /// Checks that a request refused as not run has not run, unless it was sent again.
     fn check_refused(&mut self, request: u64) {
         if !self.refused.contains_key(&request) {
             return;
@@ -156,8 +158,8 @@
         let calls = self.callers.values().filter(|it| it.request == request).count();
         let ran = self.runs.contains_key(&request) || self.prefills.contains_key(&request);
         if ran && calls == 1 {
-            let broken = format!("request {request} ran and was refused as not run");
-            self.broken.push(Broken(broken));
+            let violation = format!("request {request} ran and was refused as not run");
+            self.violations.push(Violation(violation));
         }
     }
 }
--- a/crates/hollyspoke-model/src/world/action.rs
+++ b/crates/hollyspoke-model/src/world/action.rs
@@ -1,4 +1,4 @@
-//! What happens in the world from outside: callers' requests and faults.
+//! External actions on the world: callers' requests and faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,87 +10,86 @@
 use crate::store::Faults;
 use crate::world::World;
 
-/// Something that happens in the world from outside.
+/// An external action on the world.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// A caller sends a request.
     Send(Box<Sending>),
     /// A caller closes its connection.
-    Go(CallId),
+    Disconnect(CallId),
     /// A box dies.
     Crash(usize),
-    /// A dead box starts anew.
+    /// A dead box restarts.
     Restart(usize),
-    /// A box stands still for a while.
+    /// A box pauses for a duration.
     Pause(usize, Duration),
-    /// A box begins its planned stop.
+    /// A box starts its planned stop.
     Leave(usize),
-    /// Two boxes can't reach each other, or can again.
+    /// The connection between two boxes is cut or restored.
     Cut(usize, usize, bool),
     /// The store's faults change.
     Store(Faults),
-    /// The share of messages lost and repeated changes.
-    Noise(f64, f64),
+    /// The shares of messages that are lost and duplicated change.
+    MessageFaults(f64, f64),
     /// An engine dies.
     KillEngine(UpstreamId),
-    /// An engine comes back empty.
+    /// A dead engine restarts without streams.
     ReviveEngine(UpstreamId),
-    /// An engine becomes so many times slower.
+    /// An engine becomes slower by a factor.
     SlowEngine(UpstreamId, f64),
-    /// Every link's rate becomes this share of what the site says.
+    /// Every link's rate becomes this share of its configured rate.
     SlowLinks(f64),
-    /// Engines stop or start to answer polls.
-    Reports(bool),
-    /// The share of calls that a plain service refuses to take, and of those that it runs without
-    /// answering, changes.
-    Services(f64, f64),
-    /// The site that is in force is accepted by the store once more, as a new version.
+    /// Engines start or stop answering polls.
+    AnswerPolls(bool),
+    /// The shares of calls that a plain service refuses, and that it runs without answering, change.
+    ServiceFaults(f64, f64),
+    /// The store accepts the current site again, as a new version.
     Apply,
 }
 
-/// A caller's sending of a request.
+/// One send of a caller's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sending {
-    /// The connection's number.
+    /// The number of the call.
     pub call: CallId,
-    /// The request; several sendings may belong to one.
+    /// The number of the request; several sends may share it.
     pub request: u64,
-    /// The box.
+    /// The number of the box.
     pub at: usize,
-    /// What is sent. The prompt or body names the request.
+    /// The request as it arrives. Its prompt or body holds the request's number.
     pub arrival: Arrival,
 }
 
 impl World {
-    /// Lets something happen from outside.
-    pub(super) fn act(&mut self, action: Action) {
+    /// Applies an external action.
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Send(sending) => self.begin(*sending),
-            Action::Go(call) => self.go(call),
+            Action::Send(sending) => self.send_request(*sending),
+            Action::Disconnect(call) => self.disconnect(call),
             Action::Crash(number) => self.stop(number),
             Action::Restart(number) => self.restart(number),
             Action::Pause(number, time) => {
-                self.seats[number].paused_until = Some(self.now + time);
+                self.slots[number].paused_until = Some(self.now + time);
             }
             Action::Leave(number) => {
-                let life = self.seats[number].life;
-                self.deliver(number, life, Event::Leave);
+                let generation = self.slots[number].generation;
+                self.deliver(number, generation, Event::Leave);
             }
             Action::Cut(a, b, cut) => self.network.set_cut(a, b, cut),
             Action::Store(faults) => {
                 let was_down = self.store.faults.down;
                 self.store.faults = faults;
                 if was_down != faults.down {
-                    self.tell_watchers();
+                    self.notify_watchers();
                 }
             }
-            Action::Noise(loss, repeat) => {
+            Action::MessageFaults(loss, repeat) => {
                 self.network.loss = loss;
                 self.network.repeat = repeat;
             }
             Action::KillEngine(id) => {
                 if let Some(engine) = self.engines.get_mut(&id) {
-                    engine.die();
+                    engine.crash();
                 }
             }
             Action::ReviveEngine(id) => {
@@ -104,28 +103,28 @@
                 }
             }
             Action::SlowLinks(share) => self.link_share = share,
-            Action::Reports(reports) => self.reports = reports,
-            Action::Services(refused, lost) => self.services = (refused, lost),
+            Action::AnswerPolls(reports) => self.answers_polls = reports,
+            Action::ServiceFaults(refused, lost) => self.service_faults = (refused, lost),
             Action::Apply => {
                 let version = self.site.version + 1;
                 self.site = Arc::new(Versioned { version, site: self.site.site.clone() });
-                self.tell_watchers();
+                self.notify_watchers();
             }
         }
     }
 
-    /// Shows the watching boxes what the store has, or that it is away.
-    fn tell_watchers(&mut self) {
-        for number in 0..self.seats.len() {
-            if self.seats[number].watching && self.seats[number].node.is_some() {
-                let life = self.seats[number].life;
-                self.show_site((number, life));
+    /// Sends the watching boxes the stored site, or reports the store as unreachable.
+    fn notify_watchers(&mut self) {
+        for number in 0..self.slots.len() {
+            if self.slots[number].watching && self.slots[number].node.is_some() {
+                let generation = self.slots[number].generation;
+                self.send_site((number, generation));
             }
         }
     }
 }
 
-/// Makes an arrival of a request for tokens; `length` is the answer's true length.
+/// Builds the arrival of a request for tokens; `length` is the answer's true length.
 pub fn generate(request: u64, prompt_tokens: u32, max_tokens: u32, length: u32) -> Arrival {
     let prompt = crate::engine::prompt(request, length);
     let work = Generate {
@@ -146,7 +145,7 @@
     }
 }
 
-/// Makes an arrival of a call that must run at most once.
+/// Builds the arrival of a call that must run at most once.
 pub fn hold(request: u64) -> Arrival {
     let call = hollyspoke::event::Call {
         method: "POST".to_owned(),
--- a/crates/hollyspoke-spec/src/configuration.rs
+++ b/crates/hollyspoke-spec/src/configuration.rs
@@ -1,80 +1,81 @@
-//! Configuration: operators race, answers are lost, versions reach boxes in any order.
+//! Configuration: operators apply files concurrently, answers are lost, and versions reach boxes in
+//! any order.
 //!
-//! Bounds: two operators with one apply each, both having seen version zero or what is there when
-//! they begin; two boxes, one of which restarts once; one lost answer, one late write; messages
-//! lost, repeated and reordered.
+//! Bounds: two operators with one apply each, based on the version stored when it starts; two boxes,
+//! one of which restarts once; one lost answer, one late write; one message lost or duplicated;
+//! messages reordered.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// An older version is taken.
+    /// A box accepts an older version.
     AcceptOlder,
-    /// A write without an answer is said to have failed.
+    /// The tool reports an unanswered write as failed.
     BelieveLostWrite,
-    /// A write is made without a condition.
+    /// The tool writes unconditionally.
     WriteBlindly,
 }
 
-/// What an operator's tool does.
+/// The phase of an operator's apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Apply {
-    /// Not begun.
+    /// The apply has not started.
     Idle,
-    /// It writes, expecting a version.
+    /// The tool is writing, conditional on a version.
     Writing(u8),
-    /// It reads back, having expected a version.
+    /// The tool reads back after a write conditional on a version.
     ReadingBack(u8),
-    /// It has said that the file was accepted.
-    SaidAccepted,
-    /// It has said that the file was not written.
-    SaidNotWritten,
+    /// The tool has reported the file as accepted.
+    ReportedAccepted,
+    /// The tool has reported the file as not written.
+    ReportedNotWritten,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// An operator's write, expecting a version.
+    /// An operator's write, conditional on a version.
     Put(usize, u8),
-    /// A write that may take effect late.
+    /// A write that has timed out and may still take effect.
     LatePut(usize, u8),
-    /// A version on its way to a box.
+    /// A version announced to a box.
     Site(BoxId, u8),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     /// The operator whose file each version in the store is; the first is version 1.
     pub history: Vec<usize>,
-    /// What each operator's tool does.
+    /// The phase of each operator's apply.
     pub applies: [Apply; 2],
-    /// The version in force at each box, zero for none.
+    /// The version in force at each box; zero means none.
     pub versions: [u8; 2],
-    /// The box that has gone back to an older version.
+    /// A box that reverted to an older version.
     pub reverted: Option<BoxId>,
-    /// What is on its way.
+    /// The messages in transit.
     pub messages: BTreeSet<Message>,
-    /// Restarts left.
+    /// The number of restarts left.
     pub restarts: u8,
-    /// Lost answers and late writes left.
+    /// The numbers of lost answers and late writes left.
     pub losses: [u8; 2],
-    /// Messages between boxes that may still be lost or repeated.
-    pub noise: u8,
+    /// The number of messages between boxes that may still be lost or duplicated.
+    pub message_faults: u8,
 }
 
 impl State {
-    /// Gives the version in the store.
+    /// Returns the version in the store.
     fn stored(&self) -> u8 {
         self.history.len() as u8
     }
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         history: Vec::new(),
@@ -84,54 +85,54 @@
         messages: BTreeSet::new(),
         restarts: 1,
         losses: [1, 1],
-        noise: 1,
+        message_faults: 1,
     };
     Specification {
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
             for operator in 0..2 {
-                apply(state, operator, &mut steps);
+                operator_steps(state, operator, &mut steps);
             }
-            boxes(state, &mut steps);
+            box_steps(state, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(broken),
-        unfinished: Box::new(|state| {
-            let behind = state.versions.iter().any(|it| *it != state.stored());
-            behind.then(|| "an accepted version is not in force everywhere".to_owned())
+        check_invariants: Box::new(check_invariants),
+        check_quiescence: Box::new(|state| {
+            let is_behind = state.versions.iter().any(|it| *it != state.stored());
+            is_behind.then(|| "an accepted version is not in force everywhere".to_owned())
         }),
     }
 }
 
-/// Gives the promise that a state breaks.
-fn broken(state: &State) -> Option<String> {
+/// Describes the invariant that a state violates, if any.
+fn check_invariants(state: &State) -> Option<String> {
     if let Some(number) = state.reverted {
         return Some(format!("box {number} went back to an older version"));
     }
     for operator in 0..2 {
-        let written = state.history.contains(&operator);
+        let is_written = state.history.contains(&operator);
         match state.applies[operator] {
-            Apply::SaidNotWritten if written => {
+            Apply::ReportedNotWritten if is_written => {
                 return Some("a file that was said not to be written is in force".to_owned());
             }
-            Apply::SaidAccepted if !written => {
+            Apply::ReportedAccepted if !is_written => {
                 return Some("a file that was said to be accepted never was".to_owned());
             }
             _ => {}
         }
     }
-    // Both saw the same version: only one of them may have written on it.
+    // Of two applies that are based on the same version, only one may have written.
     None
 }
 
-/// The steps of an operator's tool.
-fn apply(state: &State, operator: usize, steps: &mut Steps<'_, State>) {
+/// Adds the steps of an operator's tool.
+fn operator_steps(state: &State, operator: usize, steps: &mut Steps<'_, State>) {
     match state.applies[operator] {
-        Apply::Idle => steps.may(format!("operator {operator} applies"), |it| {
+        Apply::Idle => steps.add_optional(format!("operator {operator} applies"), |it| {
             let seen = it.stored();
             it.applies[operator] = Apply::Writing(seen);
             it.messages.insert(Message::Put(operator, seen));
@@ -139,22 +140,22 @@
         Apply::ReadingBack(expected) => {
             steps.add(format!("operator {operator} reads back"), |it| {
                 if it.history.contains(&operator) {
-                    it.applies[operator] = Apply::SaidAccepted;
+                    it.applies[operator] = Apply::ReportedAccepted;
                 } else if it.stored() == expected {
-                    // The lost write may still take effect: the same write is made again.
+                    // The lost write may still take effect, so the same write is repeated.
                     it.applies[operator] = Apply::Writing(expected);
                     it.messages.insert(Message::Put(operator, expected));
                 } else {
-                    it.applies[operator] = Apply::SaidNotWritten;
+                    it.applies[operator] = Apply::ReportedNotWritten;
                 }
             });
         }
-        Apply::Writing(_) | Apply::SaidAccepted | Apply::SaidNotWritten => {}
+        Apply::Writing(_) | Apply::ReportedAccepted | Apply::ReportedNotWritten => {}
     }
 }
 
-/// Watchers see the store, boxes tell each other, and box 1 restarts.
-fn boxes(state: &State, steps: &mut Steps<'_, State>) {
+/// Adds the store's notifications, announcements between boxes, and the restart of box 1.
+fn box_steps(state: &State, steps: &mut Steps<'_, State>) {
     for number in 0..2 {
         let stored = state.stored();
         if stored > state.versions[number] {
@@ -162,55 +163,60 @@
                 it.messages.insert(Message::Site(number, stored));
             });
         }
-        let theirs = state.versions[number];
+        let own_version = state.versions[number];
         let other = 1 - number;
-        if theirs > state.versions[other] {
-            steps.add(format!("box {number} passes version {theirs} on"), |it| {
-                it.messages.insert(Message::Site(other, theirs));
+        if own_version > state.versions[other] {
+            steps.add(format!("box {number} passes version {own_version} on"), |it| {
+                it.messages.insert(Message::Site(other, own_version));
             });
         }
     }
     if state.restarts > 0 {
-        steps.may("box 1 starts anew", |it| {
+        steps.add_optional("box 1 starts anew", |it| {
             it.restarts -= 1;
             it.versions[1] = 0;
         });
     }
 }
 
-/// Delivers a message.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Adds the delivery of a message.
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
     match message {
-        Message::Put(operator, expected) => put(state, operator, expected, mutant, steps),
+        Message::Put(operator, expected) => put_steps(state, operator, expected, mutant, steps),
         Message::LatePut(operator, expected) => {
             steps.add(format!("{message:?}"), |it| {
                 it.messages.remove(&message);
-                write(it, operator, expected, mutant);
+                apply_write(it, operator, expected, mutant);
             });
         }
         Message::Site(to, version) => {
             steps.add(format!("{message:?}"), |it| {
                 it.messages.remove(&message);
-                take(it, to, version, mutant);
+                receive_version(it, to, version, mutant);
             });
-            if state.noise > 0 {
-                steps.may(format!("{message:?} is lost"), |it| {
-                    it.noise -= 1;
+            if state.message_faults > 0 {
+                steps.add_optional(format!("{message:?} is lost"), |it| {
+                    it.message_faults -= 1;
                     it.messages.remove(&message);
                 });
-                steps.may(format!("{message:?} arrives twice"), |it| {
-                    it.noise -= 1;
-                    take(it, to, version, mutant);
+                steps.add_optional(format!("{message:?} arrives twice"), |it| {
+                    it.message_faults -= 1;
+                    receive_version(it, to, version, mutant);
                 });
             }
         }
     }
 }
 
-/// A box is shown a version.
-fn take(state: &mut State, to: BoxId, version: u8, mutant: Option<Mutant>) {
-    let older = version <= state.versions[to];
-    if older && mutant != Some(Mutant::AcceptOlder) {
+/// Handles an announced version at a box.
+fn receive_version(state: &mut State, to: BoxId, version: u8, mutant: Option<Mutant>) {
+    let is_older = version <= state.versions[to];
+    if is_older && mutant != Some(Mutant::AcceptOlder) {
         return;
     }
     if version < state.versions[to] {
@@ -219,8 +225,8 @@
     state.versions[to] = version;
 }
 
-/// A write reaches the store: it is answered, its answer is lost, or it takes effect late.
-fn put(
+/// Adds the outcomes of a write: it is answered, its answer is lost, or it takes effect late.
+fn put_steps(
     state: &State,
     operator: usize,
     expected: u8,
@@ -228,41 +234,41 @@
     steps: &mut Steps<'_, State>,
 ) {
     let message = Message::Put(operator, expected);
-    let unanswered = move |it: &mut State| {
+    let record_no_answer = move |it: &mut State| {
         it.applies[operator] = match mutant {
-            Some(Mutant::BelieveLostWrite) => Apply::SaidNotWritten,
+            Some(Mutant::BelieveLostWrite) => Apply::ReportedNotWritten,
             _ => Apply::ReadingBack(expected),
         };
     };
     steps.add(format!("{message:?}"), |it| {
         it.messages.remove(&message);
-        let taken = write(it, operator, expected, mutant);
+        let is_applied = apply_write(it, operator, expected, mutant);
         it.applies[operator] =
-            if taken { Apply::SaidAccepted } else { Apply::ReadingBack(expected) };
+            if is_applied { Apply::ReportedAccepted } else { Apply::ReadingBack(expected) };
     });
     if state.losses[0] > 0 {
-        steps.may(format!("{message:?} and its answer is lost"), |it| {
+        steps.add_optional(format!("{message:?} and its answer is lost"), |it| {
             it.losses[0] -= 1;
             it.messages.remove(&message);
-            write(it, operator, expected, mutant);
-            unanswered(it);
+            apply_write(it, operator, expected, mutant);
+            record_no_answer(it);
         });
     }
     if state.losses[1] > 0 {
-        steps.may(format!("{message:?} is late"), |it| {
+        steps.add_optional(format!("{message:?} is late"), |it| {
             it.losses[1] -= 1;
             it.messages.remove(&message);
             it.messages.insert(Message::LatePut(operator, expected));
-            unanswered(it);
+            record_no_answer(it);
         });
     }
 }
 
-/// The store takes a write if the version is the one expected.
-fn write(state: &mut State, operator: usize, expected: u8, mutant: Option<Mutant>) -> bool {
-    let taken = state.stored() == expected || mutant == Some(Mutant::WriteBlindly);
-    if taken && state.history.len() < 3 {
+/// Applies a write if the store has the expected version. Returns whether it did.
+fn apply_write(state: &mut State, operator: usize, expected: u8, mutant: Option<Mutant>) -> bool {
+    let is_applied = state.stored() == expected || mutant == Some(Mutant::WriteBlindly);
+    if is_applied && state.history.len() < 3 {
         state.history.push(operator);
     }
-    taken
+    is_applied
 }
--- a/crates/hollyspoke-spec/src/grants.rs
+++ b/crates/hollyspoke-spec/src/grants.rs
@@ -1,75 +1,75 @@
-//! Grants and streams: no engine memory stays held by a request whose caller is gone.
+//! Grants and streams: no engine memory stays reserved by a request whose caller is gone.
 //!
-//! Bounds: two boxes, each the front of one request, either the owner; two engines with room for
-//! one stream each; one crash, one pause, one caller that goes, one engine that drops a stream;
-//! messages lost, repeated and reordered.
+//! Bounds: two boxes, each the front of one request, either the owner; two engines with memory
+//! for one stream each; one crash, one pause, one caller that disconnects; one message lost or
+//! duplicated; messages reordered.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// The most attempts of a request; after them the caller is told that it failed.
-const MOST_ATTEMPTS: u8 = 2;
+/// The maximum number of attempts of a request; after them the front reports a failure.
+const MAX_ATTEMPTS: u8 = 2;
 
-/// One attempt of a front's request.
+/// One attempt of a front's request: the front and the attempt's number.
 pub type Ticket = (BoxId, u8);
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// The owner keeps the grants of a front that has gone silent.
+    /// The owner keeps the grants of a front that has timed out.
     GrantOutlivesFront,
-    /// A new owner does not sweep the engines' streams.
+    /// An owner does not sweep the engines for streams that its ledger lacks.
     NoSweep,
-    /// A caller's going frees nothing at the engine, and nobody asks again.
+    /// A caller's disconnect frees nothing at the engine, and the owner does not sweep.
     ForgetCancel,
-    /// A front that was paused goes on with a grant that was taken from it.
+    /// A front that was paused continues under a grant that was revoked.
     SkipFence,
 }
 
-/// What a front does with its request.
+/// The phase of a front's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// The caller has not come yet.
+    /// The caller has not connected yet.
     Idle,
-    /// It has asked the owner.
+    /// The front has asked the owner.
     Asking,
-    /// It has a grant for an engine.
+    /// The front has a grant for an engine.
     Granted(usize),
-    /// It reads the engine's stream.
+    /// The front receives the engine's stream.
     Streaming(usize),
-    /// It has given the whole answer.
+    /// The front has answered the caller, or reported a failure.
     Answered,
-    /// Its caller is gone.
+    /// The caller has disconnected.
     Gone,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     /// The front asks the owner.
     Ask(Ticket),
     /// The owner grants an engine.
     Grant(Ticket, usize),
-    /// The engine is to begin the stream.
+    /// The front starts the stream at the engine.
     Begin(Ticket, usize),
-    /// The engine is to free the stream.
+    /// A box cancels the stream at the engine.
     Cancel(Ticket, usize),
-    /// The owner takes the grant back.
+    /// The owner revokes the grant.
     Fenced(Ticket),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether each box lives.
+    /// Whether each box is alive.
     alive: [bool; 2],
-    /// Whether each box stands still.
+    /// Whether each box is paused.
     paused: [bool; 2],
-    /// Whether each box stood still and has not noticed yet.
+    /// Whether each box was paused and has not detected it yet.
     stale: [bool; 2],
-    /// What each front does.
+    /// The phase of each front's request.
     phase: [Phase; 2],
     /// The number of each front's attempt.
     attempt: [u8; 2],
@@ -77,43 +77,43 @@
     owner: BoxId,
     /// The attempt and the engine that the owner's ledger has for each front.
     ledger: [Option<(u8, usize)>; 2],
-    /// The attempts whose grants an owner has ended.
+    /// The attempts whose grants the owner has revoked.
     fenced: BTreeSet<Ticket>,
-    /// The attempt whose stream each engine holds.
+    /// The attempt whose stream reserves each engine's memory.
     streams: [Option<Ticket>; 2],
-    /// Whether a front gave an answer over a stream that was no longer its own.
-    stolen: bool,
-    /// What is on its way.
+    /// Whether a front streamed under a grant that was revoked.
+    used_fenced_grant: bool,
+    /// The messages in transit.
     messages: BTreeSet<Message>,
-    /// Crashes left.
+    /// The number of crashes left.
     crashes: u8,
-    /// Pauses left.
+    /// The number of pauses left.
     pauses: u8,
-    /// Callers that may still go.
-    goings: u8,
-    /// Messages that may still be lost or repeated.
-    noise: u8,
+    /// The number of callers that may still disconnect.
+    departures: u8,
+    /// The number of messages that may still be lost or duplicated.
+    message_faults: u8,
 }
 
 impl State {
-    /// Tells whether a box works.
-    fn works(&self, it: BoxId) -> bool {
+    /// Returns whether a box is alive and not paused.
+    fn is_running(&self, it: BoxId) -> bool {
         self.alive[it] && !self.paused[it]
     }
 
-    /// Gives the attempt that a front makes now.
+    /// Returns a front's current attempt.
     fn ticket(&self, front: BoxId) -> Ticket {
         (front, self.attempt[front])
     }
 
-    /// Begins a front's next attempt, or gives up after the last.
+    /// Starts a front's next attempt, or gives up after the last.
     fn next_attempt(&mut self, front: BoxId) {
         self.attempt[front] += 1;
-        let more = self.attempt[front] < MOST_ATTEMPTS;
-        self.phase[front] = if more { Phase::Asking } else { Phase::Answered };
+        let has_more = self.attempt[front] < MAX_ATTEMPTS;
+        self.phase[front] = if has_more { Phase::Asking } else { Phase::Answered };
     }
 
-    /// Takes an attempt out of the owner's ledger.
+    /// Removes an attempt from the owner's ledger.
     fn release(&mut self, ticket: Ticket) {
         if self.ledger[ticket.0].is_some_and(|(attempt, _)| attempt == ticket.1) {
             self.ledger[ticket.0] = None;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
         alive: [true; 2],
@@ -133,40 +133,42 @@
         ledger: [None; 2],
         fenced: BTreeSet::new(),
         streams: [None; 2],
-        stolen: false,
+        used_fenced_grant: false,
         messages: BTreeSet::new(),
         crashes: 1,
         pauses: 1,
-        goings: 1,
-        noise: 1,
+        departures: 1,
+        message_faults: 1,
     };
     Specification {
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
             for front in 0..2 {
-                if state.works(front) {
-                    fronts(state, front, mutant, &mut steps);
+                if state.is_running(front) {
+                    front_steps(state, front, mutant, &mut steps);
                 }
-                faults(state, front, &mut steps);
+                fault_steps(state, front, &mut steps);
             }
-            owner(state, mutant, &mut steps);
+            owner_steps(state, mutant, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             let mut steps = steps.finish();
             steps.iter_mut().for_each(|it| forget_dead_messages(&mut it.next));
             steps.retain(|it| it.next != *state);
             steps
         }),
-        broken: Box::new(|state| {
-            state.stolen.then(|| "a front went on under a grant taken from it".to_owned())
+        check_invariants: Box::new(|state| {
+            state
+                .used_fenced_grant
+                .then(|| "a front went on under a grant taken from it".to_owned())
         }),
-        unfinished: Box::new(unfinished),
+        check_quiescence: Box::new(check_quiescence),
     }
 }
 
-/// Drops the messages that change nothing whenever they arrive, so that fewer states differ.
+/// Drops messages that change nothing whenever they arrive, to reduce the number of states.
 fn forget_dead_messages(state: &mut State) {
     let messages = std::mem::take(&mut state.messages);
     let is_current = |(front, attempt): Ticket| state.attempt[front] == attempt;
@@ -185,24 +187,24 @@
     state.messages = kept.copied().collect();
 }
 
-/// Gives what is wrong with a state at rest.
-fn unfinished(state: &State) -> Option<String> {
-    let some_owner = state.works(0) || state.works(1);
+/// Describes memory that is not freed, or a caller that still waits, in a quiescent state.
+fn check_quiescence(state: &State) -> Option<String> {
+    let has_owner = state.is_running(0) || state.is_running(1);
     for (front, _) in state.streams.iter().flatten().copied() {
         let done = matches!(state.phase[front], Phase::Gone | Phase::Answered);
-        if some_owner && !state.paused[front] && (!state.alive[front] || done) {
+        if has_owner && !state.paused[front] && (!state.alive[front] || done) {
             return Some(format!("an engine holds memory for box {front}, which needs it no more"));
         }
     }
-    let waits = |it: BoxId| {
+    let is_waiting = |it: BoxId| {
         let waiting = matches!(state.phase[it], Phase::Asking | Phase::Granted(_));
-        state.works(it) && waiting
+        state.is_running(it) && waiting
     };
-    (waits(0) || waits(1)).then(|| "a caller waits for ever".to_owned())
+    (is_waiting(0) || is_waiting(1)).then(|| "a caller waits for ever".to_owned())
 }
 
-/// The steps of a front.
-fn fronts(state: &State, front: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Adds the steps of a front.
+fn front_steps(state: &State, front: BoxId, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let ticket = state.ticket(front);
     if state.stale[front] && mutant != Some(Mutant::SkipFence) {
         steps.add(format!("box {front} sees that it stood still"), |it| {
@@ -219,7 +221,7 @@
         return;
     }
     match state.phase[front] {
-        Phase::Idle => steps.may(format!("a caller comes to box {front}"), |it| {
+        Phase::Idle => steps.add_optional(format!("a caller comes to box {front}"), |it| {
             it.phase[front] = Phase::Asking;
             it.messages.insert(Message::Ask(ticket));
         }),
@@ -237,16 +239,16 @@
                 it.streams[engine] = None;
                 it.phase[front] = Phase::Answered;
             } else {
-                // The stream was stopped: the front asks again and resumes.
+                // The stream was cancelled: the front asks again and resumes.
                 it.next_attempt(front);
             }
         }),
         Phase::Answered | Phase::Gone => {}
     }
-    let waits = !matches!(state.phase[front], Phase::Idle | Phase::Answered | Phase::Gone);
-    if waits && state.goings > 0 {
-        steps.may(format!("the caller of box {front} goes"), |it| {
-            it.goings -= 1;
+    let is_waiting = !matches!(state.phase[front], Phase::Idle | Phase::Answered | Phase::Gone);
+    if is_waiting && state.departures > 0 {
+        steps.add_optional(format!("the caller of box {front} goes"), |it| {
+            it.departures -= 1;
             if let Phase::Granted(engine) | Phase::Streaming(engine) = it.phase[front]
                 && mutant != Some(Mutant::ForgetCancel)
             {
@@ -258,17 +260,17 @@
     }
 }
 
-/// A box crashes, stands still, or goes on.
-fn faults(state: &State, number: BoxId, steps: &mut Steps<'_, State>) {
+/// Adds a crash, a pause and a resumption of a box.
+fn fault_steps(state: &State, number: BoxId, steps: &mut Steps<'_, State>) {
     if state.alive[number] && state.crashes > 0 {
-        steps.may(format!("box {number} crashes"), |it| {
+        steps.add_optional(format!("box {number} crashes"), |it| {
             it.crashes -= 1;
             it.alive[number] = false;
             it.paused[number] = false;
         });
     }
-    if state.works(number) && state.pauses > 0 {
-        steps.may(format!("box {number} stands still"), |it| {
+    if state.is_running(number) && state.pauses > 0 {
+        steps.add_optional(format!("box {number} stands still"), |it| {
             it.pauses -= 1;
             it.paused[number] = true;
         });
@@ -281,12 +283,12 @@
     }
 }
 
-/// The steps of the owner, and of a box that takes its place.
-fn owner(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Adds the steps of the owner, and of the box that replaces it.
+fn owner_steps(state: &State, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let owner = state.owner;
-    if !state.works(owner) {
+    if !state.is_running(owner) {
         let other = 1 - owner;
-        if state.works(other) {
+        if state.is_running(other) {
             steps.add(format!("box {other} becomes the owner"), |it| {
                 it.owner = other;
                 it.ledger = [None; 2];
@@ -297,7 +299,7 @@
     }
     for front in 0..2 {
         if let Some((attempt, engine)) = state.ledger[front]
-            && !state.works(front)
+            && !state.is_running(front)
             && mutant != Some(Mutant::GrantOutlivesFront)
         {
             steps.add(format!("the owner ends the grant of silent box {front}"), |it| {
@@ -308,20 +310,21 @@
         }
     }
     for engine in 0..2 {
-        sweep(state, engine, mutant, steps);
+        sweep_steps(state, engine, mutant, steps);
     }
 }
 
-/// The owner finds a stream on an engine that its ledger does not have.
-fn sweep(state: &State, engine: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Handles a stream on an engine that the owner's ledger lacks: its front declares it, or the
+/// owner cancels it.
+fn sweep_steps(state: &State, engine: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let Some(ticket) = state.streams[engine] else { return };
     let (front, attempt) = ticket;
     if state.ledger[front] == Some((attempt, engine)) {
         return;
     }
-    let uses = state.ticket(front) == ticket
+    let is_in_use = state.ticket(front) == ticket
         && matches!(state.phase[front], Phase::Granted(it) | Phase::Streaming(it) if it == engine);
-    if state.works(front) && uses && !state.fenced.contains(&ticket) {
+    if state.is_running(front) && is_in_use && !state.fenced.contains(&ticket) {
         steps.add(format!("box {front} declares its stream"), |it| {
             it.ledger[front] = Some((attempt, engine));
         });
@@ -333,61 +336,66 @@
     steps.add(format!("the owner sweeps engine {engine}"), |it| {
         it.messages.insert(Message::Cancel(ticket, engine));
         it.fenced.insert(ticket);
-        if it.works(front) {
+        if it.is_running(front) {
             it.messages.insert(Message::Fenced(ticket));
         }
     });
 }
 
-/// Delivers a message; it may also be lost, or stay to arrive again.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
-    let takes = match message {
-        Message::Ask(_) => state.works(state.owner),
-        Message::Grant((front, _), _) | Message::Fenced((front, _)) => state.works(front),
+/// Adds the delivery of a message; it may also be lost or duplicated.
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
+    let is_deliverable = match message {
+        Message::Ask(_) => state.is_running(state.owner),
+        Message::Grant((front, _), _) | Message::Fenced((front, _)) => state.is_running(front),
         Message::Begin(..) | Message::Cancel(..) => true,
     };
-    if takes {
+    if is_deliverable {
         steps.add(format!("{message:?}"), |it| {
             it.messages.remove(&message);
-            arrive(it, message, mutant);
+            apply_message(it, message, mutant);
         });
     } else {
         steps.add(format!("{message:?} finds nobody"), |it| {
             it.messages.remove(&message);
         });
     }
-    // A call to an engine that fails is known to have failed and is made again, so that only
-    // messages between boxes are lost for good.
+    // A failed call to an engine is noticed and retried, so only messages between boxes are lost
+    // for good.
     let between_boxes =
         matches!(message, Message::Ask(_) | Message::Grant(..) | Message::Fenced(_));
-    if between_boxes && state.noise > 0 {
-        steps.may(format!("{message:?} is lost"), |it| {
-            it.noise -= 1;
+    if between_boxes && state.message_faults > 0 {
+        steps.add_optional(format!("{message:?} is lost"), |it| {
+            it.message_faults -= 1;
             it.messages.remove(&message);
         });
-        if takes {
-            steps.may(format!("{message:?} arrives twice"), |it| {
-                it.noise -= 1;
-                arrive(it, message, mutant);
+        if is_deliverable {
+            steps.add_optional(format!("{message:?} arrives twice"), |it| {
+                it.message_faults -= 1;
+                apply_message(it, message, mutant);
             });
         }
     }
 }
 
-/// What a message does where it arrives.
-fn arrive(state: &mut State, message: Message, mutant: Option<Mutant>) {
+/// Applies a message at its recipient.
+fn apply_message(state: &mut State, message: Message, mutant: Option<Mutant>) {
     match message {
-        Message::Ask(ticket) => asked(state, ticket),
+        Message::Ask(ticket) => handle_ask(state, ticket),
         Message::Grant(ticket, engine) => {
             let front = ticket.0;
-            let wanted = state.ticket(front) == ticket && state.phase[front] == Phase::Asking;
-            if wanted && (!state.stale[front] || mutant == Some(Mutant::SkipFence)) {
+            let is_expected = state.ticket(front) == ticket && state.phase[front] == Phase::Asking;
+            if is_expected && (!state.stale[front] || mutant == Some(Mutant::SkipFence)) {
                 state.phase[front] = Phase::Granted(engine);
             } else if state.ticket(front) != ticket || state.phase[front] == Phase::Gone {
                 state.release(ticket);
             }
         }
-        Message::Begin(ticket, engine) => begin(state, ticket, engine, mutant),
+        Message::Begin(ticket, engine) => handle_begin(state, ticket, engine, mutant),
         Message::Cancel(ticket, engine) => {
             if state.streams[engine] == Some(ticket) {
                 state.streams[engine] = None;
@@ -403,8 +411,8 @@
     }
 }
 
-/// The owner is asked for an engine.
-fn asked(state: &mut State, ticket: Ticket) {
+/// Handles a front's request for an engine at the owner.
+fn handle_ask(state: &mut State, ticket: Ticket) {
     let front = ticket.0;
     if state.fenced.contains(&ticket) {
         return;
@@ -415,9 +423,9 @@
         }
         return;
     }
-    let late = state.ticket(front) != ticket || state.phase[front] != Phase::Asking;
-    if late {
-        // The front gives the grant of a late question back.
+    let is_late = state.ticket(front) != ticket || state.phase[front] != Phase::Asking;
+    if is_late {
+        // The front returns a grant that answers a late request.
         return;
     }
     let other = state.ledger[1 - front].map(|(_, engine)| engine);
@@ -427,24 +435,24 @@
     state.messages.insert(Message::Grant(ticket, engine));
 }
 
-/// An engine is told to begin a stream.
-fn begin(state: &mut State, ticket: Ticket, engine: usize, mutant: Option<Mutant>) {
+/// Handles the start of a stream at an engine.
+fn handle_begin(state: &mut State, ticket: Ticket, engine: usize, mutant: Option<Mutant>) {
     let front = ticket.0;
-    let wanted = state.ticket(front) == ticket && state.phase[front] == Phase::Granted(engine);
-    let sent_and_left = !state.alive[front] || (state.stale[front] && !wanted);
-    if state.streams[engine].is_none() && (wanted || sent_and_left) {
+    let is_expected = state.ticket(front) == ticket && state.phase[front] == Phase::Granted(engine);
+    let is_abandoned = !state.alive[front] || (state.stale[front] && !is_expected);
+    if state.streams[engine].is_none() && (is_expected || is_abandoned) {
         state.streams[engine] = Some(ticket);
     }
-    if !wanted || !state.works(front) {
+    if !is_expected || !state.is_running(front) {
         return;
     }
     if state.streams[engine] == Some(ticket) {
-        // A grant that was taken back must not be used by a front that could know it.
-        let knew = state.fenced.contains(&ticket) && state.stale[front];
-        state.stolen |= knew && mutant == Some(Mutant::SkipFence);
+        // A front that could know that its grant is revoked must not use it.
+        let could_know = state.fenced.contains(&ticket) && state.stale[front];
+        state.used_fenced_grant |= could_know && mutant == Some(Mutant::SkipFence);
         state.phase[front] = Phase::Streaming(engine);
     } else {
-        // The engine has no room: the owner learns, and the front asks again.
+        // The engine has no free capacity: the owner releases the grant, and the front asks again.
         state.release(ticket);
         state.next_attempt(front);
     }
--- a/crates/hollyspoke-spec/src/keys.rs
+++ b/crates/hollyspoke-spec/src/keys.rs
@@ -1,88 +1,88 @@
-//! Keys: a request that must run at most once, sent to its home and sent again to any box.
+//! Keys: a request that must run at most once, sent to its home and resent to any box.
 //!
-//! Bounds: two boxes and two requests, each with box 0 as its home and up to three sendings; one
-//! crash and restart, one cut in a box's view, one lost answer, messages in any order. What a
-//! planned stop hands over, and when epochs are dropped, is left to the reducer's own tests.
+//! Bounds: two boxes and two requests, each with box 0 as its home and up to three sends; one
+//! crash and restart, any changes of box 1's view of the home, one lost answer, messages in any
+//! order. The handover at a planned stop and the expiry of epochs are left to the reducer's tests.
 
 use std::collections::BTreeSet;
 
 use crate::BoxId;
 use crate::search::{Specification, Steps};
 
-/// The requests: the first must run at most once, the second may run again.
+/// The number of requests: request 0 must run at most once, request 1 is repeatable.
 pub const REQUESTS: usize = 2;
 
-/// A safeguard that is left out.
+/// A safeguard that the specification omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A key whose home is not known to live is run.
+    /// A box runs a key whose home is not known to be alive.
     RunUnknownHome,
-    /// A call that failed after it was sent is said to be not run.
+    /// A call that failed after it was sent is reported as not run.
     SayNotRun,
-    /// The home forgets a key when it has answered.
+    /// The home forgets a key once it has answered.
     ForgetAnswered,
 }
 
-/// What the home keeps of a key.
+/// What the home knows of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kept {
-    /// Nothing.
-    Nothing,
-    /// It runs.
+pub enum KeyState {
+    /// The key is unknown.
+    Absent,
+    /// The request is running.
     Running,
-    /// It has ended, with an answer or not.
+    /// The request has ended, with or without an answer.
     Ended,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A request to a box, by a caller.
+    /// A caller's request to a box.
     Send(usize, BoxId),
-    /// A request that box 1 passes on to box 0.
+    /// A request that box 1 relays to box 0.
     Relay(usize),
-    /// The home's call of the service.
+    /// The home's call to the service.
     Call(usize),
     /// The service's answer to the home.
     Answer(usize),
 }
 
-/// The state.
+/// A state of the specification.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Whether box 0 is still the incarnation that is the keys' home.
-    home_lives: bool,
-    /// Whether box 0 is up at all.
+    /// Whether box 0 is still in the incarnation that is the keys' home.
+    is_home_alive: bool,
+    /// Whether box 0 is running, in any incarnation.
     up: bool,
-    /// Whether box 1 takes the home for alive.
-    seen_alive: bool,
-    /// What the home keeps.
-    kept: [Kept; REQUESTS],
-    /// How often each request has run.
+    /// Whether box 1 sees the home as alive.
+    sees_home_alive: bool,
+    /// The state of each key at the home.
+    key_states: [KeyState; REQUESTS],
+    /// How often each request has run; 2 stands for more.
     runs: [u8; REQUESTS],
-    /// Whether a caller was told that its request was not run after it had run.
-    lied: bool,
-    /// What is on its way.
+    /// Whether a request that had run was reported as not run.
+    misreported: bool,
+    /// The messages in transit.
     messages: BTreeSet<Message>,
-    /// Sendings left for each request.
-    sendings: [u8; REQUESTS],
-    /// Crashes left.
+    /// The number of sends left for each request.
+    sends_left: [u8; REQUESTS],
+    /// The number of crashes left.
     crashes: u8,
-    /// Answers of the service that may still be lost.
+    /// The number of the service's answers that may still be lost.
     losses: u8,
 }
 
-/// Makes the specification.
+/// Builds the specification, without the mutant's safeguard if one is given.
 pub fn specification(mutant: Option<Mutant>) -> Specification<State> {
     let initial = State {
-        home_lives: true,
+        is_home_alive: true,
         up: true,
-        seen_alive: true,
-        kept: [Kept::Nothing; REQUESTS],
+        sees_home_alive: true,
+        key_states: [KeyState::Absent; REQUESTS],
         runs: [0; REQUESTS],
-        lied: false,
+        misreported: false,
         messages: BTreeSet::new(),
-        sendings: [3, 2],
+        sends_left: [3, 2],
         crashes: 1,
         losses: 1,
     };
@@ -90,33 +90,33 @@
         initial,
         steps: Box::new(move |state| {
             let mut steps = Steps::new(state);
-            callers(state, &mut steps);
-            faults(state, &mut steps);
+            caller_steps(state, &mut steps);
+            fault_steps(state, &mut steps);
             for &message in &state.messages {
-                deliver(state, message, mutant, &mut steps);
+                delivery_steps(state, message, mutant, &mut steps);
             }
             steps.finish()
         }),
-        broken: Box::new(|state| {
+        check_invariants: Box::new(|state| {
             if state.runs[0] > 1 {
                 return Some("the request that must run at most once ran twice".to_owned());
             }
-            state.lied.then(|| "a request that ran was said to be not run".to_owned())
+            state.misreported.then(|| "a request that ran was said to be not run".to_owned())
         }),
-        unfinished: Box::new(|state| {
-            let waits = state.home_lives && state.kept.contains(&Kept::Running);
-            waits.then(|| "a request runs for ever".to_owned())
+        check_quiescence: Box::new(|state| {
+            let is_waiting = state.is_home_alive && state.key_states.contains(&KeyState::Running);
+            is_waiting.then(|| "a request runs for ever".to_owned())
         }),
     }
 }
 
-/// Callers send and send again, to either box.
-fn callers(state: &State, steps: &mut Steps<'_, State>) {
+/// Adds the callers' sends and resends, to either box.
+fn caller_steps(state: &State, steps: &mut Steps<'_, State>) {
     for request in 0..REQUESTS {
         for to in 0..2 {
-            if state.sendings[request] > 0 {
-                steps.may(format!("R{request} is sent to box {to}"), |it| {
-                    it.sendings[request] -= 1;
+            if state.sends_left[request] > 0 {
+                steps.add_optional(format!("R{request} is sent to box {to}"), |it| {
+                    it.sends_left[request] -= 1;
                     it.messages.insert(Message::Send(request, to));
                 });
             }
@@ -124,66 +124,72 @@
     }
 }
 
-/// The home crashes and comes back as another incarnation; box 1's view changes.
-fn faults(state: &State, steps: &mut Steps<'_, State>) {
+/// Adds the home's crash, its restart in another incarnation, and changes of box 1's view.
+fn fault_steps(state: &State, steps: &mut Steps<'_, State>) {
     if state.crashes > 0 && state.up {
-        steps.may("box 0 crashes", |it| {
+        steps.add_optional("box 0 crashes", |it| {
             it.crashes -= 1;
             it.up = false;
-            it.home_lives = false;
-            it.kept = [Kept::Nothing; REQUESTS];
+            it.is_home_alive = false;
+            it.key_states = [KeyState::Absent; REQUESTS];
         });
     }
     if !state.up {
-        steps.may("box 0 starts anew", |it| it.up = true);
+        steps.add_optional("box 0 starts anew", |it| it.up = true);
     }
-    let other_view = !state.seen_alive;
-    steps.may(format!("box 1 takes the home for alive: {other_view}"), |it| {
-        it.seen_alive = other_view;
+    let other_view = !state.sees_home_alive;
+    steps.add_optional(format!("box 1 takes the home for alive: {other_view}"), |it| {
+        it.sees_home_alive = other_view;
     });
 }
 
-/// Delivers a message.
-fn deliver(state: &State, message: Message, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Adds the delivery of a message.
+fn delivery_steps(
+    state: &State,
+    message: Message,
+    mutant: Option<Mutant>,
+    steps: &mut Steps<'_, State>,
+) {
     match message {
         Message::Send(request, 0) | Message::Relay(request) => {
             steps.add(format!("{message:?} reaches box 0"), |it| {
                 it.messages.remove(&message);
-                at_home(it, request);
+                handle_at_home(it, request);
             });
         }
         Message::Send(request, _) => {
             steps.add(format!("{message:?} reaches box 1"), |it| {
                 it.messages.remove(&message);
-                elsewhere(it, request, mutant);
+                handle_elsewhere(it, request, mutant);
             });
         }
-        Message::Call(request) => call(state, request, mutant, steps),
+        Message::Call(request) => call_steps(state, request, mutant, steps),
         Message::Answer(request) => {
             steps.add(format!("the answer to R{request} reaches the home"), |it| {
                 it.messages.remove(&message);
-                if it.kept[request] == Kept::Running {
-                    let forgets = mutant == Some(Mutant::ForgetAnswered);
-                    it.kept[request] = if forgets { Kept::Nothing } else { Kept::Ended };
+                if it.key_states[request] == KeyState::Running {
+                    let is_forgotten = mutant == Some(Mutant::ForgetAnswered);
+                    it.key_states[request] =
+                        if is_forgotten { KeyState::Absent } else { KeyState::Ended };
                 }
             });
         }
     }
 }
 
-/// Box 0 gets a request.
-fn at_home(state: &mut State, request: usize) {
-    // Another incarnation is not the home: it answers that the outcome is unknown.
-    let runs = state.home_lives && state.kept[request] == Kept::Nothing;
-    if runs {
-        state.kept[request] = Kept::Running;
+/// Handles a request at box 0.
+fn handle_at_home(state: &mut State, request: usize) {
+    // Another incarnation is not the home and reports the outcome as unknown.
+    let is_new = state.is_home_alive && state.key_states[request] == KeyState::Absent;
+    if is_new {
+        state.key_states[request] = KeyState::Running;
         state.messages.insert(Message::Call(request));
     }
 }
 
-/// Box 1 gets a request.
-fn elsewhere(state: &mut State, request: usize, mutant: Option<Mutant>) {
-    if state.seen_alive {
+/// Handles a request at box 1.
+fn handle_elsewhere(state: &mut State, request: usize, mutant: Option<Mutant>) {
+    if state.sees_home_alive {
         state.messages.insert(Message::Relay(request));
         return;
     }
@@ -193,30 +199,32 @@
     }
 }
 
-/// The home's call reaches the service, or does not.
-fn call(state: &State, request: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
+/// Adds the outcomes of the home's call to the service: it runs, fails to connect, or its answer
+/// is lost.
+fn call_steps(state: &State, request: usize, mutant: Option<Mutant>, steps: &mut Steps<'_, State>) {
     let message = Message::Call(request);
     steps.add(format!("the service runs R{request}"), |it| {
         it.messages.remove(&message);
         it.runs[request] = (it.runs[request] + 1).min(2);
         it.messages.insert(Message::Answer(request));
     });
-    steps.may(format!("the service can't be connected to for R{request}"), |it| {
+    steps.add_optional(format!("the service can't be connected to for R{request}"), |it| {
         it.messages.remove(&message);
-        // Nothing was sent: the caller is told so, and may send the key again.
-        it.kept[request] = Kept::Nothing;
+        // Nothing was sent: the caller is informed and may resend the key.
+        it.key_states[request] = KeyState::Absent;
     });
     if state.losses > 0 {
-        steps.may(format!("the service runs R{request} and its answer is lost"), |it| {
+        steps.add_optional(format!("the service runs R{request} and its answer is lost"), |it| {
             it.losses -= 1;
             it.messages.remove(&message);
             it.runs[request] = (it.runs[request] + 1).min(2);
-            if it.kept[request] != Kept::Running {
+            if it.key_states[request] != KeyState::Running {
                 return;
             }
-            let lies = mutant == Some(Mutant::SayNotRun);
-            it.lied |= lies;
-            it.kept[request] = if lies { Kept::Nothing } else { Kept::Ended };
+            let is_misreported = mutant == Some(Mutant::SayNotRun);
+            it.misreported |= is_misreported;
+            it.key_states[request] =
+                if is_misreported { KeyState::Absent } else { KeyState::Ended };
         });
     }
 }
