--- a/tests/tests/cancel.rs
+++ b/tests/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! No engine memory stays held by a request whose caller is gone.
+//! Engine memory stays held by a request whose caller has disconnected.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use hollyspoke_tests::request::CallerRequest;
 use tokio::time::Instant;
 
-/// How long a cancel may take before the test fails; the figures are printed.
-const LIMIT: Duration = Duration::from_secs(10);
+/// How long memory may stay held after the caller has disconnected.
+const MAX_HELD: Duration = Duration::from_secs(10);
 
-/// Starts a streamed request on a task of its own, which the caller may abort.
+/// Sends a streamed request from a task; to abort the task is to disconnect the caller.
 fn caller(cluster: &Cluster, prompt: &str, tokens: u32) -> tokio::task::JoinHandle<()> {
     let address = cluster.boxes[0].address().to_owned();
     let sending = CallerRequest::generate(prompt, tokens, true);
@@ -21,22 +21,22 @@
     })
 }
 
-/// The caller goes while its prompt is computed.
+/// The caller disconnects while its prompt is prefilled.
 #[tokio::test]
-async fn during_prefill() -> eyre::Result<()> {
+async fn cancelled_prefill_holds_memory() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan::default()).await?;
     cluster.prefills[0].faults(&Faults { stall_prefill: true, ..Faults::default() }).await?;
     let caller = caller(&cluster, "stuck", 40);
     cluster.wait_engines("no prefill begins", |it| it[0].prefills == 1).await?;
     caller.abort();
-    let took = cluster.wait_memory_free(LIMIT).await?;
-    println!("memory released {took:?} after the caller went during prefill");
+    let took = cluster.wait_memory_free(MAX_HELD).await?;
+    println!("memory released {took:?} after the caller disconnected during prefill");
     Ok(())
 }
 
-/// The caller goes while the prefill result crosses.
+/// The caller disconnects while the KV cache is transferred.
 #[tokio::test]
-async fn during_transfer() -> eyre::Result<()> {
+async fn cancelled_transfer_holds_memory() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan::default()).await?;
     for decode in &cluster.decodes {
         decode.faults(&Faults { stall_import: true, ..Faults::default() }).await?;
@@ -46,14 +46,14 @@
         |it: &[hollyspoke_standin::engine::Ledger]| it[1..].iter().any(|e| e.used_tokens > 0);
     cluster.wait_engines("no import begins", held).await?;
     caller.abort();
-    let took = cluster.wait_memory_free(LIMIT).await?;
-    println!("memory released {took:?} after the caller went during transfer");
+    let took = cluster.wait_memory_free(MAX_HELD).await?;
+    println!("memory released {took:?} after the caller disconnected during transfer");
     Ok(())
 }
 
-/// Callers go while their answers are generated, again and again.
+/// Callers, one after another, disconnect while their answers are decoded.
 #[tokio::test]
-async fn during_decode() -> eyre::Result<()> {
+async fn cancelled_decode_holds_memory() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { token_ms: 20, ..Plan::default() }).await?;
     let mut times = Vec::new();
     for round in 0..15 {
@@ -62,19 +62,19 @@
             it.iter().map(|e| e.decodes).sum::<u64>() == round + 1
         };
         cluster.wait_engines("no decode begins", begun).await?;
-        let went = Instant::now();
+        let disconnected_at = Instant::now();
         caller.abort();
-        cluster.wait_memory_free(LIMIT).await?;
-        times.push(went.elapsed());
+        cluster.wait_memory_free(MAX_HELD).await?;
+        times.push(disconnected_at.elapsed());
     }
     times.sort();
     println!("memory released: median {:?}, worst {:?}", times[7], times[14]);
     Ok(())
 }
 
-/// The engine is taken out of the file while it generates; the caller then goes.
+/// The engine is removed from the site file while it decodes; the caller then disconnects.
 #[tokio::test]
-async fn engine_taken_out() -> eyre::Result<()> {
+async fn removed_engine_holds_memory() -> eyre::Result<()> {
     let mut cluster = Cluster::start(Plan { token_ms: 20, ..Plan::default() }).await?;
     let caller = caller(&cluster, "long", 2000);
     let begun = |it: &[hollyspoke_standin::engine::Ledger]| it.iter().any(|e| e.decodes > 0);
@@ -84,16 +84,16 @@
     let version = cluster.apply().await?;
     cluster.wait_in_force(version).await?;
     caller.abort();
-    until(LIMIT, "the engine still holds memory", async || {
+    until(MAX_HELD, "the engine still holds memory", async || {
         let ledger: eyre::Result<hollyspoke_standin::engine::Ledger> = engine.ledger().await;
         ledger.is_ok_and(|it| it.used_tokens == 0)
     })
     .await
 }
 
-/// The caller goes while its request waits for memory; it is never begun.
+/// The caller disconnects while its request is queued for memory. It must not be prefilled.
 #[tokio::test]
-async fn while_queued() -> eyre::Result<()> {
+async fn cancelled_queued_request_runs() -> eyre::Result<()> {
     let plan = Plan { decodes: 1, memory_tokens: 1000, token_ms: 2, ..Plan::default() };
     let cluster = Cluster::start(plan).await?;
     let first = caller(&cluster, "first", 900);
@@ -104,7 +104,7 @@
     tokio::time::timeout(SOON, first).await??;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let ledgers = cluster.engines().await;
-    assert_eq!(ledgers[0].prefills, 1, "nothing was spent on the caller that went");
-    cluster.wait_memory_free(LIMIT).await?;
+    assert_eq!(ledgers[0].prefills, 1, "the request of the disconnected caller was prefilled");
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
--- a/tests/tests/epochs.rs
+++ b/tests/tests/epochs.rs
@@ -1,4 +1,4 @@
-//! Keys of dropped epochs are never run again, and the table of keys stays bounded.
+//! A call runs again after the epoch of its key was dropped, or the table of keys grows unbounded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,18 @@
 use hollyspoke_model::load::{Plan, settings};
 use hollyspoke_model::world::hold;
 
-/// A box with its clock.
+/// A box with a simulated clock.
 struct Fixture {
     /// The reducer.
     node: Node,
-    /// Its clock.
+    /// The simulated time.
     now: Time,
     /// The number of the last connection.
     last_call: u64,
 }
 
 impl Fixture {
-    /// Makes a box with a plain service.
+    /// Returns a box with a plain service.
     fn new() -> Fixture {
         let mut fixture =
             Fixture { node: Node::new(Time::ZERO, settings(0)), now: Time::ZERO, last_call: 0 };
@@ -35,12 +35,12 @@
         fixture
     }
 
-    /// Feeds an event.
+    /// Applies an event to the box.
     fn step(&mut self, event: Event) -> Vec<Effect> {
         self.node.step(self.now, event)
     }
 
-    /// Sends a hold under a key; gives its ticket if it was run, and the reply if there was one.
+    /// Sends a call under a key; returns its ticket if it was run, and the reply, if any.
     fn send(&mut self, key: Key) -> (Option<Ticket>, Option<CallerReply>) {
         self.last_call += 1;
         let mut arrival = Box::new(hold(1));
@@ -57,16 +57,16 @@
         (ticket, answer)
     }
 
-    /// Sends a hold and has it answered.
+    /// Sends a call under a new key, and answers it.
     fn run(&mut self, key: Key) {
         let (ticket, _) = self.send(key);
-        let ticket = ticket.expect("a new key is run");
+        let ticket = ticket.expect("the call of a new key was not run");
         let answer = Answer { status: 200, headers: Vec::new(), body: Arc::from([]) };
         self.step(Event::Upstream { ticket, reply: Reply::Answered(answer) });
     }
 
-    /// Lets time pass.
-    fn pass(&mut self, time: Duration) {
+    /// Advances the clock, with a tick each second.
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + Duration::from_secs(1);
@@ -75,21 +75,21 @@
     }
 }
 
-/// Makes a key of the box.
+/// Returns a key whose home is the box.
 fn key(epoch: u32, nonce: u64) -> Key {
     Key { home: Incarnation(1), epoch, nonce }
 }
 
-/// While its epoch is kept a key gets its answer again; afterwards nobody can tell, and it is not
-/// run.
+/// A key gets its answer again while its epoch is kept. Afterwards its outcome is unknown, so the
+/// call must not run.
 #[test]
-fn dropped_epoch() {
+fn dropped_key_reruns() {
     let mut fixture = Fixture::new();
     fixture.run(key(1, 7));
-    fixture.pass(EPOCH_DURATION * (KEPT_EPOCHS - 1));
+    fixture.advance(EPOCH_DURATION * (KEPT_EPOCHS - 1));
     let (ticket, reply) = fixture.send(key(1, 7));
     assert!(ticket.is_none() && matches!(reply, Some(CallerReply::Answer(_))), "{reply:?}");
-    fixture.pass(EPOCH_DURATION * 3);
+    fixture.advance(EPOCH_DURATION * 3);
     for nonce in [7, 8] {
         let (ticket, reply) = fixture.send(key(1, nonce));
         let Some(CallerReply::Problem(problem)) = reply else { panic!("{reply:?}") };
@@ -97,18 +97,18 @@
     }
 }
 
-/// The table holds what came in the kept epochs and no more.
+/// The table must hold only the keys of the kept epochs.
 #[test]
-fn bounded_table() {
+fn key_table_grows() {
     let mut fixture = Fixture::new();
-    let mut most = 0;
+    let mut max_keys = 0;
     for round in 0..60 {
         let epoch = fixture.node.status().epoch;
         (0..10).for_each(|it| fixture.run(key(epoch, round * 10 + it)));
-        fixture.pass(Duration::from_secs(15));
-        most = most.max(fixture.node.status().keys);
+        fixture.advance(Duration::from_secs(15));
+        max_keys = max_keys.max(fixture.node.status().keys);
     }
-    // Ten keys each 15 s, two rounds an epoch.
+    // Ten keys arrive every 15 s, which is twice per epoch.
     let bound = 20 * (KEPT_EPOCHS as usize + 2);
-    assert!(most <= bound, "{most} keys were kept, and {bound} are enough");
+    assert!(max_keys <= bound, "{max_keys} keys are kept, {bound} are allowed");
 }
--- a/tests/tests/incidents.rs
+++ b/tests/tests/incidents.rs
@@ -1,4 +1,4 @@
-//! The users' past incidents, by their names.
+//! Requests are delayed, lost or run twice under load, repeated sends and dead boxes or engines.
 
 use std::time::Duration;
 
@@ -10,71 +10,75 @@
 use http::Method;
 use http_body_util::BodyExt;
 
-/// Carnival Monday: lot reprints press on the counters' engines. The counters are served before
-/// them, and every reprint gets its answer or a refusal at once with a time to come back.
+/// Low-priority requests overload the engines and delay an urgent one. The urgent request must be
+/// served first; each of the others gets an answer, or is rejected with a time for its retry.
 #[tokio::test]
-async fn lot_reprints_backed_up() -> eyre::Result<()> {
+async fn low_priority_delays_urgent() -> eyre::Result<()> {
     let plan = Plan { decodes: 1, memory_tokens: 1500, token_ms: 2, ..Plan::default() };
     let cluster = Cluster::start(plan).await?;
-    let mut reprints = Vec::new();
+    let mut low_priority = Vec::new();
     for number in 0..60 {
         let address = cluster.boxes[number % 2].address().to_owned();
-        let lot = CallerRequest::generate(&format!("lot {number}"), 400, false);
-        let lot = lot.header("hollyspoke-class", "2");
-        reprints.push(tokio::spawn(async move { lot.send(&address).await }));
+        let sending = CallerRequest::generate(&format!("lot {number}"), 400, false);
+        let sending = sending.header("hollyspoke-class", "2");
+        low_priority.push(tokio::spawn(async move { sending.send(&address).await }));
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     let begun = tokio::time::Instant::now();
-    let counter =
+    let urgent =
         CallerRequest::generate("counter", 20, false).send(cluster.boxes[0].address()).await;
-    assert_eq!(counter.text()?, answer::whole("counter", 20));
-    assert!(begun.elapsed() < Duration::from_secs(3), "the counter waited {:?}", begun.elapsed());
+    assert_eq!(urgent.text()?, answer::whole("counter", 20));
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "the urgent request took {:?}",
+        begun.elapsed()
+    );
     let (mut answered, mut refused) = (0, 0);
-    for reprint in reprints {
-        match reprint.await? {
+    for sender in low_priority {
+        match sender.await? {
             CallerResponse::Answer { status: 200, .. } => answered += 1,
             CallerResponse::Problem(problem) => {
                 assert_eq!(problem.ran, "no", "{problem:?}");
                 assert!(problem.retry_after_ms.is_some(), "{problem:?}");
                 refused += 1;
             }
-            other => panic!("a reprint vanished: {other:?}"),
+            other => panic!("a low-priority request got no answer: {other:?}"),
         }
     }
-    println!("{answered} reprints answered, {refused} told when to come back");
+    println!("{answered} low-priority requests answered, {refused} rejected with a retry time");
     assert!(answered > 0 && answered + refused == 60);
     cluster.wait_memory_free(SOON).await?;
     Ok(())
 }
 
-/// Certificates came out doubled: an impatient counter sends the same order again and again, to
-/// every box, while the first still runs and its answer is slow.
+/// A caller sends the same call to every box, several times, while the first still runs. The call
+/// must run once.
 #[tokio::test]
-async fn doubled_certificates() -> eyre::Result<()> {
+async fn repeated_call_runs_twice() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { boxes: 3, services: 2, ..Plan::default() }).await?;
     for service in &cluster.services {
         service.faults(&service::Faults { delay_ms: 700, ..Default::default() }).await?;
     }
-    let order = CallerRequest::hold("certificate 7").key(&key_of(&cluster.boxes[0], 7));
-    let sends = (0..9).map(|it| order.send(cluster.boxes[it % 3].address()));
+    let call = CallerRequest::hold("certificate 7").key(&key_of(&cluster.boxes[0], 7));
+    let sends = (0..9).map(|it| call.send(cluster.boxes[it % 3].address()));
     let got = futures::future::join_all(sends).await;
     assert_eq!(got.iter().filter(|it| it.is_answer()).count(), 1, "{got:?}");
-    assert_eq!(cluster.runs("certificate 7").await?, 1, "one certificate was printed");
+    assert_eq!(cluster.runs("certificate 7").await?, 1, "the call did not run exactly once");
     Ok(())
 }
 
-/// A citation check vanished: its box died in the middle. The caller learns of it, and the check
-/// is answered whole at another box under the same key.
+/// The box of a request is killed during the answer. The caller must see that the answer is cut off,
+/// and get it whole from another box under the same key.
 #[tokio::test]
-async fn vanished_citation_check() -> eyre::Result<()> {
+async fn killed_box_loses_request() -> eyre::Result<()> {
     let mut cluster = Cluster::start(Plan { boxes: 3, token_ms: 20, ..Plan::default() }).await?;
-    let check = CallerRequest::generate("citation", 150, true).key(&key_of(&cluster.boxes[0], 8));
-    let response = check.begin(cluster.boxes[0].address()).await?;
+    let sending = CallerRequest::generate("citation", 150, true).key(&key_of(&cluster.boxes[0], 8));
+    let response = sending.begin(cluster.boxes[0].address()).await?;
     tokio::time::sleep(Duration::from_millis(500)).await;
     cluster.boxes[0].process.kill();
     let (_, ended) = read_stream(response).await;
-    assert!(!ended, "the broken answer does not look whole");
-    let again = check.begin(cluster.boxes[1].address()).await?;
+    assert!(!ended, "the answer that was cut off looks whole");
+    let again = sending.begin(cluster.boxes[1].address()).await?;
     let (text, ended) = read_stream(again).await;
     assert!(ended, "{text}");
     assert_eq!(text, answer::whole("citation", 150));
@@ -82,10 +86,10 @@
     Ok(())
 }
 
-/// Hold confirmations were lost: the connection breaks after the hold was sent. The buyer's app
-/// asks again with the same key and gets the one confirmation.
+/// The connection is closed after a call was sent. A retry with the same key must get the answer of
+/// the first run.
 #[tokio::test]
-async fn lost_hold_confirmations() -> eyre::Result<()> {
+async fn lost_connection_loses_answer() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { boxes: 2, services: 2, ..Plan::default() }).await?;
     for service in &cluster.services {
         service.faults(&service::Faults { delay_ms: 300, ..Default::default() }).await?;
@@ -95,22 +99,22 @@
         let hold = CallerRequest::hold(&body).key(&key_of(&cluster.boxes[0], 100 + seat));
         let home = cluster.boxes[0].address();
         let lost = tokio::time::timeout(Duration::from_millis(100), hold.send(home)).await;
-        assert!(lost.is_err(), "the first connection is dropped");
-        let CallerResponse::Answer { body: confirmation, .. } =
+        assert!(lost.is_err(), "the first connection got an answer before it was closed");
+        let CallerResponse::Answer { body: answer_body, .. } =
             hold.send(cluster.boxes[1].address()).await
         else {
-            panic!("no confirmation of {body}");
+            panic!("no answer to {body}");
         };
-        assert!(confirmation.contains("\"run\":1"), "{confirmation}");
+        assert!(answer_body.contains("\"run\":1"), "{answer_body}");
         assert_eq!(cluster.runs(&body).await?, 1);
     }
     Ok(())
 }
 
-/// A transfer went through twice: a caller that follows the rules sends a transfer while its box
-/// dies, at any moment; it runs at most once, whatever the caller is told.
+/// A caller that follows the retry rules sends a call, and its box is killed at different moments.
+/// The call must run at most once, whatever outcome the caller gets.
 #[tokio::test]
-async fn transfer_twice() -> eyre::Result<()> {
+async fn retry_after_kill_reruns() -> eyre::Result<()> {
     for kill_after in [20, 150, 400] {
         let plan = Plan { boxes: 3, services: 2, ..Plan::default() };
         let mut cluster = Cluster::start(plan).await?;
@@ -141,16 +145,16 @@
             }
             Outcome::Problem(problem) if problem.ran == "no" => assert_eq!(runs, 0, "{problem:?}"),
             Outcome::Problem(problem) => assert_eq!(problem.ran, "unknown", "{problem:?}"),
-            Outcome::Unreachable(why) => panic!("two boxes live: {why}"),
+            Outcome::Unreachable(reason) => panic!("two boxes are alive: {reason}"),
         }
-        assert!(runs <= 1, "the transfer ran {runs} times");
+        assert!(runs <= 1, "the call ran {runs} times");
     }
     Ok(())
 }
 
-/// Everything at once and twice: the home and an engine die while the store is away.
+/// A box and an engine are killed while the store is unreachable; requests must still be answered.
 #[tokio::test]
-async fn twice_at_once() -> eyre::Result<()> {
+async fn joint_deaths_cut_answer() -> eyre::Result<()> {
     let plan = Plan { boxes: 3, decodes: 3, services: 2, token_ms: 20, ..Plan::default() };
     let mut cluster = Cluster::start(plan).await?;
     let faults = hollyspoke_standin::platform::Faults { down: true, ..Default::default() };
--- a/tests/tests/kill.rs
+++ b/tests/tests/kill.rs
@@ -1,4 +1,4 @@
-//! Processes die in the middle of a request.
+//! Boxes or engines are killed during a request, which loses its answer or leaves memory held.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use hollyspoke_tests::cluster::{Cluster, Plan};
 use hollyspoke_tests::request::{CallerRequest, read_stream};
 
-/// How long memory may stay held after its front has died; the figures are printed.
-const LIMIT: Duration = Duration::from_secs(15);
+/// How long memory may stay held after the box that used it was killed.
+const MAX_HELD: Duration = Duration::from_secs(15);
 
-/// A site of three boxes with slow tokens.
+/// Starts a site of three boxes whose engines decode slowly.
 async fn slow_site() -> eyre::Result<Cluster> {
     Cluster::start(Plan { boxes: 3, token_ms: 20, ..Plan::default() }).await
 }
 
-/// Starts a long streamed request at a box.
+/// Sends a long streamed request to a box; returns the text and whether the stream ended properly.
 fn begin(cluster: &Cluster, at: usize) -> tokio::task::JoinHandle<(String, bool)> {
     let address = cluster.boxes[at].address().to_owned();
     tokio::spawn(async move {
@@ -26,41 +26,41 @@
     })
 }
 
-/// Tells whether a decode runs.
+/// Returns whether an engine is decoding.
 fn decoding(ledgers: &[Ledger]) -> bool {
     ledgers[1..].iter().any(|it| it.decodes > it.finished)
 }
 
-/// The front dies while it streams; the owner frees the memory.
+/// The front is killed while it streams; the owner must free the memory.
 #[tokio::test]
-async fn front_dies() -> eyre::Result<()> {
+async fn front_death_holds_memory() -> eyre::Result<()> {
     let mut cluster = slow_site().await?;
     let owner = cluster.owner().await?;
     let front = (owner + 1) % 3;
     let _caller = begin(&cluster, front);
     cluster.wait_engines("no decode begins", decoding).await?;
     cluster.boxes[front].process.kill();
-    let took = cluster.wait_memory_free(LIMIT).await?;
-    println!("memory released {took:?} after the front died");
+    let took = cluster.wait_memory_free(MAX_HELD).await?;
+    println!("memory released {took:?} after the front was killed");
     Ok(())
 }
 
-/// Front and owner are one box and die together; the new owner's sweep frees the memory.
+/// The box that is both front and owner is killed; the new owner must free the memory.
 #[tokio::test]
-async fn front_and_owner_die() -> eyre::Result<()> {
+async fn joint_death_holds_memory() -> eyre::Result<()> {
     let mut cluster = slow_site().await?;
     let owner = cluster.owner().await?;
     let _caller = begin(&cluster, owner);
     cluster.wait_engines("no decode begins", decoding).await?;
     cluster.boxes[owner].process.kill();
-    let took = cluster.wait_memory_free(LIMIT).await?;
-    println!("memory released {took:?} after front and owner died together");
+    let took = cluster.wait_memory_free(MAX_HELD).await?;
+    println!("memory released {took:?} after front and owner were killed");
     Ok(())
 }
 
-/// The owner dies; the front goes on and the answer is whole.
+/// The owner is killed; the front must finish the answer without a second decode.
 #[tokio::test]
-async fn owner_dies() -> eyre::Result<()> {
+async fn owner_death_cuts_answer() -> eyre::Result<()> {
     let mut cluster = slow_site().await?;
     let owner = cluster.owner().await?;
     let front = (owner + 1) % 3;
@@ -71,17 +71,17 @@
     assert!(ended);
     assert_eq!(text, answer::whole("long", 400));
     let decodes: u64 = cluster.engines().await.iter().map(|it| it.decodes).sum();
-    assert_eq!(decodes, 1, "the stream was never begun again");
+    assert_eq!(decodes, 1, "the stream was decoded again");
     let after =
         CallerRequest::generate("after", 10, false).send(cluster.boxes[front].address()).await;
     assert_eq!(after.text()?, answer::whole("after", 10));
-    cluster.wait_memory_free(LIMIT).await?;
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
 
-/// The decode engine dies; the answer goes on from the last token on another one.
+/// The decode engine is killed; another engine must continue from the last token.
 #[tokio::test]
-async fn decode_engine_dies() -> eyre::Result<()> {
+async fn decode_death_cuts_answer() -> eyre::Result<()> {
     let mut cluster = slow_site().await?;
     let caller = begin(&cluster, 0);
     cluster.wait_engines("no decode begins", decoding).await?;
@@ -90,28 +90,28 @@
     let busy = ledgers[1..].iter().position(|it| it.decodes > 0).unwrap_or(0);
     cluster.decodes[busy].kill();
     let (text, ended) = caller.await?;
-    assert!(ended, "the answer came to its end");
-    assert_eq!(text, answer::whole("long", 400), "each token came once and in order");
-    cluster.wait_memory_free(LIMIT).await?;
+    assert!(ended, "the answer was cut off");
+    assert_eq!(text, answer::whole("long", 400), "tokens are missing, repeated or out of order");
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
 
-/// A stream that breaks off is resumed, and none of its tokens comes twice.
+/// An engine's stream breaks off; it must be resumed without repeated tokens.
 #[tokio::test]
-async fn stream_breaks_off() -> eyre::Result<()> {
+async fn broken_stream_repeats_tokens() -> eyre::Result<()> {
     let cluster = slow_site().await?;
     cluster.decodes[0].faults(&Faults { break_after: Some(30), ..Faults::default() }).await?;
     cluster.decodes[1].faults(&Faults { break_after: Some(300), ..Faults::default() }).await?;
     let (text, ended) = begin(&cluster, 0).await?;
     assert!(ended);
     assert_eq!(text, answer::whole("long", 400));
-    cluster.wait_memory_free(LIMIT).await?;
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
 
-/// The prefill engine dies; the prompt is computed by another one.
+/// The prefill engine is killed; another engine must prefill the prompt.
 #[tokio::test]
-async fn prefill_engine_dies() -> eyre::Result<()> {
+async fn prefill_death_loses_request() -> eyre::Result<()> {
     let plan = Plan { prefills: 2, prefill_rate: 100, ..Plan::default() };
     let mut cluster = Cluster::start(plan).await?;
     let prompt = "p".repeat(300);
@@ -123,13 +123,13 @@
     let busy = usize::from(cluster.engines().await[0].prefills == 0);
     cluster.prefills[busy].kill();
     assert_eq!(caller.await?.text()?, answer::whole(&prompt, 20));
-    cluster.wait_memory_free(LIMIT).await?;
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
 
-/// A transfer stalls; the request moves to another decode engine.
+/// A transfer stalls; the request must move to another decode engine.
 #[tokio::test]
-async fn transfer_stalls() -> eyre::Result<()> {
+async fn stalled_transfer_blocks_request() -> eyre::Result<()> {
     let cluster = slow_site().await?;
     cluster.decodes[0].faults(&Faults { stall_import: true, ..Faults::default() }).await?;
     for round in 0..3 {
@@ -138,6 +138,6 @@
             CallerRequest::generate(&prompt, 10, false).send(cluster.boxes[0].address()).await;
         assert_eq!(got.text()?, answer::whole(&prompt, 10));
     }
-    cluster.wait_memory_free(LIMIT).await?;
+    cluster.wait_memory_free(MAX_HELD).await?;
     Ok(())
 }
--- a/tests/tests/kill_phases.rs
+++ b/tests/tests/kill_phases.rs
@@ -1,4 +1,5 @@
-//! The front, the owner, or both die in each phase of a request: no memory stays held.
+//! The front, the owner or the box that is both is killed in a phase of a request, and memory stays
+//! held.
 
 use std::time::Duration;
 
@@ -6,41 +7,41 @@
 use hollyspoke_tests::cluster::{Cluster, Plan};
 use hollyspoke_tests::request::{CallerRequest, read_stream};
 
-/// How long memory may stay held after the last process that knew of it has died.
-const LIMIT: Duration = Duration::from_secs(15);
+/// How long memory may stay held after the last process that knew of it was killed.
+const MAX_HELD: Duration = Duration::from_secs(15);
 
-/// The phase in which a box dies.
+/// The phase of the request in which a box is killed.
 #[derive(Debug, Clone, Copy)]
 enum Phase {
-    /// The prompt is being computed.
+    /// The prompt is being prefilled.
     Prefill,
-    /// The result is crossing.
+    /// The KV cache is being transferred.
     Transfer,
-    /// Tokens are coming.
+    /// Tokens are being decoded.
     Decode,
 }
 
-/// The phases.
+/// All phases, in the order of a request.
 const PHASES: [Phase; 3] = [Phase::Prefill, Phase::Transfer, Phase::Decode];
 
-/// Who dies.
+/// The box that is killed.
 #[derive(Debug, Clone, Copy)]
-enum Dying {
+enum Victim {
     /// The front, which is not the owner.
     Front,
-    /// The owner, which is not the front; the caller goes afterwards.
+    /// The owner, which is not the front; the caller disconnects afterwards.
     Owner,
-    /// The box that is both.
+    /// The box that is both front and owner.
     Both,
 }
 
-/// Stalls the phase, brings a request there, has the boxes die, and waits for the memory.
-async fn play(phase: Phase, dying: Dying) -> eyre::Result<()> {
+/// Stalls a request in the phase, kills the box, and waits until the memory is free.
+async fn kill_in_phase(phase: Phase, victim: Victim) -> eyre::Result<()> {
     let mut cluster = Cluster::start(Plan { boxes: 3, token_ms: 20, ..Plan::default() }).await?;
     let owner = cluster.owner().await?;
-    let front = match dying {
-        Dying::Front | Dying::Owner => (owner + 1) % 3,
-        Dying::Both => owner,
+    let front = match victim {
+        Victim::Front | Victim::Owner => (owner + 1) % 3,
+        Victim::Both => owner,
     };
     for process in cluster.prefills.iter().chain(&cluster.decodes) {
         let stall_prefill = matches!(phase, Phase::Prefill);
@@ -59,42 +60,42 @@
         Phase::Decode => it[1..].iter().any(|e| e.decodes > 0),
     };
     cluster.wait_engines("the phase is not reached", reached).await?;
-    match dying {
-        Dying::Front | Dying::Both => cluster.boxes[front].process.kill(),
-        Dying::Owner => {
+    match victim {
+        Victim::Front | Victim::Both => cluster.boxes[front].process.kill(),
+        Victim::Owner => {
             cluster.boxes[owner].process.kill();
             caller.abort();
         }
     }
-    let took = cluster.wait_memory_free(LIMIT).await?;
-    println!("{dying:?} died in {phase:?}: memory released after {took:?}");
+    let took = cluster.wait_memory_free(MAX_HELD).await?;
+    println!("{victim:?} killed in {phase:?}: memory released after {took:?}");
     caller.abort();
     Ok(())
 }
 
-/// The front dies.
+/// The owner must free the memory of a front that was killed.
 #[tokio::test]
-async fn front_dies() -> eyre::Result<()> {
+async fn front_death_holds_memory() -> eyre::Result<()> {
     for phase in PHASES {
-        play(phase, Dying::Front).await?;
+        kill_in_phase(phase, Victim::Front).await?;
     }
     Ok(())
 }
 
-/// The owner dies, and the caller goes.
+/// The front must free the memory after the owner was killed and the caller has disconnected.
 #[tokio::test]
-async fn owner_dies() -> eyre::Result<()> {
+async fn owner_death_holds_memory() -> eyre::Result<()> {
     for phase in PHASES {
-        play(phase, Dying::Owner).await?;
+        kill_in_phase(phase, Victim::Owner).await?;
     }
     Ok(())
 }
 
-/// Front and owner are one box, which dies.
+/// A new owner must free the memory after the box that was front and owner was killed.
 #[tokio::test]
-async fn both_die() -> eyre::Result<()> {
+async fn joint_death_holds_memory() -> eyre::Result<()> {
     for phase in PHASES {
-        play(phase, Dying::Both).await?;
+        kill_in_phase(phase, Victim::Both).await?;
     }
     Ok(())
 }
--- a/tests/tests/lease_writes.rs
+++ b/tests/tests/lease_writes.rs
@@ -1,4 +1,4 @@
-//! Writes of a lease whose answers are lost, and that take effect late or not at all.
+//! Writes of a lease whose answers are lost take effect late or not at all.
 
 use std::time::Duration;
 
@@ -6,51 +6,52 @@
 use hollyspoke::store::{Answer, Operation};
 use hollyspoke::time::Time;
 
-/// Gives a lease an answer; gives the operation that follows, if one does.
+/// Passes an answer to a lease; returns the operation that follows, if any.
 fn answer(lease: &mut Lease, now: Time, answer: &Answer) -> Option<Operation> {
-    let mut begun = None;
+    let mut started = None;
     lease.answer(now, 1, answer, |it| {
-        begun = Some(it);
+        started = Some(it);
         1
     });
-    begun
+    started
 }
 
-/// Has a lease look; gives the operation that follows, if one does.
+/// Lets a lease check the time; returns the operation that follows, if any.
 fn tick(lease: &mut Lease, now: Time) -> Option<Operation> {
-    let mut begun = None;
+    let mut started = None;
     lease.tick(now, true, |it| {
-        begun = Some(it);
+        started = Some(it);
         1
     });
-    begun
+    started
 }
 
-/// A renewal without an answer was taken for done as soon as the store still named the holder, though
-/// its old version stood, which others had seen standing for long: two held the lease.
+/// A renewal has no answer, and the store still names the holder under the old version. If that
+/// counts as renewed, another box that has observed the old version expire holds the lease too.
 #[test]
-fn a_renewal_under_way_is_not_held() {
-    let begun = Time::from_millis(1000);
-    let mut lease = Lease::new(begun, "stages".to_owned(), "me".to_owned(), Terms::default());
+fn pending_renewal_extends_lease() {
+    let started = Time::from_millis(1000);
+    let mut lease = Lease::new(started, "stages".to_owned(), "me".to_owned(), Terms::default());
     let own = |version| Answer::Found { version, value: "me".to_owned() };
-    assert!(tick(&mut lease, begun).is_some());
-    assert!(answer(&mut lease, begun, &Answer::Absent).is_some());
-    answer(&mut lease, begun, &Answer::Written { version: 1 });
-    let held = lease.held(begun).expect("it was written");
+    assert!(tick(&mut lease, started).is_some());
+    assert!(answer(&mut lease, started, &Answer::Absent).is_some());
+    answer(&mut lease, started, &Answer::Written { version: 1 });
+    let held = lease.held(started).expect("the lease was written but is not held");
 
-    let renewed = begun + Duration::from_secs(3);
+    let renewed = started + Duration::from_secs(3);
     tick(&mut lease, renewed);
     answer(&mut lease, renewed, &own(1));
     answer(&mut lease, renewed, &Answer::Away);
-    let again = renewed + Duration::from_secs(1);
-    tick(&mut lease, again);
-    assert!(matches!(answer(&mut lease, again, &own(1)), Some(Operation::Put { .. })));
-    assert_eq!(lease.held(again), Some(held), "the old version proves nothing");
+    let retried = renewed + Duration::from_secs(1);
+    tick(&mut lease, retried);
+    assert!(matches!(answer(&mut lease, retried, &own(1)), Some(Operation::Put { .. })));
+    assert_eq!(lease.held(retried), Some(held), "the old version extended the lease");
 
-    answer(&mut lease, again, &Answer::Conflict);
-    let seen = again + Duration::from_secs(1);
-    tick(&mut lease, seen);
-    answer(&mut lease, seen, &own(2));
-    let until = lease.held(seen).expect("the renewal has taken effect").until;
-    assert_eq!(until, renewed + held.until.since(begun));
+    answer(&mut lease, retried, &Answer::Conflict);
+    let observed = retried + Duration::from_secs(1);
+    tick(&mut lease, observed);
+    answer(&mut lease, observed, &own(2));
+    let until =
+        lease.held(observed).expect("the renewal took effect but the lease is not held").until;
+    assert_eq!(until, renewed + held.until.since(started));
 }
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -1,14 +1,15 @@
-//! Orders to engines under a lease: a holder that was frozen or has died orders nothing older.
+//! Orders are sent to engines under a lease. A holder that was frozen or killed must not make an
+//! engine carry out an older order after a newer one.
 
 use std::time::Duration;
 
 use hollyspoke_standin::engine::Ledger;
 use hollyspoke_tests::cluster::{Cluster, Plan, until};
 
-/// How long a new holder may take: the lease's time, a margin, and the wait for old orders.
-const TAKE_OVER: Duration = Duration::from_secs(30);
+/// How long a new holder may take: the lease duration, a margin, and the wait for old orders.
+const MAX_TAKEOVER: Duration = Duration::from_secs(30);
 
-/// A site whose engines take orders, with an adapter.
+/// Starts a site whose engines accept orders, with an adapter.
 async fn site() -> eyre::Result<Cluster> {
     let more = "adapters = [\"bylaws\"]".to_owned();
     Cluster::start(Plan { boxes: 3, orders: true, more, ..Plan::default() }).await
@@ -16,7 +17,7 @@
 
 /// Waits until every engine has loaded an adapter.
 async fn wait_loaded(cluster: &Cluster, adapter: &str) -> eyre::Result<()> {
-    until(TAKE_OVER, "the adapter is not loaded everywhere", async || {
+    until(MAX_TAKEOVER, "the adapter is not loaded everywhere", async || {
         let ledgers = cluster.engines().await;
         ledgers.iter().all(|it| it.loaded.iter().any(|loaded| loaded == adapter))
     })
@@ -30,15 +31,15 @@
     }
 }
 
-/// Finds the box that gave an order last, by its log.
-fn holder(cluster: &Cluster) -> Option<usize> {
+/// Returns the first box whose log has an order.
+fn ordering_box(cluster: &Cluster) -> Option<usize> {
     let ordered = |it: &String| it.contains("is ordered");
     cluster.boxes.iter().position(|it| it.process.lines().iter().any(ordered))
 }
 
-/// The file's model and adapters are loaded.
+/// The model and the adapters of the site file are not loaded.
 #[tokio::test]
-async fn file_is_loaded() -> eyre::Result<()> {
+async fn adapter_not_loaded() -> eyre::Result<()> {
     let cluster = site().await?;
     wait_loaded(&cluster, "bylaws").await?;
     let ledgers = cluster.engines().await;
@@ -47,12 +48,12 @@
     Ok(())
 }
 
-/// The holder is frozen beyond its lease; another one orders, and the first wakes.
+/// The holder is frozen beyond its lease; it resumes after another box has sent orders.
 #[tokio::test]
-async fn frozen_holder() -> eyre::Result<()> {
+async fn frozen_holder_reorders() -> eyre::Result<()> {
     let mut cluster = site().await?;
     wait_loaded(&cluster, "bylaws").await?;
-    let first = holder(&cluster).expect("some box has ordered");
+    let first = ordering_box(&cluster).expect("no box has sent an order");
     cluster.boxes[first].freeze();
     cluster.plan.more = "adapters = [\"bylaws\", \"lots\"]".to_owned();
     cluster.apply().await?;
@@ -66,12 +67,12 @@
     Ok(())
 }
 
-/// The holder dies and the store loses answers; another one takes over.
+/// The holder is killed and the store loses answers; another box must take over.
 #[tokio::test]
-async fn dead_holder() -> eyre::Result<()> {
+async fn dead_holder_blocks_orders() -> eyre::Result<()> {
     let mut cluster = site().await?;
     wait_loaded(&cluster, "bylaws").await?;
-    let first = holder(&cluster).expect("some box has ordered");
+    let first = ordering_box(&cluster).expect("no box has sent an order");
     cluster.boxes[first].process.kill();
     cluster.plan.more = "adapters = [\"lots\"]".to_owned();
     cluster.apply().await?;
--- a/tests/tests/own_key.rs
+++ b/tests/tests/own_key.rs
@@ -1,4 +1,4 @@
-//! Callers' own idempotency keys, claimed in the platform's store.
+//! Calls under callers' own idempotency keys run twice when claims in the store are lost or late.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 use hollyspoke_tests::cluster::{Cluster, Plan};
 use hollyspoke_tests::request::CallerRequest;
 
-/// A site of three boxes with a plain service.
+/// Starts a site of three boxes with a plain service.
 async fn site() -> eyre::Result<Cluster> {
     Cluster::start(Plan { boxes: 3, services: 2, ..Plan::default() }).await
 }
 
-/// One own key sent to every box at once runs once, and all get the same run's answer.
+/// A call with one key is sent to every box at once. It must run once; a connection gets its answer
+/// or is superseded.
 #[tokio::test]
-async fn at_every_box() -> eyre::Result<()> {
+async fn concurrent_claims_run_twice() -> eyre::Result<()> {
     let cluster = site().await?;
     for round in 0..10 {
         let body = format!("transfer {round}");
         let sending = CallerRequest::hold(&body).own_key(&format!("own-{round}"));
         let sends = cluster.boxes.iter().map(|it| sending.send(it.address()));
-        let got = futures::future::join_all(sends).await;
-        assert!(got.iter().any(|it| it.is_answer()), "{got:?}");
-        for one in &got {
+        let responses = futures::future::join_all(sends).await;
+        assert!(responses.iter().any(|it| it.is_answer()), "{responses:?}");
+        for one in &responses {
             assert!(one.is_answer() || one.slug() == "superseded", "{one:?}");
         }
         assert_eq!(cluster.runs(&body).await?, 1);
@@ -30,58 +31,59 @@
     Ok(())
 }
 
-/// The claim's answer is lost after the write: the request still runs, and once.
+/// The store's answers to claims are lost after the write. The call must still run, and only once.
 #[tokio::test]
-async fn lost_answer() -> eyre::Result<()> {
+async fn lost_claim_answer() -> eyre::Result<()> {
     let cluster = site().await?;
     cluster.platform.faults(&Faults { lose_answers: true, ..Faults::default() }).await?;
     let sending = CallerRequest::hold("transfer lost").own_key("own-lost");
-    let got = sending.send(cluster.boxes[0].address()).await;
-    assert!(got.is_answer(), "{got:?}");
+    let response = sending.send(cluster.boxes[0].address()).await;
+    assert!(response.is_answer(), "{response:?}");
     let again = sending.send(cluster.boxes[1].address()).await;
     assert!(again.is_answer(), "{again:?}");
     assert_eq!(cluster.runs("transfer lost").await?, 1);
     Ok(())
 }
 
-/// The store is away: the request is refused as not run, at once enough, and runs later.
+/// The store is unreachable. The call must be rejected as not run, and run once the store is back.
 #[tokio::test]
-async fn store_away() -> eyre::Result<()> {
+async fn unreachable_store_loses_call() -> eyre::Result<()> {
     let cluster = site().await?;
     cluster.platform.faults(&Faults { down: true, ..Faults::default() }).await?;
     let sending = CallerRequest::hold("transfer away").own_key("own-away");
-    let got = sending.send(cluster.boxes[0].address()).await;
-    assert_eq!(got.slug(), "store-away", "{got:?}");
+    let response = sending.send(cluster.boxes[0].address()).await;
+    assert_eq!(response.slug(), "store-away", "{response:?}");
     assert_eq!(cluster.runs("transfer away").await?, 0);
-    let without = CallerRequest::hold("without own key").send(cluster.boxes[0].address()).await;
-    assert!(without.is_answer(), "a call that needs no claim is served: {without:?}");
+    let unclaimed = CallerRequest::hold("without own key").send(cluster.boxes[0].address()).await;
+    assert!(unclaimed.is_answer(), "a call that needs no claim was rejected: {unclaimed:?}");
     cluster.platform.faults(&Faults::default()).await?;
-    let got = sending.send(cluster.boxes[1].address()).await;
-    assert!(got.is_answer(), "{got:?}");
+    let response = sending.send(cluster.boxes[1].address()).await;
+    assert!(response.is_answer(), "{response:?}");
     assert_eq!(cluster.runs("transfer away").await?, 1);
     Ok(())
 }
 
-/// A write takes effect long after it was given up on: the claim is still one box's alone.
+/// The write of a claim takes effect long after its time-out. Only one box may hold the claim.
 #[tokio::test]
-async fn late_write() -> eyre::Result<()> {
+async fn late_claim_runs_twice() -> eyre::Result<()> {
     let cluster = site().await?;
     cluster.platform.faults(&Faults { late_ms: 2500, ..Faults::default() }).await?;
     let sending = CallerRequest::hold("transfer late").own_key("own-late");
     let first = sending.send(cluster.boxes[0].address()).await;
     cluster.platform.faults(&Faults::default()).await?;
     let sends = cluster.boxes.iter().map(|it| sending.send(it.address()));
-    let got = futures::future::join_all(sends).await;
+    let responses = futures::future::join_all(sends).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let later = sending.send(cluster.boxes[2].address()).await;
-    assert!(later.is_answer(), "first {first:?}, then {got:?}, later {later:?}");
+    assert!(later.is_answer(), "first {first:?}, then {responses:?}, later {later:?}");
     assert_eq!(cluster.runs("transfer late").await?, 1);
     Ok(())
 }
 
-/// The claim's home dies while the transfer runs: its outcome is unknown, and it never runs twice.
+/// The home of a claim is killed while the call runs. Its outcome is unknown, so it must not run
+/// again.
 #[tokio::test]
-async fn home_dies() -> eyre::Result<()> {
+async fn dead_home_reruns() -> eyre::Result<()> {
     let mut cluster = site().await?;
     for service in &cluster.services {
         service.faults(&service::Faults { lose_answers: true, ..Default::default() }).await?;
@@ -96,8 +98,8 @@
     assert_eq!(cluster.runs("transfer home").await?, 1);
     cluster.boxes[0].process.kill();
     for _ in 0..6 {
-        let got = sending.send(cluster.boxes[1].address()).await;
-        assert_eq!(got.slug(), "outcome-unknown", "{got:?}");
+        let response = sending.send(cluster.boxes[1].address()).await;
+        assert_eq!(response.slug(), "outcome-unknown", "{response:?}");
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
     assert_eq!(cluster.runs("transfer home").await?, 1);
--- a/tests/tests/pause.rs
+++ b/tests/tests/pause.rs
@@ -1,4 +1,4 @@
-//! A box is frozen beyond every lease and suspicion time, and then goes on.
+//! A box is frozen for longer than all leases and timeouts, and then resumes.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use hollyspoke_tests::cluster::{Cluster, Plan, SOON};
 use hollyspoke_tests::request::{CallerRequest, read_stream};
 
-/// Longer than a grant outlives its front's silence.
-const FREEZE: Duration = Duration::from_secs(7);
+/// The duration of a freeze: longer than a grant is kept after its front has timed out.
+const FREEZE_DURATION: Duration = Duration::from_secs(7);
 
-/// A frozen front loses its grants; when it wakes it finishes the answer under a new one.
+/// A frozen front loses its grant; once resumed, it must finish the answer under a new one.
 #[tokio::test]
-async fn frozen_front() -> eyre::Result<()> {
+async fn frozen_front_cuts_answer() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { boxes: 3, token_ms: 20, ..Plan::default() }).await?;
     let owner = cluster.owner().await?;
     let front = (owner + 1) % 3;
@@ -24,18 +24,19 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     cluster.boxes[front].freeze();
     cluster.wait_memory_free(SOON).await?;
-    tokio::time::sleep(FREEZE).await;
+    tokio::time::sleep(FREEZE_DURATION).await;
     cluster.boxes[front].resume();
     let (text, ended) = caller.await??;
     assert!(ended, "{text}");
-    assert_eq!(text, answer::whole("long", 200), "each token came once and in order");
+    assert_eq!(text, answer::whole("long", 200), "tokens are missing, repeated or out of order");
     cluster.wait_memory_free(SOON).await?;
     Ok(())
 }
 
-/// A frozen owner is replaced; when it wakes, nothing is granted twice for long.
+/// A frozen owner is replaced; once resumed, it must not keep granting memory that the new owner
+/// grants.
 #[tokio::test]
-async fn frozen_owner() -> eyre::Result<()> {
+async fn frozen_owner_blocks_requests() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { boxes: 3, ..Plan::default() }).await?;
     let owner = cluster.owner().await?;
     let front = (owner + 1) % 3;
--- a/tests/tests/paused_question.rs
+++ b/tests/tests/paused_question.rs
@@ -1,4 +1,5 @@
-//! A box that was paused while its question waited takes no grant made for it meanwhile.
+//! A box that was paused while it asked for a grant must not use a grant that was made meanwhile,
+//! since the owner may have given the capacity to another request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use hollyspoke_model::load::{Plan, settings};
 use hollyspoke_model::world::generate;
 
-/// Makes a box for which another one owns the engines; gives the other one's entry too.
+/// Returns a box that does not own the engines, and the entry of the box that owns them.
 fn front() -> (Node, hollyspoke::member::Entry) {
     for number in 1..50 {
         let mut node = Node::new(Time::ZERO, settings(0));
@@ -27,11 +28,11 @@
             return (node, other);
         }
     }
-    panic!("one of fifty boxes ranks before the first");
+    panic!("none of fifty boxes owns the engines instead of the first");
 }
 
-/// Finds the question among effects.
-fn question(effects: &[Effect]) -> Option<&Ask> {
+/// Returns the request for a grant among effects.
+fn ask_of(effects: &[Effect]) -> Option<&Ask> {
     effects.iter().find_map(|it| match it {
         Effect::Send { message, .. } => match &**message {
             Message::Ask(ask) => Some(ask),
@@ -41,7 +42,7 @@
     })
 }
 
-/// Makes the owner's grant for a question.
+/// Returns the owner's grant for a request.
 fn granted(ask: &Ask) -> Message {
     Message::Granted(Grant {
         shard: ask.shard,
@@ -54,27 +55,31 @@
     })
 }
 
-/// Tells whether a prefill is begun under a ticket.
-fn prefills(effects: &[Effect], wanted: Ticket) -> bool {
-    effects.iter().any(|it| matches!(it, Effect::Prefill { ticket, .. } if *ticket == wanted))
+/// Returns whether a prefill is started under a ticket.
+fn starts_prefill(effects: &[Effect], expected: Ticket) -> bool {
+    effects.iter().any(|it| matches!(it, Effect::Prefill { ticket, .. } if *ticket == expected))
 }
 
-/// The question's ticket is given up with the pause; its grant is given back unused.
+/// After a pause beyond the threshold, the box must ask again under a new ticket.
 #[test]
-fn late_grant() {
+fn stale_grant_used() {
     for pause in [Duration::from_millis(100), PAUSE_THRESHOLD + Duration::from_millis(100)] {
         let (mut node, other) = front();
         let arrival = Box::new(generate(1, 100, 10, 10));
         let effects = node.step(Time::ZERO, Event::Arrive { call: CallId(1), arrival });
-        let ask = question(&effects).expect("the owner is asked").clone();
+        let ask = ask_of(&effects).expect("the owner is not asked").clone();
         let now = Time::ZERO + pause;
         let message = Box::new(granted(&ask));
         let effects = node.step(now, Event::Peer { from: other.incarnation, message });
         let was_paused = pause > PAUSE_THRESHOLD;
-        assert_eq!(prefills(&effects, ask.ticket), !was_paused, "after {pause:?}: {effects:#?}");
+        assert_eq!(
+            starts_prefill(&effects, ask.ticket),
+            !was_paused,
+            "after {pause:?}: {effects:#?}"
+        );
         if was_paused {
-            let again = question(&effects).expect("the owner is asked again");
-            assert_ne!(again.ticket, ask.ticket);
+            let second = ask_of(&effects).expect("the owner is not asked again");
+            assert_ne!(second.ticket, ask.ticket);
         }
     }
 }
--- a/tests/tests/planned_stop.rs
+++ b/tests/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request in progress, and keys outlive it.
+//! A planned stop of a box must not cut off a request in progress, nor lose the answers of keys.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use hollyspoke_tests::cluster::{Cluster, Plan, SOON};
 use hollyspoke_tests::request::{CallerRequest, CallerResponse, key_of, read_stream};
 
-/// Boxes stop one after another under load; no request in progress is cut.
+/// Two boxes shut down one after another under load, which must not cut off an answer.
 #[tokio::test]
-async fn under_load() -> eyre::Result<()> {
+async fn stop_cuts_answer() -> eyre::Result<()> {
     let plan = Plan { boxes: 3, decodes: 3, token_ms: 10, services: 1, ..Plan::default() };
     let mut cluster = Cluster::start(plan).await?;
     let mut callers = Vec::new();
@@ -45,9 +45,10 @@
     Ok(())
 }
 
-/// A leaving box is named to no caller and refuses new requests as not run.
+/// A box that is shutting down must not be listed for callers, and must reject new requests as not
+/// run.
 #[tokio::test]
-async fn takes_nothing_new() -> eyre::Result<()> {
+async fn stopping_box_accepts_request() -> eyre::Result<()> {
     let cluster = Cluster::start(Plan { token_ms: 20, ..Plan::default() }).await?;
     let address = cluster.boxes[0].address();
     let running = CallerRequest::generate("runs on", 150, true).begin(address).await?;
@@ -65,30 +66,31 @@
     Ok(())
 }
 
-/// After a planned stop, a retry at another box still gets the answer, through two successors.
+/// A retry at another box must get the same answer after its home has shut down, and again after the
+/// successor of the home has.
 #[tokio::test]
-async fn keys_handed_over() -> eyre::Result<()> {
+async fn stop_loses_keys() -> eyre::Result<()> {
     let plan = Plan { boxes: 3, services: 1, ..Plan::default() };
     let mut cluster = Cluster::start(plan).await?;
     let hold = CallerRequest::hold("hold B1").key(&key_of(&cluster.boxes[0], 1));
     let first = hold.send(cluster.boxes[0].address()).await;
     assert!(first.is_answer());
-    for gone in 0..2 {
-        cluster.boxes[gone].begin_stop();
-        let status = cluster.boxes[gone].process.wait(SOON).await?;
+    for stopped in 0..2 {
+        cluster.boxes[stopped].begin_stop();
+        let status = cluster.boxes[stopped].process.wait(SOON).await?;
         assert_eq!(status.code(), Some(0));
-        for other in &cluster.boxes[gone + 1..] {
+        for other in &cluster.boxes[stopped + 1..] {
             let again = hold.send(other.address()).await;
-            assert_eq!(again, first, "the answer outlives its home");
+            assert_eq!(again, first, "the answer was lost with its home");
         }
     }
     assert_eq!(cluster.runs("hold B1").await?, 1);
     Ok(())
 }
 
-/// A hold that runs when its box is told to stop is answered before the box ends.
+/// A call that runs when its box begins to shut down must be answered before the process ends.
 #[tokio::test]
-async fn hold_in_progress() -> eyre::Result<()> {
+async fn stop_loses_running_call() -> eyre::Result<()> {
     let mut cluster = Cluster::start(Plan { services: 1, ..Plan::default() }).await?;
     let faults = hollyspoke_standin::service::Faults { delay_ms: 1500, ..Default::default() };
     cluster.services[0].faults(&faults).await?;
--- a/tests/tests/replay.rs
+++ b/tests/tests/replay.rs
@@ -1,7 +1,7 @@
-//! The specification's steps are replayed against the reducer, so that the two can't drift apart.
+//! The reducers and the specification differ after a change to one of them.
 //!
-//! Walks through the specification are drawn from a fixed seed; each step is done to the reducers
-//! too, and after it both must agree on what has run, what is bound, and what is in force.
+//! Random walks through the specification are drawn from fixed seeds, and each step is also applied
+//! to the reducers. After each step both must agree on runs, claims and configuration versions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,36 +22,36 @@
 use hollyspoke_spec::search::{Specification, Step};
 use hollyspoke_spec::{claims, configuration};
 
-/// The walks of each part.
-const WALKS: u64 = 400;
+/// The number of walks through each specification.
+const WALK_COUNT: u64 = 400;
 
-/// The most steps of a walk.
-const MOST_STEPS: usize = 60;
+/// The highest number of steps of a walk.
+const MAX_STEPS: usize = 60;
 
-/// Two boxes with their store, done to as the specification says.
+/// Two boxes with their store, driven by the steps of the specification.
 struct Boxes {
-    /// The reducers, while they live.
+    /// The reducers of the boxes, absent after a crash.
     nodes: [Option<Node>; 2],
-    /// The time.
+    /// The simulated time.
     now: Time,
-    /// The store.
+    /// The simulated store.
     store: Store,
-    /// The operation that each box has under way.
+    /// The pending store operation of each box, with its number.
     operations: BTreeMap<usize, (u64, Operation)>,
-    /// The answer that is on its way to each box.
+    /// The store's answer that has yet to reach each box, with its number.
     answers: BTreeMap<usize, (u64, Answer)>,
     /// The write of each box that takes effect late.
     late: BTreeMap<usize, Operation>,
-    /// The keys under which a box passes the request on to another.
+    /// The keys of forwarded requests, by the box that they are forwarded to.
     relays: BTreeMap<usize, Key>,
-    /// Calls of the plain service so far.
+    /// The number of calls to the plain service so far.
     calls: u8,
     /// The number of the last connection.
     last_call: u64,
 }
 
 impl Boxes {
-    /// Makes two boxes that know each other and have a site.
+    /// Returns two boxes that know each other and have a site.
     fn new() -> Boxes {
         let mut boxes = Boxes {
             nodes: [Some(node(0)), Some(node(1))],
@@ -74,13 +74,13 @@
         boxes
     }
 
-    /// Feeds a box an event, and keeps what it asks for.
+    /// Applies an event to a box, and records its calls, forwarded keys and store operations.
     fn step(&mut self, me: usize, event: Event) {
         self.now = self.now + Duration::from_micros(10);
         let Some(node) = &mut self.nodes[me] else { return };
         for effect in node.step(self.now, event) {
             match effect {
-                // Leases are a matter of their own.
+                // Operations on leases are not part of the specification.
                 Effect::Store { number, operation } if is_claim(&operation) => {
                     self.operations.insert(me, (number, operation));
                 }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends a box the request.
+    /// Sends the request to a box; with a key, as one that the other box forwards.
     fn arrive(&mut self, me: usize, key: Option<Key>) {
         self.last_call += 1;
         let mut arrival = Box::new(hold(1));
@@ -103,15 +103,15 @@
         self.step(me, Event::Arrive { call: CallId(self.last_call), arrival });
     }
 
-    /// The store works out a box's operation and answers.
-    fn operate(&mut self, me: usize) {
+    /// Applies a box's pending operation to the store, which answers.
+    fn apply_operation(&mut self, me: usize) {
         let Some((number, operation)) = self.operations.remove(&me) else { return };
         let answer = self.store.apply(operation);
         self.answers.insert(me, (number, answer));
     }
 
-    /// A box's operation gets no answer; a write may take effect at once, late, or was a read.
-    fn lose(&mut self, me: usize, applied: bool, late: bool) {
+    /// Leaves a box's pending operation without an answer. It may take effect at once, late or never.
+    fn lose_answer(&mut self, me: usize, applied: bool, late: bool) {
         let Some((number, operation)) = self.operations.remove(&me) else { return };
         if applied {
             self.store.apply(operation);
@@ -121,13 +121,13 @@
         self.answers.insert(me, (number, Answer::Away));
     }
 
-    /// The answer on its way reaches its box.
+    /// Delivers the pending answer of the store to a box.
     fn answer(&mut self, me: usize) {
         let Some((number, answer)) = self.answers.remove(&me) else { return };
         self.step(me, Event::Store { number, answer });
     }
 
-    /// A box dies, and the other one knows.
+    /// Crashes a box, and announces this to the other one.
     fn crash(&mut self, me: usize) {
         self.nodes[me] = None;
         let from = incarnation(1 - me);
@@ -137,10 +137,10 @@
         self.step(1 - me, Event::Peer { from, message });
     }
 
-    /// Gives the box to which the request is bound in the store.
-    fn bound(&mut self) -> Option<usize> {
-        // The object's name follows from the claim: the one object there is holds it.
-        let value = (0..claims_shards()).find_map(|shard| {
+    /// Returns the box that holds the claim of the request in the store.
+    fn claim_holder(&mut self) -> Option<usize> {
+        // The name of the object follows from the claim, and only one object exists.
+        let value = (0..claim_object_count()).find_map(|shard| {
             let name = format!("{shard:02x}");
             match self.store.apply(Operation::Get { kind: "claims".to_owned(), name }) {
                 Answer::Found { value, .. } => Some(value),
@@ -151,7 +151,7 @@
         (0..2).find(|it| incarnation(*it) == key.home)
     }
 
-    /// Does to the reducers what a step of the claims' specification says.
+    /// Applies a step of the specification of claims to the reducers.
     fn claim_step(&mut self, name: &str) {
         let me = usize::from(name.contains("box 1") || name.contains("(1"));
         if name.contains("gets the request") {
@@ -162,7 +162,11 @@
         } else if name.contains("crashes") {
             self.crash(me);
         } else if name.starts_with("Get") {
-            if name.contains("is lost") { self.lose(me, false, false) } else { self.operate(me) }
+            if name.contains("is lost") {
+                self.lose_answer(me, false, false)
+            } else {
+                self.apply_operation(me)
+            }
         } else if name.starts_with("PutAnswer")
             || name.starts_with("Found")
             || name.starts_with("Away")
@@ -170,9 +174,9 @@
             self.answer(me);
         } else if name.starts_with("Put") {
             match (name.contains("is lost"), name.contains("is late")) {
-                (true, _) => self.lose(me, true, false),
-                (_, true) => self.lose(me, false, true),
-                _ => self.operate(me),
+                (true, _) => self.lose_answer(me, true, false),
+                (_, true) => self.lose_answer(me, false, true),
+                _ => self.apply_operation(me),
             }
         } else if name.starts_with("LatePut") {
             if let Some(operation) = self.late.remove(&me) {
@@ -182,61 +186,62 @@
             let key = self.relays.remove(&me);
             self.arrive(me, key);
         } else {
-            panic!("the step `{name}` is not known here");
+            panic!("step `{name}` is unknown to this test");
         }
     }
 }
 
-/// Tells whether an operation is one on claims.
+/// Returns whether an operation reads or writes claims.
 fn is_claim(operation: &Operation) -> bool {
     let (Operation::Get { kind, .. } | Operation::Put { kind, .. }) = operation;
     kind == "claims"
 }
 
-/// Gives the number of the claims' objects.
-fn claims_shards() -> u64 {
+/// Returns the number of objects in the store among which claims are spread.
+fn claim_object_count() -> u64 {
     hollyspoke::claim::OBJECT_COUNT
 }
 
-/// Gives a box's incarnation.
+/// Returns the incarnation of a box by its number.
 fn incarnation(number: usize) -> Incarnation {
     Incarnation(number as u64 + 1)
 }
 
-/// Makes a box.
+/// Returns a new box by its number.
 fn node(number: usize) -> Node {
     Node::new(Time::ZERO, settings(number))
 }
 
-/// Walks through a specification: `choose` gives a number below its argument.
+/// Walks through a specification at random, and passes each step to `each`; returns the number of
+/// steps.
 fn walk<S: Clone>(
     specification: &Specification<S>,
     seed: u64,
     mut each: impl FnMut(&Step<S>),
 ) -> usize {
     let mut state = specification.initial.clone();
-    let mut chance = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    for taken in 0..MOST_STEPS {
+    let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+    for step_count in 0..MAX_STEPS {
         let steps = (specification.steps)(&state);
         if steps.is_empty() {
-            return taken;
+            return step_count;
         }
-        chance ^= chance << 13;
-        chance ^= chance >> 7;
-        chance ^= chance << 17;
-        let step = &steps[(chance % steps.len() as u64) as usize];
+        random ^= random << 13;
+        random ^= random >> 7;
+        random ^= random << 17;
+        let step = &steps[(random % steps.len() as u64) as usize];
         each(step);
         state = step.next.clone();
     }
-    MOST_STEPS
+    MAX_STEPS
 }
 
-/// The claims: both agree on how often the request has run and to whom it is bound.
+/// The reducers run a request more often than the specification, or another box holds its claim.
 #[test]
-fn claims_agree() {
+fn claims_diverge() {
     let specification = claims::specification(None);
     let mut steps = 0;
-    for seed in 1..=WALKS {
+    for seed in 1..=WALK_COUNT {
         let mut boxes = Boxes::new();
         let mut names = Vec::new();
         steps += walk(&specification, seed, |step| {
@@ -244,18 +249,18 @@
             boxes.claim_step(&step.name);
             let state = &step.next;
             assert_eq!(boxes.calls, state.runs, "runs after {names:#?}");
-            assert_eq!(boxes.bound(), state.claim.1, "claim after {names:#?}");
+            assert_eq!(boxes.claim_holder(), state.claim.1, "claim after {names:#?}");
         });
     }
-    println!("{steps} steps of {WALKS} walks agree");
+    println!("{steps} steps of {WALK_COUNT} walks agree");
 }
 
-/// The configuration: both agree on the version in force at each box.
+/// A box of the reducers has another configuration version in force than the specification says.
 #[test]
-fn configuration_agrees() {
+fn configuration_diverges() {
     let specification = configuration::specification(None);
     let mut steps = 0;
-    for seed in 1..=WALKS {
+    for seed in 1..=WALK_COUNT {
         let mut nodes = [node(0), node(1)];
         let mut now = Time::ZERO;
         let mut names = Vec::new();
@@ -277,10 +282,10 @@
             }
         });
     }
-    println!("{steps} steps of {WALKS} walks agree");
+    println!("{steps} steps of {WALK_COUNT} walks agree");
 }
 
-/// Reads the step that brings a version to a box: `Site(<box>, <version>)`, unless it is lost.
+/// Returns the box and the version of a step `Site(<box>, <version>)`, unless the message is lost.
 fn site_delivery(name: &str) -> Option<(usize, u64)> {
     let rest = name.strip_prefix("Site(")?;
     let (numbers, after) = rest.split_once(')')?;
--- a/tests/tests/retry_key.rs
+++ b/tests/tests/retry_key.rs
@@ -1,4 +1,4 @@
-//! A caller sends one key again, at the same box or at another one.
+//! A retry under the same key, at the same box or another one, runs a call twice or loses its answer.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use hollyspoke_tests::cluster::{Cluster, Plan, until};
 use hollyspoke_tests::request::{CallerRequest, CallerResponse, key_of, read_stream};
 
-/// A site with a plain service.
+/// Starts a site with a plain service.
 async fn site() -> eyre::Result<Cluster> {
     Cluster::start(Plan { services: 2, token_ms: 20, ..Plan::default() }).await
 }
 
-/// The retry comes to another box while the first call still runs: it joins.
+/// A retry arrives at another box while the call still runs. It must take over the answer.
 #[tokio::test]
-async fn while_running() -> eyre::Result<()> {
+async fn concurrent_retry_reruns() -> eyre::Result<()> {
     let cluster = site().await?;
     for service in &cluster.services {
         service.faults(&Faults { delay_ms: 1500, ..Faults::default() }).await?;
@@ -31,28 +31,29 @@
     .await?;
     let second = hold.send(cluster.boxes[1].address()).await;
     assert!(second.is_answer(), "{second:?}");
-    assert_eq!(first.await?.slug(), "superseded", "only one connection gets the answer");
+    assert_eq!(first.await?.slug(), "superseded", "the first connection was not superseded");
     assert_eq!(cluster.runs("hold A1").await?, 1);
     Ok(())
 }
 
-/// The retry comes after the answer: it gets the same answer again.
+/// Retries arrive after the answer. They must get the same answer without another run.
 #[tokio::test]
-async fn after_end() -> eyre::Result<()> {
+async fn late_retry_reruns() -> eyre::Result<()> {
     let cluster = site().await?;
     let hold = CallerRequest::hold("hold A2").key(&key_of(&cluster.boxes[0], 2));
     let first = hold.send(cluster.boxes[0].address()).await;
     assert!(first.is_answer(), "{first:?}");
     for member in &cluster.boxes {
-        assert_eq!(hold.send(member.address()).await, first, "the answer is given again");
+        assert_eq!(hold.send(member.address()).await, first, "a retry got another answer");
     }
     assert_eq!(cluster.runs("hold A2").await?, 1);
     Ok(())
 }
 
-/// The retry comes after its home has died: nobody runs it again.
+/// Retries arrive after the key's home was killed. A call must not run again, but a repeatable
+/// request must be answered.
 #[tokio::test]
-async fn after_home_died() -> eyre::Result<()> {
+async fn dead_home_reruns() -> eyre::Result<()> {
     let mut cluster = site().await?;
     let hold = CallerRequest::hold("hold A3").key(&key_of(&cluster.boxes[0], 3));
     assert!(hold.send(cluster.boxes[0].address()).await.is_answer());
@@ -67,32 +68,33 @@
     let key = key_of(&cluster.boxes[0], 4);
     let got =
         CallerRequest::generate(prompt, 10, false).key(&key).send(cluster.boxes[1].address()).await;
-    assert_eq!(got.text()?, answer::whole(prompt, 10), "what may be repeated is run anew");
+    assert_eq!(got.text()?, answer::whole(prompt, 10), "a repeatable request was not run again");
     Ok(())
 }
 
-/// The caller's connection goes while a hold runs; its retry gets the confirmation.
+/// The caller disconnects while a call runs. Its retry must get the answer of the first run.
 #[tokio::test]
-async fn after_caller_went() -> eyre::Result<()> {
+async fn disconnect_loses_answer() -> eyre::Result<()> {
     let cluster = site().await?;
     for service in &cluster.services {
         service.faults(&Faults { delay_ms: 800, ..Faults::default() }).await?;
     }
     let hold = CallerRequest::hold("hold A4").key(&key_of(&cluster.boxes[0], 5));
     let home = cluster.boxes[0].address();
-    let begun = tokio::time::timeout(Duration::from_millis(300), hold.send(home)).await;
-    assert!(begun.is_err(), "the first connection is dropped before its answer");
+    let timed_out = tokio::time::timeout(Duration::from_millis(300), hold.send(home)).await;
+    assert!(timed_out.is_err(), "the first connection got an answer before it was closed");
     let CallerResponse::Answer { body, .. } = hold.send(home).await else {
-        panic!("no confirmation")
+        panic!("the retry got no answer")
     };
     assert!(body.contains("\"run\":1"), "{body}");
     assert_eq!(cluster.runs("hold A4").await?, 1);
     Ok(())
 }
 
-/// A generated answer is joined in the middle: the later connection gets it from its beginning.
+/// A retry arrives while an answer is streamed. The later connection must get it from the start,
+/// without a second decode.
 #[tokio::test]
-async fn joined_stream() -> eyre::Result<()> {
+async fn joined_stream_decodes_twice() -> eyre::Result<()> {
     let cluster = site().await?;
     let prompt = "a long archive citation";
     let sending = CallerRequest::generate(prompt, 100, true).key(&key_of(&cluster.boxes[0], 6));
@@ -103,7 +105,7 @@
     assert!(ended);
     assert_eq!(text, answer::whole(prompt, 100));
     let (_, ended) = read_stream(first).await;
-    assert!(!ended, "the earlier connection is told that it was taken over");
+    assert!(!ended, "the earlier stream ended as if it were whole");
     let decodes: u64 = cluster.engines().await.iter().map(|it| it.decodes).sum();
     assert_eq!(decodes, 1);
     Ok(())
--- a/tests/tests/start_together.rs
+++ b/tests/tests/start_together.rs
@@ -1,9 +1,7 @@
-//! Many boxes that start at the same moment: all are heard soon, by datagrams that do not grow with
-//! the square of the boxes.
+//! Many boxes that start at the same moment find each other soon, without a flood of datagrams.
 //!
-//! 985 boxes sent each other 2.2 million datagrams in their first two seconds, and counted all the
-//! others with each that they received: six tenths of their processor time, by a profile of 40 of
-//! them (`most_serving` 29 in 100, `count` 24, and the spans that it worked out 9).
+//! If every box greets every other and all answer, 985 boxes send 2.2 million datagrams in their
+//! first two seconds. Counting all boxes again with each of these takes 60% of the processor time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,19 +17,19 @@
 use hollyspoke_gateway::message::Message;
 use hollyspoke_tests::gateway::{configuration, engines, settings};
 
-/// The data centres.
+/// The data centres, among which the boxes are spread.
 const DATA_CENTRES: [&str; 5] = ["north", "south", "east", "west", "centre"];
 
-/// How long a datagram takes.
-const TRANSIT: Duration = Duration::from_millis(1);
+/// How long a datagram takes to arrive.
+const DATAGRAM_DELAY: Duration = Duration::from_millis(1);
 
 /// How long the store takes to answer.
-const STORE_ANSWERS_IN: Duration = Duration::from_millis(4);
+const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// How many boxes the settings name.
-const SEEDS: usize = 3;
+/// The number of boxes that the settings name as seeds.
+const SEED_COUNT: usize = 3;
 
-/// What is yet to happen to a box.
+/// A planned event of a box.
 #[derive(Debug)]
 enum Due {
     /// A datagram arrives.
@@ -44,24 +42,24 @@
 struct Boxes {
     /// The boxes.
     gateways: Vec<Gateway>,
-    /// When each needs a tick, in order.
+    /// The planned ticks of the boxes, by time.
     ticks: BTreeMap<(Time, usize), ()>,
-    /// When each of them is to tick.
+    /// The time of the next tick of each box.
     ticks_at: Vec<Time>,
-    /// What is yet to happen.
+    /// The planned events, by time.
     due: BTreeMap<(Time, u64), (usize, Due)>,
     /// The number of the next entry of `due`.
     next: u64,
-    /// The datagrams that have arrived.
+    /// The number of datagrams that have arrived.
     datagrams: usize,
 }
 
-/// Gives where a box listens.
+/// Returns the peer address of a box.
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 8, (number / 250) as u8, (number % 250) as u8], 7000))
 }
 
-/// Gives a box's number by where it listens.
+/// Returns the number of the box that has this peer address.
 fn number_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(it) => {
@@ -73,7 +71,7 @@
 }
 
 impl Boxes {
-    /// Starts boxes that know the configuration and the engines at once.
+    /// Starts boxes that have the configuration and the engines from the start.
     fn start(count: usize) -> Boxes {
         let make = |number: usize| {
             Gateway::new(Settings {
@@ -92,9 +90,9 @@
             next: 0,
             datagrams: 0,
         };
-        let seeds: Vec<_> = (0..SEEDS.min(count)).map(address).collect();
+        let seeds: Vec<_> = (0..SEED_COUNT.min(count)).map(address).collect();
         for number in 0..count {
-            // Within 0.3 s of each other, in any order.
+            // The boxes start within 0.3 s of each other, in mixed order.
             let now = Time::from_millis((number as u64 * 7) % 300);
             for event in [
                 Event::Seeds(seeds.clone()),
@@ -109,7 +107,7 @@
         boxes
     }
 
-    /// Has a box take an event.
+    /// Applies an event to a box, and plans its next tick.
     fn step(&mut self, number: usize, now: Time, event: Event) {
         let effects = self.gateways[number].step(now, event);
         for effect in effects {
@@ -121,30 +119,30 @@
         self.ticks.insert((due, number), ());
     }
 
-    /// Carries out what a box wants.
+    /// Carries out an effect of a box.
     fn carry_out(&mut self, number: usize, now: Time, effect: Effect) {
         match effect {
             Effect::Announce(audience, message) => {
                 let message = Arc::new(*message);
                 for receiver in audience {
                     let due = Due::Datagram(message.clone());
-                    self.plan(now + TRANSIT, number_of(receiver), due);
+                    self.plan(now + DATAGRAM_DELAY, number_of(receiver), due);
                 }
             }
             Effect::Store(operation, Operation::Get { .. }) => {
-                self.plan(now + STORE_ANSWERS_IN, number, Due::Stored(operation));
+                self.plan(now + STORE_DELAY, number, Due::Stored(operation));
             }
             _ => {}
         }
     }
 
-    /// Adds what is yet to happen.
+    /// Plans an event of a box.
     fn plan(&mut self, at: Time, number: usize, due: Due) {
         self.next += 1;
         self.due.insert((at, self.next), (number, due));
     }
 
-    /// Lets time pass until a moment.
+    /// Runs the boxes until a time.
     fn run(&mut self, end: Time) {
         loop {
             let due = self.due.first_key_value().map(|it| it.0.0);
@@ -169,27 +167,27 @@
         }
     }
 
-    /// Gives the fewest boxes that any box knows to live.
-    fn fewest_known(&self) -> usize {
+    /// Returns the lowest number of live boxes that any box knows.
+    fn min_known_box_count(&self) -> usize {
         self.gateways.iter().map(Gateway::alive_box_count).min().unwrap_or(0)
     }
 }
 
 #[test]
-fn all_are_heard() {
+fn boxes_stay_unknown() {
     for count in [6, 30, 120] {
         let mut boxes = Boxes::start(count);
-        // Heartbeats to other data centres come each 3.2 s where there are more than 100.
+        // With more than 100 boxes, heartbeats to other data centres are sent every 3.2 s.
         boxes.run(Time::from_millis(5_000));
-        assert_eq!(boxes.fewest_known(), count);
+        assert_eq!(boxes.min_known_box_count(), count);
     }
 }
 
 #[test]
-fn datagrams_grow_less_than_pairs() {
-    // The datagrams of the first two seconds, where all greeted all and answered: 274,425 by 300
-    // boxes and 2,166,366 by 985, and each box told all of each new cadence and version; now 162,026
-    // and 1,117,794.
+fn datagrams_grow_quadratically() {
+    // If all boxes greet all others, which answer, and each box announces every new cadence and
+    // version to all, 300 boxes send 274,425 datagrams in two seconds and 985 send 2,166,366. With
+    // fewer announcements these are 162,026 and 1,117,794.
     let datagrams = |count: usize| {
         let mut boxes = Boxes::start(count);
         boxes.run(Time::from_millis(2_000));
@@ -197,5 +195,5 @@
     };
     let (few, many) = (datagrams(100), datagrams(300));
 
-    assert!(many < few * 4, "{few} and {many}");
+    assert!(many < few * 4, "{few} datagrams of 100 boxes, {many} of 300");
 }
