--- a/tests/tests/promises.rs
+++ b/tests/tests/promises.rs
@@ -255,7 +255,10 @@
         world.schedule_action(begun + Duration::from_millis(after), sending(call(place + 1), to));
     }
     if let Some(closed_after_ms) = request.closed_after_ms {
-        world.schedule_action(begun + Duration::from_millis(closed_after_ms), Action::Disconnect(call(0)));
+        world.schedule_action(
+            begun + Duration::from_millis(closed_after_ms),
+            Action::Disconnect(call(0)),
+        );
     }
     Ok(())
 }
